--- a/benchmarks/gather_cost.py
+++ b/benchmarks/gather_cost.py
@@ -20,15 +20,15 @@
 from ibisfront.core.bounded_log import BoundedLogHandler
 from ibisfront.core.clock import Clock
 from ibisfront.core.logs import LOGGER_NAME
-from ibisfront.gateway.answering import Answering
 from ibisfront.gateway.gateway import Gateway
-from ibisfront.gateway.load.budget import ExtraBudgets
+from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import InboundRequest
-from ibisfront.gateway.observing import Observer
+from ibisfront.gateway.observability import Observer
+from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -107,14 +107,14 @@
             maximum=2,
         )
 
-    book = ServerBook(clock=clock, make_pool=pool, zone="z")
+    registry = ServerRegistry(clock=clock, make_pool=pool, zone="z")
     route = _route(fanout)
     for name in route.service_names:
-        book.put(ServerEntry(name, name, address, "z", 2))
+        registry.put(ServerEntry(name, name, address, "z", 2))
     gateway = Gateway(
-        Answering(
-            book=book,
-            budgets=ExtraBudgets(Bounds(extra_allowance=0.0), instances=1),
+        RequestServices(
+            registry=registry,
+            budgets=RetryBudgets(Bounds(extra_allowance=0.0), instances=1),
             wire=WIRE,
             clock=clock,
             observer=Observer(),
--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.instances.gatherers import CONNECTIONS_SHARE
-from ibisfront.gateway.load.cold_limit import cold_share
+from ibisfront.gateway.instances.coordinators import CONNECTIONS_SHARE
+from ibisfront.gateway.load.cold_start_limit import cold_share
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.http1.backend_connection import backend_connection_opener
 from ibisfront.platform.headers import WIRE
@@ -15,11 +15,11 @@
     import trio
 
     from ibisfront.core.clock import Clock
-    from ibisfront.gateway.instances.gatherers import Gatherers
-    from ibisfront.gateway.load.budget import ExtraBudgets
+    from ibisfront.gateway.instances.coordinators import Coordinators
+    from ibisfront.gateway.load.retry_budget import RetryBudgets
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.gateway.servers.server_book import ServerBook
-    from ibisfront.gateway.servers.server_news import ServerNews
+    from ibisfront.gateway.servers.server_event_log import ServerEventLog
+    from ibisfront.gateway.servers.server_registry import ServerRegistry
     from ibisfront.gateway.settings import Bounds
     from ibisfront.gateway.state.configuration import RouteTable
 
@@ -39,9 +39,9 @@
 
     Parameters
     ----------
-    gatherers : Gatherers
+    coordinators : Coordinators
         Which instances gather.
-    budgets : ExtraBudgets
+    budgets : RetryBudgets
         Knows how many instances there are.
     find_table : callable
         Returns the configuration in force, if one is known.
@@ -51,17 +51,17 @@
         Runs the connections.
     clock : Clock
         The tier's clock.
-    news : ServerNews
+    event_log : ServerEventLog
         Logs servers that cannot be reached.
     """
 
     __slots__ = (
         "_budgets",
         "_clock",
+        "_coordinators",
+        "_event_log",
         "_find_bounds",
         "_find_table",
-        "_gatherers",
-        "_news",
         "_nursery",
         "_open_connection",
         "_started_ms",
@@ -70,16 +70,16 @@
     def __init__(
         self,
         *,
-        gatherers: Gatherers,
-        budgets: ExtraBudgets,
+        coordinators: Coordinators,
+        budgets: RetryBudgets,
         find_table: Callable[[], RouteTable | None],
         find_bounds: Callable[[], Bounds],
         nursery: trio.Nursery,
         clock: Clock,
-        news: ServerNews,
+        event_log: ServerEventLog,
     ) -> None:
-        self._news = news
-        self._gatherers = gatherers
+        self._event_log = event_log
+        self._coordinators = coordinators
         self._budgets = budgets
         self._find_table = find_table
         self._find_bounds = find_bounds
@@ -102,9 +102,9 @@
         """Return the connections of another instance."""
         return self._pool(peer, _PEER_CONNECTIONS)
 
-    def share(self, book: ServerBook) -> None:
+    def share(self, registry: ServerRegistry) -> None:
         """Share out what servers accept, and give back what is not ours."""
-        for server in book.servers():
+        for server in registry.servers():
             pool = server.pool
             if pool is None:
                 continue
@@ -115,7 +115,7 @@
             if not pool.keeps_idle:
                 pool.close_idle()
 
-    def warm_up(self, book: ServerBook) -> None:
+    def warm_up(self, registry: ServerRegistry) -> None:
         """Open a first connection to the servers that requests may reach.
 
         The first query of an instance, and the first after a repartition,
@@ -125,10 +125,10 @@
         if table is None or not self._knows_instances:
             return
         names = table.service_names
-        if not self._gatherers.is_gatherer:
+        if not self._coordinators.is_coordinator:
             names -= table.gathered_services
         for name in names:
-            for server in book.of_service(name):
+            for server in registry.of_service(name):
                 if server.pool is not None and server.is_usable:
                     server.pool.warm_up()
 
@@ -139,7 +139,7 @@
         Without it every instance of many would open connections to all
         servers at its start, more than they accept.
         """
-        if len(self._gatherers.instances) > 1:
+        if len(self._coordinators.instances) > 1:
             return True
         return self._clock.now_ms() - self._started_ms > _ALONE_AFTER_MS
 
@@ -151,7 +151,7 @@
         the instances that gather are reset, and their parts are missing.
         """
         table = self._find_table()
-        if table is None or self._gatherers.is_gatherer:
+        if table is None or self._coordinators.is_coordinator:
             return True
         return service not in table.gathered_services
 
@@ -163,8 +163,8 @@
             return 1
         shared = routed.maximum_connections * CONNECTIONS_SHARE
         instances = max(self._budgets.instances, 1)
-        if self._gatherers.is_followed and service in table.gathered_services:
-            instances = self._gatherers.count
+        if self._coordinators.is_followed and service in table.gathered_services:
+            instances = self._coordinators.count
         return max(int(shared / instances), 1)
 
     def _limit_cold(self, server: Server) -> None:
@@ -172,19 +172,19 @@
         table = self._find_table()
         service = server.entry.service
         routed = None if table is None else table.configuration.services.get(service)
-        limit = server.cold_limit
+        limit = server.cold_start_limit
         limit.share = None
         if table is None or routed is None:
             return
         limit.warm_up_ms = routed.warm_up_ms
         if not routed.cold_per_s:
             return
-        senders = [item.name for item in self._gatherers.instances]
-        if self._gatherers.is_concentrated and service in table.gathered_services:
-            senders = self._gatherers.names
+        senders = [item.name for item in self._coordinators.instances]
+        if self._coordinators.uses_coordinators and service in table.gathered_services:
+            senders = self._coordinators.names
         limit.share = cold_share(
             server.entry.server_id,
-            own=self._gatherers.own_name,
+            own=self._coordinators.own_name,
             senders=senders,
             bound_per_s=self._find_bounds().cold_bound_per_s(routed.cold_per_s),
         )
@@ -196,5 +196,5 @@
             nursery=self._nursery,
             clock=self._clock,
             maximum=maximum,
-            news=self._news,
+            event_log=self._event_log,
         )
--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -1,4 +1,4 @@
-"""The front daemon's entry point: listeners, feeds and signals."""
+"""The front daemon's entry point: listeners, watches and signals."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ibisfront.core.clock import Clock
 from ibisfront.core.errors import IbisfrontError
 from ibisfront.core.logs import LOGGER_NAME, LogPart, part_logger
-from ibisfront.front.garbage import collect_garbage
+from ibisfront.front.garbage_collection import collect_garbage
 from ibisfront.front.process import FrontProcess
 from ibisfront.front.stopping import stop_in_order
 from ibisfront.gateway.instances.directory import keep_instances
@@ -84,10 +84,10 @@
             listen(settings.peers_address, process.answer_peer, process.peer_limits)
             _join(settings, process, nursery, stack, clock)
         else:
-            process.feed.note_listed()
-        nursery.start_soon(process.feed.run)
+            process.state_sync.record_listed()
+        nursery.start_soon(process.state_sync.run)
         nursery.start_soon(process.keep_up)
-        nursery.start_soon(process.zone_watch.run)
+        nursery.start_soon(process.zone_path_monitor.run)
         nursery.start_soon(handler.run)
         nursery.start_soon(collect_garbage, clock)
         nursery.start_soon(_watch_settings, process, path, clock)
@@ -134,8 +134,8 @@
             directory,
             process.own,
             on_list=process.take_instances,
-            on_first_try=process.feed.note_listed,
-            is_needed=lambda: process.feed.watches_store,
+            on_first_try=process.state_sync.record_listed,
+            is_needed=lambda: process.state_sync.watches_store,
             is_first_start=settings.is_first_start,
             clock=clock,
         )
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -13,29 +13,29 @@
 from ibisfront.core.logs import LogPart, part_logger
 from ibisfront.core.metrics_text import CONTENT_TYPE, Gauge, metrics_text
 from ibisfront.front.connections import Connections
-from ibisfront.front.feeding import watch_store
-from ibisfront.gateway.answering import Answering
+from ibisfront.front.store_watches import watch_store
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import (
     ASSUMED_INSTANCES,
     InstanceEntry,
     peer_entry,
 )
-from ibisfront.gateway.instances.gatherers import Gatherers
-from ibisfront.gateway.instances.zone_watch import ZoneWatch
-from ibisfront.gateway.instances.zone_ways import ZoneWays
-from ibisfront.gateway.load.budget import ExtraBudgets
+from ibisfront.gateway.instances.zone_path_monitor import ZonePathMonitor
+from ibisfront.gateway.instances.zone_paths import ZonePaths
+from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import CallerReply
-from ibisfront.gateway.observing import Observer
+from ibisfront.gateway.observability import Observer
 from ibisfront.gateway.queries.delegation import Delegation
-from ibisfront.gateway.servers.server_book import ServerBook
-from ibisfront.gateway.servers.server_news import ServerNews
+from ibisfront.gateway.request_services import RequestServices
+from ibisfront.gateway.servers.server_event_log import ServerEventLog
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.configuration import CallerLimits, RouteTable
 from ibisfront.gateway.state.configuration_change import changed_configuration
-from ibisfront.gateway.state.relays import Relays
-from ibisfront.gateway.state.state_feed import StateFeed
-from ibisfront.gateway.state.state_relay import KnownState, RelayedState, StateSource
-from ibisfront.http1.state_client import HttpStateClient, asked_state
+from ibisfront.gateway.state.relay_topology import RelayTopology
+from ibisfront.gateway.state.state_relay import LocalState, RelayedState, StateSource
+from ibisfront.gateway.state.state_sync import StateSync
+from ibisfront.http1.state_client import HttpStateClient, parse_state_request
 from ibisfront.platform.headers import WIRE
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
 each service."""
 
 _UPKEEP_MS = 100.0
-"""How often lapsed entries and servers out of reach are looked at."""
+"""How often stale entries and servers out of reach are looked at."""
 
 
 class FrontProcess:
@@ -79,9 +79,9 @@
     ----------
     gateway : Gateway
         Answers callers.
-    book, peers : ServerBook
+    registry, peers : ServerRegistry
         The backend servers and the other instances.
-    budgets : ExtraBudgets
+    budgets : RetryBudgets
         The budgets of extra sub-requests.
     connections : Connections
         How many connections there are to whom.
@@ -89,15 +89,15 @@
         Counters and latencies.
     own : InstanceEntry
         What this instance says of itself.
-    gatherers : Gatherers
+    coordinators : Coordinators
         Which instances gather for the others.
     source : StateSource
         Passes the store's state on to other instances.
-    relays : Relays
+    topology : RelayTopology
         Which instances watch the store for the others.
-    feed : StateFeed
+    state_sync : StateSync
         Keeps the store's state up to date.
-    zone_watch : ZoneWatch
+    zone_path_monitor : ZonePathMonitor
         Finds out which other zones are cut off.
     is_stopping : bool
         Whether a planned stop has begun.
@@ -105,22 +105,22 @@
 
     __slots__ = (
         "_clock",
-        "_news",
+        "_event_log",
         "_was_ready",
-        "book",
         "budgets",
         "connections",
-        "feed",
+        "coordinators",
         "gateway",
-        "gatherers",
         "is_stopping",
         "observer",
         "own",
         "peers",
-        "relays",
+        "registry",
         "settings",
         "source",
-        "zone_watch",
+        "state_sync",
+        "topology",
+        "zone_path_monitor",
     )
 
     def __init__(
@@ -130,7 +130,7 @@
         self._clock = clock
         zone = settings.zone
         self.observer = Observer()
-        self.budgets = ExtraBudgets(
+        self.budgets = RetryBudgets(
             settings.bounds,
             instances=ASSUMED_INSTANCES,
             started_ms=-math.inf if settings.is_first_start else clock.now_ms(),
@@ -142,49 +142,49 @@
             settings.capacity,
         )
         self.own = own
-        self._news = ServerNews(clock)
-        self.gatherers = Gatherers(own)
+        self._event_log = ServerEventLog(clock)
+        self.coordinators = Coordinators(own)
         self.connections = Connections(
-            gatherers=self.gatherers,
+            coordinators=self.coordinators,
             budgets=self.budgets,
             find_table=lambda: self.gateway.table,
             find_bounds=lambda: self.settings.bounds,
             nursery=nursery,
             clock=clock,
-            news=self._news,
+            event_log=self._event_log,
         )
-        ways = ZoneWays(zone)
-        self.book = ServerBook(
+        paths = ZonePaths(zone)
+        self.registry = ServerRegistry(
             clock=clock,
             make_pool=self.connections.server_pool,
             zone=zone,
-            ways=ways,
-            news=self._news,
+            paths=paths,
+            event_log=self._event_log,
             evacuated=None if settings.bounds.evacuation_ms else frozenset(),
         )
-        self.peers = ServerBook(
+        self.peers = ServerRegistry(
             clock=clock,
             make_pool=self.connections.peer_pool,
             zone=zone,
-            ways=ways,
-            news=self._news,
+            paths=paths,
+            event_log=self._event_log,
         )
-        self.zone_watch = ZoneWatch(
-            ways=ways,
-            servers=self.book,
+        self.zone_path_monitor = ZonePathMonitor(
+            paths=paths,
+            servers=self.registry,
             peers=self.peers,
             counters=self.observer.counters,
             on_change=lambda: self.source.wake_askers(),
             clock=clock,
         )
-        self.relays = Relays(own)
-        self.feed = StateFeed(
-            relays=self.relays,
+        self.topology = RelayTopology(own)
+        self.state_sync = StateSync(
+            topology=self.topology,
             connect=HttpStateClient,
             watch=partial(watch_store, self, clock=clock),
             take=self.take_state,
-            on_cut_off=self._note_cut_off,
-            on_lost=self._note_peer_lost,
+            on_cut_off=self._record_cut_off,
+            on_lost=self._record_peer_lost,
             known_version=lambda: self._version if self.gateway.is_informed else 0,
             seeds=settings.seeds,
             clock=clock,
@@ -192,24 +192,24 @@
         )
         self.source = StateSource(
             state=self._state,
-            is_fresh=lambda: self.feed.is_fresh,
-            may_become_fresh=lambda: self.feed.may_become_fresh,
+            is_fresh=lambda: self.state_sync.is_fresh,
+            may_become_fresh=lambda: self.state_sync.may_become_fresh,
             is_cut_off=lambda: self.gateway.is_cut_off,
             clock=clock,
         )
         self.gateway = Gateway(
-            Answering(
-                book=self.book,
+            RequestServices(
+                registry=self.registry,
                 budgets=self.budgets,
                 wire=WIRE,
                 clock=clock,
                 observer=self.observer,
             ),
             delegation=Delegation(
-                book=self.book,
+                registry=self.registry,
                 peers=self.peers,
                 zone=zone,
-                gatherers=self.gatherers,
+                coordinators=self.coordinators,
                 clock=clock,
             ),
         )
@@ -231,7 +231,7 @@
                 "version": self._version,
                 "stopping": self.is_stopping,
                 "found_cut_off": self.gateway.is_cut_off,
-                "told_cut_off": self.gateway.is_told_cut_off,
+                "told_cut_off": self.gateway.is_reported_cut_off,
             }
             _BALANCER_LOG.info("The balancer is told %s.", word, extra=fields)
         return is_ready
@@ -259,7 +259,7 @@
 
     async def answer_peer(self, request: InboundRequest) -> CallerReply:
         """Answer another instance."""
-        asked = asked_state(request)
+        asked = parse_state_request(request)
         if asked is not None:
             state = await self.source.answer(asked)
             counters = self.observer.counters
@@ -283,39 +283,39 @@
 
     def take_instances(self, listed: Sequence[InstanceEntry]) -> None:
         """Take in the list of instances."""
-        before = (self.budgets.instances, self.gatherers.is_gatherer)
-        is_first = not self.relays.is_known
+        before = (self.budgets.instances, self.coordinators.is_coordinator)
+        is_first = not self.topology.is_known
         self.budgets.instances = max(len(listed), 1)
         self.peers.replace(
             [peer_entry(item) for item in listed if item.name != self.own.name],
             after_outage=False,
         )
-        self.relays.update(listed)
-        self.gatherers.update(listed, self.gateway.table)
+        self.topology.update(listed)
+        self.coordinators.update(listed, self.gateway.table)
         self._share_allowances()
-        after = (self.budgets.instances, self.gatherers.is_gatherer)
+        after = (self.budgets.instances, self.coordinators.is_coordinator)
         if is_first or after != before:
-            self.connections.share(self.book)
-            self.connections.warm_up(self.book)
-        self.source.note_change()
+            self.connections.share(self.registry)
+            self.connections.warm_up(self.registry)
+        self.source.record_change()
 
-    def _note_cut_off(self, name: str, is_cut_off: bool) -> None:
+    def _record_cut_off(self, name: str, is_cut_off: bool) -> None:
         """Take in whether another instance of the zone is cut off.
 
         One that gathers nothing asks no servers, and does not know that the cut goes
         on. Taken at its word, an instance would be in rotation again, and with it the
         whole zone: the balancer uses all of a zone as long as any of it is ready.
         """
-        if self.gatherers.is_gatherer:
+        if self.coordinators.is_coordinator:
             return
-        if is_cut_off or name in self.gatherers.of_zone(self.own.zone):
-            self.gateway.note_cut_off(is_cut_off)
+        if is_cut_off or name in self.coordinators.of_zone(self.own.zone):
+            self.gateway.record_cut_off(is_cut_off)
 
-    def _note_peer_lost(self, name: str) -> None:
+    def _record_peer_lost(self, name: str) -> None:
         """Take in that another instance does not answer any more."""
         for peer in self.peers.servers():
             if peer.entry.server_id == name:
-                peer.note_unreachable(self._clock.now_ms())
+                peer.record_unreachable(self._clock.now_ms())
 
     def take_state(self, state: RelayedState) -> None:
         """Take in the store's state as another instance passed it on."""
@@ -331,11 +331,11 @@
             self.replace_servers(state.servers, after_outage=state.may_lack_servers)
         else:
             for entry in state.servers:
-                self.book.put(entry)
+                self.registry.put(entry)
             for server_id in state.removed:
-                self.book.remove(server_id)
-        self.connections.warm_up(self.book)
-        self.source.note_change()
+                self.registry.remove(server_id)
+        self.connections.warm_up(self.registry)
+        self.source.record_change()
 
     def _change_configuration(self, change: ConfigurationChange) -> None:
         """Put what a change leads to in force, if it applies here.
@@ -355,7 +355,7 @@
         table = self.gateway.table
         return 0 if table is None else table.configuration.version
 
-    def _state(self) -> KnownState:
+    def _state(self) -> LocalState:
         """Return what may be passed on.
 
         A server that is kept although its entry is missing is this instance's
@@ -363,26 +363,30 @@
         it has gone, for as long as it is kept here.
         """
         table = self.gateway.table
-        lapsed = self.book.lapsed()
-        return KnownState(
+        stale = self.registry.stale()
+        return LocalState(
             configuration=None if table is None else table.configuration,
             servers=[
-                server.entry for server in self.book.servers() if not server.is_lapsed
+                server.entry
+                for server in self.registry.servers()
+                if not server.is_stale
             ],
-            instances=list(self.gatherers.instances) if self.relays.is_known else [],
-            lapsed=lapsed,
-            may_lack_servers=self.book.may_lack_servers,
-            evacuated=self.book.evacuated,
+            instances=list(self.coordinators.instances)
+            if self.topology.is_known
+            else [],
+            stale=stale,
+            may_lack_servers=self.registry.may_lack_servers,
+            evacuated=self.registry.evacuated,
         )
 
     async def keep_up(self) -> None:
         """Look after what is known of servers, until cancelled."""
         while True:
             await self._clock.sleep_ms(_UPKEEP_MS)
-            if self.book.remove_lapsed():
-                self.source.note_change()
-            self._news.tell()
-            self.book.probe_unreachable()
+            if self.registry.remove_stale():
+                self.source.record_change()
+            self._event_log.tell()
+            self.registry.probe_unreachable()
             self.peers.probe_unreachable()
 
     def replace_servers(
@@ -392,23 +396,23 @@
         after_outage: bool,
         unreadable: Collection[str] = (),
     ) -> None:
-        """Take in a full list of servers; see ``ServerBook.replace``."""
-        self.book.replace(entries, after_outage=after_outage, unreadable=unreadable)
-        self.connections.warm_up(self.book)
-        self.gateway.note_learnt()
+        """Take in a full list of servers; see ``ServerRegistry.replace``."""
+        self.registry.replace(entries, after_outage=after_outage, unreadable=unreadable)
+        self.connections.warm_up(self.registry)
+        self.gateway.record_learnt()
 
     def use_evacuations(self, zones: frozenset[str]) -> None:
         """Send nothing more to the servers of these zones."""
-        if zones == self.book.evacuated:
+        if zones == self.registry.evacuated:
             return
         counters = self.observer.counters
-        released = self.book.evacuate(zones)
+        released = self.registry.evacuate(zones)
         counters.add(CounterKind.MEMBER_CHANGES, "evacuations")
         now_ms = self._clock.now_ms()
         for server in released:
             server.return_cold(now_ms, warm_up_share=random.random())
-        self.connections.warm_up(self.book)
-        self.gateway.note_learnt()
+        self.connections.warm_up(self.registry)
+        self.gateway.record_learnt()
 
     def use_configuration(self, configuration: Configuration) -> None:
         """Put a configuration in force if it is newer than the one that is."""
@@ -425,22 +429,24 @@
         counters.add(CounterKind.TABLE_CHANGES, "in_force")
         fields = {"version": version, "before": before}
         _TABLE_LOG.info("Configuration %d is in force.", version, extra=fields)
-        self.gatherers.update(self.gatherers.instances, self.gateway.table)
+        self.coordinators.update(self.coordinators.instances, self.gateway.table)
         self._share_allowances()
-        self.connections.share(self.book)
-        self.connections.warm_up(self.book)
+        self.connections.share(self.registry)
+        self.connections.warm_up(self.registry)
 
     def _share_allowances(self) -> None:
         """Have those that gather share the allowances of gathered services."""
         table = self.gateway.table
         services: frozenset[str] = frozenset()
-        if table is not None and self.gatherers.is_concentrated:
+        if table is not None and self.coordinators.uses_coordinators:
             services = table.gathered_services
-        count = self.gatherers.count if self.gatherers.is_gatherer else math.inf
-        self.budgets.use_gatherers(count, services)
+        count = (
+            self.coordinators.count if self.coordinators.is_coordinator else math.inf
+        )
+        self.budgets.set_coordinator_count(count, services)
 
     def _gauges(self) -> list[Gauge]:
-        servers = list(self.book.servers())
+        servers = list(self.registry.servers())
         now_ms = self._clock.now_ms()
         lost = sum(not server.is_reachable(now_ms) for server in servers)
         return [
@@ -452,7 +458,7 @@
             Gauge(
                 "evacuated_zones",
                 "Zones whose servers get nothing.",
-                len(self.book.evacuated or ()),
+                len(self.registry.evacuated or ()),
             ),
             Gauge("servers_out_of_reach", "Of these, silent or refusing.", lost),
             Gauge("instances", "Instances listed.", self.budgets.instances),
--- a/ibisfront/front/feeding.py
+++ b/ibisfront/front/store_watches.py
@@ -12,12 +12,12 @@
     evacuations_target,
     servers_target,
 )
-from ibisfront.gateway.state.feed import StoreOutage, follow
+from ibisfront.gateway.state.kind_watch import StoreOutage, watch_kind
 from ibisfront.platform.store import (
     CONFIGURATION_KIND,
     EVACUATIONS_KIND,
     SERVERS_KIND,
-    PlatformKindFeed,
+    PlatformKindClient,
 )
 
 if TYPE_CHECKING:
@@ -25,8 +25,8 @@
 
     from ibisfront.core.clock import Clock
     from ibisfront.front.process import FrontProcess
-    from ibisfront.gateway.state.feed import FeedTarget, FollowOptions
-    from ibisfront.gateway.state.store import KindFeed
+    from ibisfront.gateway.state.kind_watch import WatchOptions, WatchTarget
+    from ibisfront.gateway.state.store import KindClient
 
 __all__ = ["watch_store"]
 
@@ -34,14 +34,14 @@
 def watch_store(
     process: FrontProcess,
     nursery: trio.Nursery,
-    options: FollowOptions,
+    options: WatchOptions,
     *,
     clock: Clock,
 ) -> None:
     """Keep up with what the store holds while the nursery runs."""
     bounds = process.settings.bounds
     wait_ms = bounds.watch_wait_ms
-    if process.relays.is_source:
+    if process.topology.is_source:
         wait_ms = bounds.source_watch_wait_ms
     watched = [
         (CONFIGURATION_KIND, configuration_target(process), wait_ms),
@@ -53,18 +53,18 @@
         watched.append((EVACUATIONS_KIND, target, bounds.watch_wait_ms))
     outage = StoreOutage(options.after_outage_ms)
     for kind, target, wait_ms in watched:
-        feed = PlatformKindFeed(
+        client = PlatformKindClient(
             process.settings.store_address, kind, watch_wait_ms=wait_ms
         )
-        run = partial(follow, clock=clock, options=options, outage=outage)
-        nursery.start_soon(_follow, feed, target, run)
+        run = partial(watch_kind, clock=clock, options=options, outage=outage)
+        nursery.start_soon(_watch_kind, client, target, run)
 
 
-async def _follow(
-    feed: PlatformKindFeed,
-    target: FeedTarget,
-    run: Callable[[KindFeed, FeedTarget], Awaitable[None]],
+async def _watch_kind(
+    client: PlatformKindClient,
+    target: WatchTarget,
+    run: Callable[[KindClient, WatchTarget], Awaitable[None]],
 ) -> None:
-    """Follow a feed until cancelled, and close its connection then."""
-    with closing(feed):
-        await run(feed, target)
+    """Watch a kind until cancelled, then close the connection."""
+    with closing(client):
+        await run(client, target)
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -8,7 +8,7 @@
 
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.logs import LogPart, part_logger
-from ibisfront.gateway.state.feed import FeedTarget
+from ibisfront.gateway.state.kind_watch import WatchTarget
 from ibisfront.gateway.state.route_cache import RouteCache
 from ibisfront.platform.documents import (
     CONFIGURATION_NAME,
@@ -33,7 +33,7 @@
 logged once a change; a thousand names take 0.1 MB."""
 
 
-def configuration_target(process: FrontProcess) -> FeedTarget:
+def configuration_target(process: FrontProcess) -> WatchTarget:
     """Return what takes in the configuration."""
     cache = RouteCache()
 
@@ -53,7 +53,7 @@
     return _target(process, "configuration", replace, change)
 
 
-def servers_target(process: FrontProcess) -> FeedTarget:
+def servers_target(process: FrontProcess) -> WatchTarget:
     """Return what takes in the backend servers' entries."""
     reported: dict[str, int] = {}
 
@@ -68,7 +68,7 @@
         except (msgspec.DecodeError, ValueError) as error:
             process.observer.counters.add(CounterKind.SERVER_ENTRIES, "unreadable")
             if reported.get(item.name) != item.revision:
-                _note_reported(reported, item)
+                _record_reported(reported, item)
                 _BACKEND_LOG.error(
                     "The entry of %.80s names no server: %s.", item.name, error
                 )
@@ -86,15 +86,15 @@
         for item in changes:
             entry = None if item.is_removed else read(item.object)
             if entry is not None:
-                process.book.put(entry)
+                process.registry.put(entry)
             else:
-                process.book.remove(item.object.name)
-        process.connections.warm_up(process.book)
+                process.registry.remove(item.object.name)
+        process.connections.warm_up(process.registry)
 
     return _target(process, "servers", replace, change)
 
 
-def evacuations_target(process: FrontProcess) -> FeedTarget:
+def evacuations_target(process: FrontProcess) -> WatchTarget:
     """Return what takes in which zones are evacuated.
 
     An object's name is the zone, and its being there is all that it says.
@@ -124,7 +124,7 @@
     return _target(process, "evacuations", replace, change)
 
 
-def _note_reported(reported: dict[str, int], item: StoredObject) -> None:
+def _record_reported(reported: dict[str, int], item: StoredObject) -> None:
     """Note that an entry was reported; the oldest notes are dropped."""
     reported.pop(item.name, None)
     reported[item.name] = item.revision
@@ -137,24 +137,24 @@
     name: str,
     replace: Callable[[Listing, bool], None],
     change: Callable[[Sequence[ObjectChange]], None],
-) -> FeedTarget:
+) -> WatchTarget:
     """Return a target that also tells the other instances of changes."""
-    process.feed.away.add(name)
+    process.state_sync.away.add(name)
 
     def replace_and_tell(listing: Listing, after_outage: bool) -> None:
-        process.feed.away.discard(name)
+        process.state_sync.away.discard(name)
         replace(listing, after_outage)
-        process.source.note_change()
+        process.source.record_change()
 
     def change_and_tell(changes: Sequence[ObjectChange]) -> None:
         change(changes)
-        process.source.note_change()
+        process.source.record_change()
 
     def away() -> None:
-        process.feed.away.add(name)
+        process.state_sync.away.add(name)
         process.source.wake_askers()
 
-    return FeedTarget(name, replace_and_tell, change_and_tell, away)
+    return WatchTarget(name, replace_and_tell, change_and_tell, away)
 
 
 def _put_configuration(process: FrontProcess, cache: RouteCache, spec: bytes) -> None:
--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -6,18 +6,18 @@
 
 import trio
 
-from ibisfront.gateway.answering import (
-    BAD_GATEWAY,
-    GATEWAY_TIMEOUT,
-    Answering,
-)
-from ibisfront.gateway.instances.life_check import answer_life_check
-from ibisfront.gateway.load.reach import Reach
-from ibisfront.gateway.load.weights import WeightedTurns
+from ibisfront.gateway.instances.liveness_probe import answer_liveness_probe
+from ibisfront.gateway.load.reachability import Reachability
+from ibisfront.gateway.load.weighted_round_robin import WeightedRoundRobin
 from ibisfront.gateway.messages import CallerReply
 from ibisfront.gateway.queries.delegated_query import delegated_from
 from ibisfront.gateway.queries.forwarding import ForwardRun
-from ibisfront.gateway.queries.gathered import Queries
+from ibisfront.gateway.queries.scatter_gather import ScatterGather
+from ibisfront.gateway.request_services import (
+    BAD_GATEWAY,
+    GATEWAY_TIMEOUT,
+    RequestServices,
+)
 from ibisfront.gateway.route_state import give_up_at_ms
 
 if TYPE_CHECKING:
@@ -42,46 +42,50 @@
 
     Parameters
     ----------
-    answering : Answering
+    request_services : RequestServices
         What answering takes.
     delegation : Delegation, optional
         Asks other instances for the parts that stand near them.
     """
 
     __slots__ = (
-        "_answering",
         "_delegation",
         "_informed",
         "_queries",
-        "_reach",
+        "_reachability",
+        "_request_services",
         "_started_ms",
         "_turns",
     )
 
     def __init__(
-        self, answering: Answering, *, delegation: Delegation | None = None
+        self, request_services: RequestServices, *, delegation: Delegation | None = None
     ) -> None:
-        self._answering = answering
+        self._request_services = request_services
         self._delegation = delegation
-        self._reach = Reach(book=answering.book, clock=answering.clock)
-        self._queries = Queries(self._answering, delegation, self._reach)
-        self._turns = WeightedTurns()
+        self._reachability = Reachability(
+            registry=request_services.registry, clock=request_services.clock
+        )
+        self._queries = ScatterGather(
+            self._request_services, delegation, self._reachability
+        )
+        self._turns = WeightedRoundRobin()
         self._informed = trio.Event()
-        self._started_ms = answering.clock.now_ms()
+        self._started_ms = request_services.clock.now_ms()
 
     @property
     def table(self) -> RouteTable | None:
         """The configuration in force; None until the first is known."""
-        return self._answering.table
+        return self._request_services.table
 
     @table.setter
     def table(self, table: RouteTable) -> None:
-        self._answering.use(table)
-        self._reach.keep(table.route_names)
+        self._request_services.use(table)
+        self._reachability.keep(table.route_names)
         self._turns.keep(table.route_names)
         if self._delegation is not None:
             self._delegation.keep(table.route_names)
-        self.note_learnt()
+        self.record_learnt()
 
     @property
     def is_informed(self) -> bool:
@@ -89,9 +93,9 @@
 
         One that has just started would else ask servers that must get nothing.
         """
-        return self.table is not None and self._answering.book.is_known
+        return self.table is not None and self._request_services.registry.is_known
 
-    def note_learnt(self) -> None:
+    def record_learnt(self) -> None:
         """Go on with the requests that wait, if all that they need is known."""
         if self.is_informed:
             self._informed.set()
@@ -99,60 +103,64 @@
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        if not self.is_informed or self._queries.is_out_of_reach:
+        if not self.is_informed or self._queries.is_unreachable:
             return False
         return not self.is_cut_off
 
     def tell_readiness(self) -> bool:
         """Return whether the balancer should send callers here, and note it."""
         is_ready = self.is_ready
-        now_ms = self._answering.clock.now_ms()
-        self._answering.rotation.note(is_ready=is_ready, now_ms=now_ms)
+        now_ms = self._request_services.clock.now_ms()
+        self._request_services.rotation.record(is_ready=is_ready, now_ms=now_ms)
         return is_ready
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether this instance itself has found the ways to the servers cut."""
-        return self.table is not None and self._reach.is_isolated(self.table)
+        """Whether this instance itself has found the paths to the servers cut."""
+        return self.table is not None and self._reachability.is_isolated(self.table)
 
     @property
-    def is_told_cut_off(self) -> bool:
-        """Whether others have found the ways to the servers cut."""
-        return self._queries.is_out_of_reach
+    def is_reported_cut_off(self) -> bool:
+        """Whether others have found the paths to the servers cut."""
+        return self._queries.is_unreachable
 
-    def note_cut_off(self, is_cut_off: bool) -> None:
+    def record_cut_off(self, is_cut_off: bool) -> None:
         """Take in whether an instance that gathers for this one is cut off."""
         if is_cut_off:
-            self._queries.note_told_out_of_reach()
+            self._queries.record_reported_unreachable()
         else:
-            self._queries.note_within_reach()
+            self._queries.record_reachable()
 
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Return the answer to one request of a caller."""
-        answering = self._answering
+        request_services = self._request_services
         if not await self._is_informed_soon(request) or self.table is None:
-            return answering.refuse(request, answering.not_run("no_configuration"))
+            return request_services.refuse(
+                request, request_services.not_run("no_configuration")
+            )
         route = self.table.find(request.host, request.path)
         if route is None:
-            return answering.refuse(request, CallerReply(404, [], b"", "no_route"))
-        if not self._reach.can_serve(route):
+            return request_services.refuse(
+                request, CallerReply(404, [], b"", "no_route")
+            )
+        if not self._reachability.can_serve(route):
             self.tell_readiness()
-            return answering.refuse(request, answering.out_of_reach())
+            return request_services.refuse(request, request_services.unreachable())
         if route.gathering is not None:
             return await self._queries.answer(request, route, route.gathering)
         return await self._forward(request, route)
 
     async def answer_instance(self, request: InboundRequest) -> CallerReply:
         """Return the answer to another instance: a query's parts, or a sign of life."""
-        alive = answer_life_check(request, self._answering.wire)
+        alive = answer_liveness_probe(request, self._request_services.wire)
         if alive is not None:
             return alive
         query = delegated_from(request)
         if query is None:
             return CallerReply(400, [], b"", "not_delegated")
         if not await self._is_informed_soon(query.request):
-            reply = self._answering.not_run("no_configuration")
-            return self._answering.refuse(request, reply)
+            reply = self._request_services.not_run("no_configuration")
+            return self._request_services.refuse(request, reply)
         return await self._queries.answer_delegated(query)
 
     async def _is_informed_soon(self, request: InboundRequest) -> bool:
@@ -164,7 +172,7 @@
         """
         if self.is_informed:
             return True
-        clock = self._answering.clock
+        clock = self._request_services.clock
         deadline_ms = request.deadline_ms
         wait_ms = self._started_ms + _START_MS - clock.now_ms()
         if deadline_ms is not None:
@@ -174,24 +182,26 @@
         return self.is_informed
 
     async def _forward(self, request: InboundRequest, route: Route) -> CallerReply:
-        answering = self._answering
+        request_services = self._request_services
         service = self._turns.next_service(route)
-        context = answering.context(request, route)
+        context = request_services.context(request, route)
         run = ForwardRun(
             service,
             context,
-            hedge_at_ms=answering.clock.now_ms() + context.usual.late_ms,
+            hedge_at_ms=request_services.clock.now_ms() + context.baseline.late_ms,
             give_up_at_ms=give_up_at_ms(request, route),
         )
         try:
             await run.run()
         except trio.Cancelled:
             run.end(at_once=True)
-            answering.note_left(request, route, context)
+            request_services.record_left(request, route, context)
             raise
         run.end(at_once=not route.is_idempotent)
         reply = self._forwarded(run)
-        answering.note(request, route, reply, context, parts=run.call.last_error)
+        request_services.record(
+            request, route, reply, context, parts=run.call.last_error
+        )
         return reply
 
     def _forwarded(self, run: ForwardRun) -> CallerReply:
@@ -200,7 +210,7 @@
             return _passed_back(call.reply, "answered")
         if not call.may_have_run:
             reason = call.last_error or "not_sent"
-            return self._answering.not_run(reason, call.retry_after_ms)
+            return self._request_services.not_run(reason, call.retry_after_ms)
         if call.failure is not None and _may_pass_back(call.failure):
             return _passed_back(call.failure, "server_failed")
         if call.last_error:
--- a/ibisfront/gateway/instances/__init__.py
+++ b/ibisfront/gateway/instances/__init__.py
@@ -1,1 +1,1 @@
-"""The other instances, who gathers for whom, and the ways between zones."""
+"""The other instances, who gathers for whom, and the paths between zones."""
--- a/ibisfront/gateway/instances/gatherers.py
+++ b/ibisfront/gateway/instances/coordinators.py
@@ -12,7 +12,7 @@
     from ibisfront.gateway.instances.directory import InstanceEntry
     from ibisfront.gateway.state.configuration import RouteTable
 
-__all__ = ["CONNECTIONS_SHARE", "Gatherers", "strongest_first"]
+__all__ = ["CONNECTIONS_SHARE", "Coordinators", "strongest_first"]
 
 _LEAST_CONNECTIONS = 2
 """Connections to each server that an instance needs to gather by itself: one
@@ -24,21 +24,21 @@
 know how it does."""
 
 _CONNECTIONS = 4
-"""Connections to each server that a gatherer is given."""
+"""Connections to each server that a coordinator is given."""
 
 CONNECTIONS_SHARE = 0.9
 """Share of the connections that a server accepts which the instances use
 together; the rest is for probes and for connections that are closing."""
 
 _LEAST_PER_ZONE = 2
-"""Gatherers of a zone, so that one is left when one is lost. Few keep their
+"""Coordinators of a zone, so that one is left when one is lost. Few keep their
 connections warm and know more of each server."""
 
-_INSTANCES_PER_GATHERER = 20
-"""Instances for which one more gatherer is there."""
+_INSTANCES_PER_COORDINATOR = 20
+"""Instances for which one more coordinator is there."""
 
 
-class Gatherers:
+class Coordinators:
     """The instances that gather for the others of their zone.
 
     A server accepts a bounded number of connections from all instances
@@ -69,19 +69,19 @@
         self.instances: Sequence[InstanceEntry] = (own,)
 
     @property
-    def is_concentrated(self) -> bool:
+    def uses_coordinators(self) -> bool:
         """Whether only some instances gather."""
         return bool(self._by_zone)
 
     @property
-    def is_gatherer(self) -> bool:
+    def is_coordinator(self) -> bool:
         """Whether this instance gathers."""
         return not self._by_zone or self._own.name in self.of_zone(self._own.zone)
 
     @property
     def is_followed(self) -> bool:
         """Whether other instances follow this one."""
-        return self.is_concentrated and self.is_gatherer
+        return self.uses_coordinators and self.is_coordinator
 
     @property
     def count(self) -> int:
@@ -101,7 +101,7 @@
         return [name for names in self._by_zone.values() for name in names]
 
     def of_zone(self, zone: str) -> tuple[str, ...]:
-        """Return the names of a zone's gatherers, the first choice first."""
+        """Return the names of a zone's coordinators, the first choice first."""
         return self._by_zone.get(zone, ())
 
     def update(
@@ -130,9 +130,11 @@
         self._by_zone = {zone: self._chosen(zone, share) for zone in zones}
 
     def _chosen(self, zone: str, share: int) -> tuple[str, ...]:
-        """Return a zone's gatherers, given how many the connections allow."""
+        """Return a zone's coordinators, given how many the connections allow."""
         listed = [item for item in self.instances if item.zone == zone]
-        wanted = max(math.ceil(len(listed) / _INSTANCES_PER_GATHERER), _LEAST_PER_ZONE)
+        wanted = max(
+            math.ceil(len(listed) / _INSTANCES_PER_COORDINATOR), _LEAST_PER_ZONE
+        )
         chosen = sorted(listed, key=strongest_first)[: min(wanted, share)]
         return tuple(item.name for item in chosen)
 
--- a/ibisfront/gateway/instances/life_check.py
+++ b/ibisfront/gateway/instances/liveness_probe.py
@@ -13,9 +13,14 @@
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.queries.remote_call import RemoteCall
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.gateway.wire import Wire
+    from ibisfront.gateway.wire import WireCodec
 
-__all__ = ["CheckLife", "LifeCheck", "answer_life_check", "life_checker"]
+__all__ = [
+    "LivenessProbe",
+    "StartLivenessProbe",
+    "answer_liveness_probe",
+    "liveness_prober",
+]
 
 _TARGET = b"/ibisfront/alive"
 
@@ -27,15 +32,17 @@
 """Pause between a reply and the next question."""
 
 
-CheckLife: TypeAlias = "Callable[[RemoteCall, Callable[[], None]], LifeCheck]"
+StartLivenessProbe: TypeAlias = (
+    "Callable[[RemoteCall, Callable[[], None]], LivenessProbe]"
+)
 """Returns the check of an instance that was asked, given what to call on news."""
 
 
-def life_checker(wire: Wire, clock: Clock) -> CheckLife:
+def liveness_prober(wire: WireCodec, clock: Clock) -> StartLivenessProbe:
     """Return what makes the checks of instances that were asked."""
 
-    def check(remote: RemoteCall, on_change: Callable[[], None]) -> LifeCheck:
-        return LifeCheck(
+    def check(remote: RemoteCall, on_change: Callable[[], None]) -> LivenessProbe:
+        return LivenessProbe(
             remote.peer,
             wire=wire,
             clock=clock,
@@ -46,7 +53,9 @@
     return check
 
 
-def answer_life_check(request: InboundRequest, wire: Wire) -> CallerReply | None:
+def answer_liveness_probe(
+    request: InboundRequest, wire: WireCodec
+) -> CallerReply | None:
     """Return the reply to another instance's question; None if it is none."""
     if request.target != _TARGET:
         return None
@@ -54,7 +63,7 @@
     return CallerReply(200, headers, b"", "alive")
 
 
-class LifeCheck:
+class LivenessProbe:
     """Asks an instance, while its answer is overdue, whether it is there.
 
     An instance that gathers a query replies once, at the end. Where an instance is
@@ -65,7 +74,7 @@
     ----------
     peer : Server
         The instance.
-    wire : Wire
+    wire : WireCodec
         The codec.
     clock : Clock
         The tier's clock.
@@ -86,7 +95,7 @@
         self,
         peer: Server,
         *,
-        wire: Wire,
+        wire: WireCodec,
         clock: Clock,
         first_at_ms: float,
         on_change: Callable[[], None],
@@ -152,6 +161,6 @@
         if self._peer.pool is not None:
             self._peer.pool.forget(exchange)
         if exchange.reply is not None:
-            self._peer.note_alive(self._clock.now_ms())
+            self._peer.record_alive(self._clock.now_ms())
         if not exchange.is_abandoned:
             self._on_change()
--- a/ibisfront/gateway/instances/rotation.py
+++ b/ibisfront/gateway/instances/rotation.py
@@ -20,7 +20,7 @@
 already."""
 
 _UNDECIDED_WAIT_MS = 150.0
-"""What is told while the instance is still ready: the time in which a cut way is
+"""What is told while the instance is still ready: the time in which a cut path is
 found, or a server that has failed is tried again."""
 
 _SPREAD_MS = 200.0
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self._unready_since_ms = math.inf
 
-    def note(self, *, is_ready: bool, now_ms: float) -> None:
+    def record(self, *, is_ready: bool, now_ms: float) -> None:
         """Take in whether the balancer may send callers here now."""
         if is_ready:
             self._unready_since_ms = math.inf
--- a/ibisfront/gateway/instances/zone_watch.py
+++ b/ibisfront/gateway/instances/zone_path_monitor.py
@@ -1,4 +1,4 @@
-"""Acting on what is believed of the ways to other zones."""
+"""Acting on what is believed of the paths to other zones."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from ibisfront.core.clock import OVERSLEPT_MS
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.logs import LogPart, part_logger
-from ibisfront.gateway.instances.zone_ways import WayStep
+from ibisfront.gateway.instances.zone_paths import PathAction
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.gateway.instances.zone_ways import ZoneWay, ZoneWays
+    from ibisfront.gateway.instances.zone_paths import ZonePath, ZonePaths
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.gateway.servers.server_book import ServerBook
+    from ibisfront.gateway.servers.server_registry import ServerRegistry
 
-__all__ = ["ZoneWatch"]
+__all__ = ["ZonePathMonitor"]
 
 _LOG = part_logger(LogPart.MEMBERS)
 
 _CHECK_MS = 25.0
-"""How often the ways are looked at: a fifth of the time that a suspicion and its
-probes take. Waking for it costs more than the look, however many ways there are."""
+"""How often the paths are looked at: a fifth of the time that a suspicion and its
+probes take. Waking for it costs more than the look, however many paths there are."""
 
 _PROBED_INSTANCES = 3
 """Instances of a zone that are probed: their connections cost servers nothing."""
@@ -37,14 +37,14 @@
 again after a second; a new probe is quicker."""
 
 
-class ZoneWatch:
+class ZonePathMonitor:
     """Probes zones that are suspect, and lets go of what waits on cut ones.
 
     Parameters
     ----------
-    ways : ZoneWays
+    paths : ZonePaths
         What is believed.
-    servers, peers : ServerBook
+    servers, peers : ServerRegistry
         The backend servers, and the other instances under their zone.
     counters : Counters
         Where changes are counted.
@@ -54,19 +54,19 @@
         The tier's clock.
     """
 
-    __slots__ = ("_clock", "_counters", "_on_change", "_peers", "_servers", "_ways")
+    __slots__ = ("_clock", "_counters", "_on_change", "_paths", "_peers", "_servers")
 
     def __init__(
         self,
         *,
-        ways: ZoneWays,
-        servers: ServerBook,
-        peers: ServerBook,
+        paths: ZonePaths,
+        servers: ServerRegistry,
+        peers: ServerRegistry,
         counters: Counters,
         on_change: Callable[[], None],
         clock: Clock,
     ) -> None:
-        self._ways = ways
+        self._paths = paths
         self._servers = servers
         self._peers = peers
         self._counters = counters
@@ -74,30 +74,32 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Look at the ways until cancelled."""
+        """Look at the paths until cancelled."""
         while True:
             due_ms = self._clock.now_ms() + _CHECK_MS
             await self._clock.sleep_ms(_CHECK_MS)
             now_ms = self._clock.now_ms()
             late_ms = now_ms - due_ms
-            for way in self._ways.all():
+            for path in self._paths.all():
                 if late_ms > OVERSLEPT_MS:
-                    way.postpone(late_ms)
+                    path.postpone(late_ms)
                 else:
-                    self._take_step(way, way.step(now_ms), now_ms)
+                    self._take_step(path, path.step(now_ms), now_ms)
 
-    def _take_step(self, way: ZoneWay, step: WayStep | None, now_ms: float) -> None:
+    def _take_step(
+        self, path: ZonePath, step: PathAction | None, now_ms: float
+    ) -> None:
         match step:
-            case WayStep.PROBE:
-                way.note_probed(self._probe(way.zone), now_ms)
-            case WayStep.CUT:
-                self._let_go(way.zone)
+            case PathAction.PROBE:
+                path.record_probed(self._probe(path.zone), now_ms)
+            case PathAction.CUT:
+                self._let_go(path.zone)
                 # Perhaps it is this zone that is cut off.
-                for other in self._ways.all():
+                for other in self._paths.all():
                     other.suspect()
                 self._on_change()
-            case WayStep.OPENED:
-                self._take_back(way.zone)
+            case PathAction.OPENED:
+                self._take_back(path.zone)
                 self._on_change()
 
     def _probe(self, zone: str) -> int:
@@ -121,18 +123,18 @@
         """
         self._counters.add(CounterKind.MEMBER_CHANGES, "zone_cut")
         ended = 0
-        for book in (self._servers, self._peers):
-            for endpoint in self._endpoints(book, zone):
+        for registry in (self._servers, self._peers):
+            for endpoint in self._endpoints(registry, zone):
                 ended += endpoint.break_off()
         _LOG.warning("Zone %s is cut off from here; %d requests end.", zone, ended)
 
     def _take_back(self, zone: str) -> None:
         """Use a zone's endpoints again, whatever befell them during the cut."""
         self._counters.add(CounterKind.MEMBER_CHANGES, "zone_back")
-        for book in (self._servers, self._peers):
-            for endpoint in self._endpoints(book, zone):
+        for registry in (self._servers, self._peers):
+            for endpoint in self._endpoints(registry, zone):
                 endpoint.forget_losses()
         _LOG.info("Zone %s is within reach again.", zone)
 
-    def _endpoints(self, book: ServerBook, zone: str) -> list[Server]:
-        return [server for server in book.servers() if server.entry.zone == zone]
+    def _endpoints(self, registry: ServerRegistry, zone: str) -> list[Server]:
+        return [server for server in registry.servers() if server.entry.zone == zone]
--- a/ibisfront/gateway/instances/zone_ways.py
+++ b/ibisfront/gateway/instances/zone_paths.py
@@ -1,4 +1,4 @@
-"""Whether the ways to the other availability zones are open."""
+"""Whether the paths to the other availability zones are open."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["WayStep", "ZoneWay", "ZoneWays"]
+__all__ = ["PathAction", "ZonePath", "ZonePaths"]
 
 _SUSPECT_ENDPOINTS = 3
 """So many servers or instances of a zone that owe a reply past its time, while
-nobody there has shown life, make its way suspect. Fewer are an ordinary failure:
+nobody there has shown life, make its path suspect. Fewer are an ordinary failure:
 a server that pauses for 150 ms every 3.6 s does so one moment in 24."""
 
 _DUE_FACTOR = 1.5
@@ -25,15 +25,15 @@
 reads replies."""
 
 _PROBE_MS = 60.0
-"""How long probes of a suspect zone may take: several times what the ways between
+"""How long probes of a suspect zone may take: several times what the paths between
 zones and a server's accepting take."""
 
 _PROBE_AGAIN_MS = 150.0
 """Pause between probes of a zone that is cut off: it is in use again this long
-after the way heals, at seven connection attempts a second."""
+after the path heals, at seven connection attempts a second."""
 
 
-class WayStep(Enum):
+class PathAction(Enum):
     """What is to be done about a zone."""
 
     PROBE = "probe"
@@ -48,8 +48,8 @@
     CUT = "cut"
 
 
-class ZoneWay:
-    """What this instance believes of the way to one other zone.
+class ZonePath:
+    """What this instance believes of the path to one other zone.
 
     Load pattern: a zone is cut off. Found silent one by one, its servers cost
     each query another wait, and the zone's own callers seconds; once all are
@@ -77,11 +77,11 @@
         self._due_ms: dict[str, float] = {}
 
     @property
-    def is_cut(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Whether nothing there can be reached."""
         return self._state is _State.CUT
 
-    def note_asked(self, endpoint: str, now_ms: float, *, late_ms: float) -> None:
+    def record_asked(self, endpoint: str, now_ms: float, *, late_ms: float) -> None:
         """Take in that a server or an instance of the zone was sent a request.
 
         Parameters
@@ -96,7 +96,7 @@
         due_ms = now_ms + max(_DUE_FACTOR * late_ms, _DUE_LEAST_MS)
         self._due_ms.setdefault(endpoint, due_ms)
 
-    def note_life(self) -> None:
+    def record_liveness(self) -> None:
         """Take in a reply, or a connection that was opened."""
         if self._due_ms:
             self._due_ms.clear()
@@ -105,7 +105,7 @@
             self._state = _State.OPEN
 
     def suspect(self) -> None:
-        """Have the zone probed, on a sign from elsewhere that its way may be cut.
+        """Have the zone probed, on a sign from elsewhere that its path may be cut.
 
         An instance that asks rarely would find a cut by nothing else, and one that
         is itself cut off would find it zone by zone.
@@ -113,7 +113,7 @@
         if self._state is _State.OPEN:
             self._state = _State.SUSPECT
 
-    def note_probed(self, probes: int, now_ms: float) -> None:
+    def record_probed(self, probes: int, now_ms: float) -> None:
         """Take in that connections were begun to endpoints of the zone."""
         if self._state is _State.SUSPECT and probes:
             self._state = _State.PROBED
@@ -126,37 +126,37 @@
             endpoint: due_ms + duration_ms for endpoint, due_ms in self._due_ms.items()
         }
 
-    def step(self, now_ms: float) -> WayStep | None:
+    def step(self, now_ms: float) -> PathAction | None:
         """Return what is to be done now; to be called every few milliseconds."""
         match self._state:
             case _State.OPEN:
                 return self._step_open(now_ms)
             case _State.SUSPECT:
-                return WayStep.PROBE
+                return PathAction.PROBE
             case _State.PROBED if now_ms >= self._decide_at_ms:
                 self._state = _State.CUT
                 self._decide_at_ms = now_ms
-                return WayStep.CUT
+                return PathAction.CUT
             case _State.CUT if now_ms >= self._decide_at_ms:
                 self._decide_at_ms = now_ms + _PROBE_AGAIN_MS
-                return WayStep.PROBE
+                return PathAction.PROBE
         return None
 
-    def _step_open(self, now_ms: float) -> WayStep | None:
+    def _step_open(self, now_ms: float) -> PathAction | None:
         if self._was_cut:
             self._was_cut = False
-            return WayStep.OPENED
+            return PathAction.OPENED
         if len(self._due_ms) < _SUSPECT_ENDPOINTS:
             return None
         overdue = sum(due_ms <= now_ms for due_ms in self._due_ms.values())
         if overdue < _SUSPECT_ENDPOINTS:
             return None
         self._state = _State.SUSPECT
-        return WayStep.PROBE
+        return PathAction.PROBE
 
 
-class ZoneWays:
-    """The ways to all other zones.
+class ZonePaths:
+    """The paths to all other zones.
 
     Parameters
     ----------
@@ -168,17 +168,17 @@
 
     def __init__(self, own_zone: str) -> None:
         self._own_zone = own_zone
-        self._by_zone: dict[str, ZoneWay] = {}
+        self._by_zone: dict[str, ZonePath] = {}
 
-    def to(self, zone: str) -> ZoneWay | None:
-        """Return the way to a zone; None for the own one."""
+    def to(self, zone: str) -> ZonePath | None:
+        """Return the path to a zone; None for the own one."""
         if zone == self._own_zone:
             return None
-        way = self._by_zone.get(zone)
-        if way is None:
-            way = self._by_zone[zone] = ZoneWay(zone)
-        return way
+        path = self._by_zone.get(zone)
+        if path is None:
+            path = self._by_zone[zone] = ZonePath(zone)
+        return path
 
-    def all(self) -> Iterable[ZoneWay]:
-        """Return the ways to all other zones that were heard of."""
+    def all(self) -> Iterable[ZonePath]:
+        """Return the paths to all other zones that were heard of."""
         return self._by_zone.values()
--- a/ibisfront/gateway/load/usual_latency.py
+++ b/ibisfront/gateway/load/baseline_latency.py
@@ -1,4 +1,4 @@
-"""The usual latency of a route's sub-requests, and when one is late."""
+"""The baseline latency of a route's sub-requests, and when one is late."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from ibisfront.gateway.load.server_load import ServerLoad
 
-__all__ = ["UsualLatency"]
+__all__ = ["BaselineLatency"]
 
 _KEPT = 256
 """Latencies that are looked at: a dozen queries over twenty services."""
@@ -32,13 +32,13 @@
 work for it to count as calm."""
 
 _LOADED_FACTOR = 1.25
-"""The servers are loaded if the usual latency is this many calm ones. It holds where
+"""The servers are loaded if the baseline latency is this many calm ones. It holds where
 they do not say themselves whether requests wait."""
 
 _LOADED_SHARE = 0.1
 """The servers are loaded if this share of their replies says that requests wait."""
 
-_TOLD_WEIGHT = 0.02
+_REPORTED_WEIGHT = 0.02
 """Weight of one reply in that share: some fifty replies, half a query."""
 
 
@@ -46,7 +46,7 @@
 """Weight of one reply in the usual size."""
 
 
-class UsualLatency:
+class BaselineLatency:
     """Recent latencies of one route's sub-requests, all servers together.
 
     The servers of a route do the same work, so that twenty replies of one
@@ -61,11 +61,11 @@
     Attributes
     ----------
     median_ms : float
-        The usual latency.
+        The baseline latency.
     late_ms : float
         After how long a hedged request pays.
     calm_ms : float
-        The usual latency without queues: the least of late, rising slowly.
+        The baseline latency without queues: the least of late, rising slowly.
     reply_bytes : float
         The usual size of a reply's body.
     """
@@ -97,14 +97,14 @@
             return self._queued_share > _LOADED_SHARE
         return self.median_ms > _LOADED_FACTOR * self.calm_ms
 
-    def note_load(self, load: ServerLoad) -> None:
+    def record_load(self, load: ServerLoad) -> None:
         """Take in what a server says of its load."""
         is_queued = float(load.waiting > 0)
         if self._queued_share is None:
             self._queued_share = 0.0
-        self._queued_share += _TOLD_WEIGHT * (is_queued - self._queued_share)
+        self._queued_share += _REPORTED_WEIGHT * (is_queued - self._queued_share)
 
-    def note_size(self, size_bytes: int) -> None:
+    def record_size(self, size_bytes: int) -> None:
         """Take in the size of one reply's body."""
         self.reply_bytes += _SIZE_WEIGHT * (size_bytes - self.reply_bytes)
 
--- a/ibisfront/gateway/load/cold_limit.py
+++ b/ibisfront/gateway/load/cold_start_limit.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-__all__ = ["ColdLimit", "cold_share"]
+__all__ = ["ColdStartLimit", "cold_share"]
 
 _WINDOW_MS = 1_050.0
 """The sliding second, and what a busy process may send late."""
@@ -63,7 +63,7 @@
     return int(before < total)
 
 
-class ColdLimit:
+class ColdStartLimit:
     """What this instance has sent to one cold server in the last second.
 
     Attributes
@@ -98,7 +98,7 @@
             self._sent_ms.popleft()
         return len(self._sent_ms) + waiting < self.share
 
-    def note_sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """Take in a request that was sent."""
         if self.share is not None:
             self._sent_ms.append(now_ms)
--- a/ibisfront/gateway/load/gather_plan.py
+++ b/ibisfront/gateway/load/gather_plan.py
@@ -7,7 +7,7 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from ibisfront.gateway.load.usual_latency import UsualLatency
+    from ibisfront.gateway.load.baseline_latency import BaselineLatency
 
 __all__ = ["GatherPlan", "gather_plan"]
 
@@ -16,19 +16,19 @@
 the second server has time to reply."""
 
 _LOADED_HEDGE_FACTOR = 2.0
-"""Usual latencies for which late parts are waited for while there is time and requests
-wait in queues at the servers. Most replies that are just late come a moment later; what
-is left after this mostly stands still."""
+"""Baseline latencies for which late parts are waited for while there is time and
+requests wait in queues at the servers. Most replies that are just late come a moment
+later; what is left after this mostly stands still."""
 
 _CALM_HEDGE_FACTOR = 1.5
 """The same while the servers have free slots: a second request costs them little, and
 leaves time in case its server stands still too."""
 
 _HEDGE_TIME_FACTOR = 2.5
-"""Usual latencies that a hedged request needs: a late reply, and a connection."""
+"""Baseline latencies that a hedged request needs: a late reply, and a connection."""
 
 _EARLIEST_HEDGE_FACTOR = 1.2
-"""No part is hedged before this many usual latencies: more than a third of all
+"""No part is hedged before this many baseline latencies: more than a third of all
 replies still come in the next moment."""
 
 _SILENCE_FACTOR = 2.2
@@ -77,17 +77,17 @@
     *,
     end_at_ms: float,
     give_up_at_ms: float,
-    usual: UsualLatency,
+    baseline: BaselineLatency,
     objective_ms: float,
 ) -> GatherPlan:
     """Return when a query acts that ends at a given time."""
     return GatherPlan(
-        hedge_at_ms=now_ms + _hedge_after_ms(end_at_ms - now_ms, usual),
+        hedge_at_ms=now_ms + _hedge_after_ms(end_at_ms - now_ms, baseline),
         end_at_ms=end_at_ms,
         give_up_at_ms=give_up_at_ms,
         silent_at_ms=now_ms
         + max(
-            _SILENCE_FACTOR * usual.late_ms,
+            _SILENCE_FACTOR * baseline.late_ms,
             _SILENCE_SHARE * objective_ms,
             _SILENCE_LEAST_MS,
         ),
@@ -95,11 +95,11 @@
     )
 
 
-def _hedge_after_ms(left_ms: float, usual: UsualLatency) -> float:
+def _hedge_after_ms(left_ms: float, baseline: BaselineLatency) -> float:
     """Return when to hedge late parts, given the time until the query ends."""
-    median_ms = usual.median_ms
-    factor = _LOADED_HEDGE_FACTOR if usual.is_loaded else _CALM_HEDGE_FACTOR
+    median_ms = baseline.median_ms
+    factor = _LOADED_HEDGE_FACTOR if baseline.is_loaded else _CALM_HEDGE_FACTOR
     patient_ms = min(factor * median_ms, left_ms - _HEDGE_TIME_FACTOR * median_ms)
-    hedge_ms = max(usual.late_ms, patient_ms)
+    hedge_ms = max(baseline.late_ms, patient_ms)
     hedge_ms = min(hedge_ms, _LATEST_HEDGE_SHARE * left_ms)
     return max(hedge_ms, _EARLIEST_HEDGE_FACTOR * median_ms)
--- a/ibisfront/gateway/load/reach.py
+++ b/ibisfront/gateway/load/reachability.py
@@ -12,21 +12,21 @@
     from collections.abc import Container
 
     from ibisfront.core.clock import Clock
-    from ibisfront.gateway.servers.server_book import ServerBook
+    from ibisfront.gateway.servers.server_registry import ServerRegistry
     from ibisfront.gateway.state.configuration import Route, RouteTable
 
-__all__ = ["Reach"]
+__all__ = ["Reachability"]
 
 _KEPT_MS = 40.0
 """How long a finding holds: looking at forty servers for each request would
 cost about as much as sending to two of them."""
 
 _FRESH_MS = 500.0
-"""A reply or a new connection this recent shows that the way is open."""
+"""A reply or a new connection this recent shows that the path is open."""
 
 _CUT_SERVERS = 3
 """So many servers of other zones out of reach, and none that shows life, mean
-that it is the way that is cut, and not the servers that have failed."""
+that it is the path that is cut, and not the servers that have failed."""
 
 
 class _Found(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
     until_ms: float
 
 
-class Reach:
+class Reachability:
     """Tells routes that cannot be served, and an instance that is cut off.
 
     An instance in a zone that is cut off from all servers would keep every
@@ -47,16 +47,16 @@
 
     Parameters
     ----------
-    book : ServerBook
+    registry : ServerRegistry
         The servers.
     clock : Clock
         The tier's clock.
     """
 
-    __slots__ = ("_book", "_clock", "_found")
+    __slots__ = ("_clock", "_found", "_registry")
 
-    def __init__(self, *, book: ServerBook, clock: Clock) -> None:
-        self._book = book
+    def __init__(self, *, registry: ServerRegistry, clock: Clock) -> None:
+        self._registry = registry
         self._clock = clock
         self._found: dict[str, _Found] = {}
 
@@ -84,11 +84,11 @@
         """
         if all(self.can_serve(route) for route in table.distinct_routes):
             return False
-        if self._are_all_ways_cut():
+        if self._are_all_paths_partitioned():
             return True
         now_ms = self._clock.now_ms()
         cut = 0
-        for server in self._book.servers():
+        for server in self._registry.servers():
             if server.is_near or not server.is_usable:
                 continue
             if now_ms - server.last_seen_ms < _FRESH_MS:
@@ -96,20 +96,20 @@
             cut += not server.is_reachable(now_ms)
         return cut >= _CUT_SERVERS
 
-    def _are_all_ways_cut(self) -> bool:
+    def _are_all_paths_partitioned(self) -> bool:
         """Return whether there are servers in other zones, all behind a cut."""
         has_far = False
-        for server in self._book.servers():
+        for server in self._registry.servers():
             if server.is_near or not server.is_usable:
                 continue
-            if not server.is_behind_cut:
+            if not server.is_behind_partition:
                 return False
             has_far = True
         return has_far
 
     def _look(self, route: Route) -> bool:
         names = route.service_names
-        reached = sum(self._book.is_reachable(name) for name in names)
+        reached = sum(self._registry.is_reachable(name) for name in names)
         if route.gathering is None:
             return reached > 0
         return reached >= route.gathering.minimum_coverage * len(names) - 1e-9
--- a/ibisfront/gateway/load/budget.py
+++ b/ibisfront/gateway/load/retry_budget.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from ibisfront.gateway.settings import Bounds
 
-__all__ = ["ExtraBudget", "ExtraBudgets"]
+__all__ = ["RetryBudgets", "ServiceRetryBudget"]
 
 _BUCKETS = 10
 """Parts of a window in which counts are kept together; one more is held, so
@@ -24,7 +24,7 @@
 it does not know what it had spent before."""
 
 
-class ExtraBudget:
+class ServiceRetryBudget:
     """Extra sub-requests to one service over a sliding window.
 
     All that goes to a service beyond the first sub-request of a request is
@@ -43,18 +43,18 @@
         "_bucket",
         "_bucket_ms",
         "_extras",
-        "_firsts",
+        "_primaries",
         "extras",
-        "firsts",
+        "primaries",
     )
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
         self._bucket_ms = bounds.extra_window_ms / _BUCKETS
         self._bucket = 0
-        self._firsts = [0] * (_BUCKETS + 1)
+        self._primaries = [0] * (_BUCKETS + 1)
         self._extras = [0] * (_BUCKETS + 1)
-        self.firsts = 0
+        self.primaries = 0
         self.extras = 0
 
     def use(self, bounds: Bounds, now_ms: float) -> None:
@@ -65,20 +65,20 @@
         may get too little for one window, and never too much.
         """
         if bounds.extra_window_ms != self._bounds.extra_window_ms:
-            size = len(self._firsts)
+            size = len(self._primaries)
             self._bucket_ms = bounds.extra_window_ms / _BUCKETS
             self._bucket = int(now_ms / self._bucket_ms)
-            self._firsts = [0] * size
+            self._primaries = [0] * size
             self._extras = [0] * size
             self._extras[self._bucket % size] = self.extras
-            self.firsts = 0
+            self.primaries = 0
         self._bounds = bounds
 
-    def note_first(self, now_ms: float) -> None:
+    def record_primary(self, now_ms: float) -> None:
         """Count the first sub-request of a request."""
         self._advance(now_ms)
-        self._firsts[self._bucket % len(self._firsts)] += 1
-        self.firsts += 1
+        self._primaries[self._bucket % len(self._primaries)] += 1
+        self.primaries += 1
 
     def try_spend(self, now_ms: float, *, senders: float) -> bool:
         """Take one extra sub-request; return False if none is left.
@@ -92,7 +92,7 @@
             this one has no part in it.
         """
         self._advance(now_ms)
-        allowed = self._bounds.extra_ratio * self.firsts
+        allowed = self._bounds.extra_ratio * self.primaries
         allowed += self._bounds.extra_allowance / senders
         if self.extras + 1 > allowed * _SAFETY:
             return False
@@ -105,17 +105,17 @@
         steps = bucket - self._bucket
         if steps <= 0:
             return
-        size = len(self._firsts)
+        size = len(self._primaries)
         for number in range(1, min(steps, size) + 1):
             index = (self._bucket + number) % size
-            self.firsts -= self._firsts[index]
+            self.primaries -= self._primaries[index]
             self.extras -= self._extras[index]
-            self._firsts[index] = 0
+            self._primaries[index] = 0
             self._extras[index] = 0
         self._bucket = bucket
 
 
-class ExtraBudgets:
+class RetryBudgets:
     """The budgets of all services.
 
     Parameters
@@ -137,8 +137,8 @@
     __slots__ = (
         "_bounds",
         "_budgets",
+        "_coordinators",
         "_gathered",
-        "_gatherers",
         "_started_ms",
         "instances",
     )
@@ -147,13 +147,13 @@
         self, bounds: Bounds, *, instances: int, started_ms: float = -math.inf
     ) -> None:
         self._bounds = bounds
-        self._budgets: dict[str, ExtraBudget] = {}
+        self._budgets: dict[str, ServiceRetryBudget] = {}
         self._started_ms = started_ms
         self._gathered: frozenset[str] = frozenset()
-        self._gatherers = math.inf
+        self._coordinators = math.inf
         self.instances = instances
 
-    def use_gatherers(self, count: float, services: frozenset[str]) -> None:
+    def set_coordinator_count(self, count: float, services: frozenset[str]) -> None:
         """Share the allowances of gathered services out to those that gather.
 
         Load pattern: a few instances gather for all. Split over all, the allowance
@@ -167,7 +167,7 @@
         services : frozenset of str
             The services of which that holds; none if all instances gather.
         """
-        self._gatherers = count
+        self._coordinators = count
         self._gathered = services
 
     def use(self, bounds: Bounds, now_ms: float) -> None:
@@ -176,16 +176,16 @@
         for budget in self._budgets.values():
             budget.use(bounds, now_ms)
 
-    def of_service(self, service: str) -> ExtraBudget:
+    def of_service(self, service: str) -> ServiceRetryBudget:
         """Return the budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = ExtraBudget(self._bounds)
+            budget = self._budgets[service] = ServiceRetryBudget(self._bounds)
         return budget
 
     def try_spend(self, service: str, now_ms: float) -> bool:
         """Take one extra sub-request of a service, if one is left."""
-        senders = self._gatherers if service in self._gathered else self.instances
+        senders = self._coordinators if service in self._gathered else self.instances
         if now_ms < self._started_ms + self._bounds.extra_window_ms:
             senders /= _STARTED_SHARE
         return self.of_service(service).try_spend(now_ms, senders=senders)
--- a/ibisfront/gateway/load/server_choice.py
+++ b/ibisfront/gateway/load/server_choice.py
@@ -16,31 +16,31 @@
 
 __all__ = ["choose_server", "server_cost"]
 
-_TOLD_HALF_LIFE_MS = 300.0
+_REPORTED_HALF_LIFE_MS = 300.0
 """How fast what a server says of its machine loses half of its weight: it changes many
 times a second, and a server that is avoided for it says nothing new."""
 
 _OVERDUE_PENALTY = 4.0
-"""Cost, in usual latencies, of a server that seems to stand still: what a request
+"""Cost, in baseline latencies, of a server that seems to stand still: what a request
 there loses, as the costs that follow."""
 
 _FAILURE_PENALTY = 6.0
-"""Cost, in usual latencies, of a server all of whose exchanges fail."""
+"""Cost, in baseline latencies, of a server all of whose exchanges fail."""
 
 _AVOIDED_PENALTY = 100.0
 """Cost of a server that is left alone: more than all others together."""
 
-_LAPSED_PENALTY = 50.0
+_STALE_PENALTY = 50.0
 """Cost of a server that may be gone: it is asked where its service has no other."""
 
 _IN_FLIGHT_PENALTY = 0.45
 """Share by which each request of ours at a server makes the next one slower."""
 
 _COLD_PENALTY = 0.6
-"""Cost, in usual latencies, of a server that has just started."""
+"""Cost, in baseline latencies, of a server that has just started."""
 
 _OTHER_ZONE_PENALTY = 0.7
-"""What a server of another availability zone costs more, in usual latencies:
+"""What a server of another availability zone costs more, in baseline latencies:
 more than one request of ours at the near one, less than two."""
 
 _COST_JITTER = 0.1
@@ -48,14 +48,14 @@
 servers do not all choose the same one; less than any of the penalties."""
 
 _NO_ROOM_COST = 1.0
-"""What a server costs more, in usual latencies, if the request has to wait for
+"""What a server costs more, in baseline latencies, if the request has to wait for
 a connection to it: that of a usual request that ends first."""
 
 _LARGEST_DELAY = 5.0
 """The most that a server's word of its machine adds: more is not believed."""
 
 
-def server_cost(server: Server, now_ms: float, usual_ms: float) -> float:
+def server_cost(server: Server, now_ms: float, baseline_ms: float) -> float:
     """Return the expected latency in units of the usual one.
 
     Parameters
@@ -64,13 +64,13 @@
         The server.
     now_ms : float
         The time.
-    usual_ms : float
-        The route's usual latency.
+    baseline_ms : float
+        The route's baseline latency.
     """
     cost = server.slowness(now_ms) * (1.0 + _IN_FLIGHT_PENALTY * len(server.in_flight))
-    cost += _told_delay(server, now_ms)
+    cost += _reported_delay(server, now_ms)
     cost += _FAILURE_PENALTY * server.failing(now_ms)
-    if server.is_overdue(now_ms, usual_ms):
+    if server.is_overdue(now_ms, baseline_ms):
         cost += _OVERDUE_PENALTY
     if not server.is_near:
         cost += _OTHER_ZONE_PENALTY
@@ -78,13 +78,13 @@
         cost += _COLD_PENALTY
     if now_ms < server.not_before_ms:
         cost += _AVOIDED_PENALTY
-    if server.is_lapsed:
-        cost += _LAPSED_PENALTY
+    if server.is_stale:
+        cost += _STALE_PENALTY
     return cost
 
 
-def _told_delay(server: Server, now_ms: float) -> float:
-    """Return how much longer work takes on its machine, in usual latencies.
+def _reported_delay(server: Server, now_ms: float) -> float:
+    """Return how much longer work takes on its machine, in baseline latencies.
 
     Load pattern: others on its machine make its work four times as long for half
     a second. The first reply of the spell says so, before the next is slow.
@@ -92,12 +92,12 @@
     load = server.load
     if load is None or load.work_factor is None or load.work_factor <= 1.0:
         return 0.0
-    left = math.exp2(-(now_ms - server.load_at_ms) / _TOLD_HALF_LIFE_MS)
+    left = math.exp2(-(now_ms - server.load_at_ms) / _REPORTED_HALF_LIFE_MS)
     return min(load.work_factor - 1.0, _LARGEST_DELAY) * left
 
 
 def choose_server(
-    servers: list[Server], tried: list[Server], *, now_ms: float, usual_ms: float
+    servers: list[Server], tried: list[Server], *, now_ms: float, baseline_ms: float
 ) -> Server | None:
     """Return the server of least expected cost that was not tried yet.
 
@@ -109,17 +109,17 @@
         Those that had the request already.
     now_ms : float
         The time.
-    usual_ms : float
-        The route's usual latency.
+    baseline_ms : float
+        The route's baseline latency.
     """
     best: Server | None = None
     best_cost = 0.0
     for server in servers:
-        if not server.is_usable or server.is_behind_cut or server in tried:
+        if not server.is_usable or server.is_behind_partition or server in tried:
             continue
         if not server.may_take(now_ms):
             continue
-        cost = server_cost(server, now_ms, usual_ms)
+        cost = server_cost(server, now_ms, baseline_ms)
         if server.pool is not None and not server.pool.has_room:
             cost += _NO_ROOM_COST
         cost *= 1.0 + _COST_JITTER * random.random()
--- a/ibisfront/gateway/load/server_load.py
+++ b/ibisfront/gateway/load/server_load.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ["ServerLoad", "told_load"]
+__all__ = ["ServerLoad", "parse_reported_load"]
 
 _MOST_DIGITS = 6
 """Longer figures are not believed."""
@@ -36,7 +36,7 @@
     work_factor: float | None = None
 
 
-def told_load(texts: Sequence[bytes]) -> ServerLoad | None:
+def parse_reported_load(texts: Sequence[bytes]) -> ServerLoad | None:
     """Return a load from its figures; None if they cannot be.
 
     Parameters
--- a/ibisfront/gateway/load/weights.py
+++ b/ibisfront/gateway/load/weighted_round_robin.py
@@ -11,10 +11,10 @@
 
     from ibisfront.gateway.state.configuration import Route
 
-__all__ = ["WeightedTurns"]
+__all__ = ["WeightedRoundRobin"]
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin for each route.
 
     Over any run of requests each service's count stays within one of its
--- a/ibisfront/gateway/observing.py
+++ b/ibisfront/gateway/observability.py
@@ -11,7 +11,7 @@
 from ibisfront.core.logs import LogPart, part_logger
 
 if TYPE_CHECKING:
-    from ibisfront.gateway.load.usual_latency import UsualLatency
+    from ibisfront.gateway.load.baseline_latency import BaselineLatency
     from ibisfront.gateway.messages import CallerReply, InboundRequest
     from ibisfront.gateway.state.configuration import Route
 
@@ -71,7 +71,7 @@
         self._decisions: list[Decision] = []
         self._left_out = 0
 
-    def note(
+    def record(
         self, now_ms: float, what: str, service: str, server: str, detail: str = ""
     ) -> None:
         """Note a decision."""
@@ -108,7 +108,7 @@
         self.counters = Counters()
         self.latencies = RouteLatencies()
 
-    def note_request(
+    def record_request(
         self,
         request: InboundRequest,
         route: Route,
@@ -117,7 +117,7 @@
         version: int,
         now_ms: float,
         trace: RequestTrace,
-        usual: UsualLatency,
+        baseline: BaselineLatency,
         parts: str = "",
     ) -> None:
         """Take in a request that was answered.
@@ -137,7 +137,7 @@
             "took_ms": round(took_ms, 1),
             "deadline_ms": request.deadline_ms,
             "objective_ms": route.objective_ms,
-            "late_after_ms": round(usual.late_ms, 1),
+            "late_after_ms": round(baseline.late_ms, 1),
             "extras": trace.extras,
         }
         if parts:
@@ -153,7 +153,7 @@
             "Answered %d%s: %s.", reply.status, late, reply.reason, extra=fields
         )
 
-    def note_left(
+    def record_left(
         self, request: InboundRequest, route: Route, trace: RequestTrace, now_ms: float
     ) -> None:
         """Take in a request whose asker left before its answer.
@@ -171,7 +171,7 @@
         }
         _LOG.info("The asker left.", extra=fields)
 
-    def note_refused(
+    def record_refused(
         self, request: InboundRequest, reply: CallerReply, *, version: int | None
     ) -> None:
         """Take in a request that was refused before any decision."""
--- a/ibisfront/gateway/queries/followed_query.py
+++ b/ibisfront/gateway/queries/coordinated_query.py
@@ -8,31 +8,33 @@
 import trio
 
 if TYPE_CHECKING:
-    from ibisfront.gateway.instances.life_check import CheckLife
+    from ibisfront.gateway.instances.liveness_probe import StartLivenessProbe
     from ibisfront.gateway.queries.remote_call import RemoteCall, RemotePlan
     from ibisfront.gateway.queries.service_call import CallContext, ServiceCall
     from ibisfront.gateway.servers.server import Server
     from ibisfront.gateway.state.configuration import Gathering
 
-__all__ = ["AskGatherer", "FollowedQuery", "NextGatherer"]
+__all__ = ["CoordinatedQuery", "NextCoordinator", "StartRemoteCall"]
 
 _MOST_REFUSALS = 4
-"""Gatherers that may refuse one query: both of the own zone may be behind with the
+"""Coordinators that may refuse one query: both of the own zone may be behind with the
 configuration, and so may one of another."""
 
-_MOST_OUT_OF_REACH = 2
-"""Gatherers that may say that they cannot reach the servers: two of a zone mean that
+_MOST_UNREACHABLE = 2
+"""Coordinators that may say that they cannot reach the servers: two of a zone mean that
 the zone is cut off. Others are behind the cut too; asking them would only hold up the
 caller, who has little time to come again elsewhere."""
 
-AskGatherer: TypeAlias = "Callable[[RemotePlan, bool, Callable[[], None]], RemoteCall]"
+StartRemoteCall: TypeAlias = (
+    "Callable[[RemotePlan, bool, Callable[[], None]], RemoteCall]"
+)
 """Asks an instance, told whether another one may have gathered the query already."""
 
-NextGatherer: TypeAlias = "Callable[[Sequence[Server]], RemotePlan | None]"
+NextCoordinator: TypeAlias = "Callable[[Sequence[Server]], RemotePlan | None]"
 """Returns an instance to ask that was not tried yet."""
 
 
-class FollowedQuery:
+class CoordinatedQuery:
     """One query while another instance gathers it; used once.
 
     An instance that refuses the query is replaced at once. One that is lost with it
@@ -45,7 +47,7 @@
         Which services, and how many are enough.
     context : CallContext
         What answering the request takes.
-    check_life : callable
+    start_liveness_probe : callable
         Returns what finds out whether an instance is lost.
     plan : RemotePlan
         Whom to ask first.
@@ -68,7 +70,6 @@
 
     __slots__ = (
         "_ask",
-        "_check_life",
         "_context",
         "_gathering",
         "_give_up_at_ms",
@@ -76,9 +77,10 @@
         "_may_ask_twice",
         "_may_have_run",
         "_next_plan",
-        "_out_of_reach",
         "_plan",
+        "_start_liveness_probe",
         "_tried",
+        "_unreachable",
         "_woken",
         "found_silence",
         "remote",
@@ -89,16 +91,16 @@
         gathering: Gathering,
         context: CallContext,
         *,
-        check_life: CheckLife,
+        start_liveness_probe: StartLivenessProbe,
         plan: RemotePlan,
-        ask: AskGatherer,
-        next_plan: NextGatherer,
+        ask: StartRemoteCall,
+        next_plan: NextCoordinator,
         give_up_at_ms: float,
         may_ask_twice: bool,
     ) -> None:
         self._gathering = gathering
         self._context = context
-        self._check_life = check_life
+        self._start_liveness_probe = start_liveness_probe
         self._plan = plan
         self._ask = ask
         self._next_plan = next_plan
@@ -106,7 +108,7 @@
         self._may_ask_twice = may_ask_twice
         self._has_asked_twice = False
         self._may_have_run = False
-        self._out_of_reach = 0
+        self._unreachable = 0
         self._tried: list[Server] = []
         self._woken = trio.Event()
         self.found_silence = False
@@ -186,8 +188,8 @@
             if self._has_asked_twice or not self._may_ask_twice:
                 return None
             self._has_asked_twice = True
-        self._out_of_reach += remote.is_out_of_reach
-        if self._out_of_reach >= _MOST_OUT_OF_REACH:
+        self._unreachable += remote.is_unreachable
+        if self._unreachable >= _MOST_UNREACHABLE:
             return None
         if len(self._tried) >= _MOST_REFUSALS:
             return None
@@ -196,20 +198,20 @@
             why = "refused" if remote.is_refused else "lost"
             name = plan.peer.entry.server_id
             now_ms = self._context.clock.now_ms()
-            self._context.trace.note(now_ms, "gathered_again", "", name, why)
+            self._context.trace.record(now_ms, "gathered_again", "", name, why)
         return plan
 
     async def _wait_for(self, remote: RemoteCall) -> bool:
         """Wait for an instance's answer; return whether it was found lost."""
         clock = self._context.clock
-        check = self._check_life(remote, self._wake)
+        check = self._start_liveness_probe(remote, self._wake)
         try:
             while remote.is_open:
                 now_ms = clock.now_ms()
                 if now_ms >= self._give_up_at_ms:
                     return False
                 if check.is_lost(now_ms):
-                    remote.peer.note_no_life(now_ms)
+                    remote.peer.record_liveness_failure(now_ms)
                     return True
                 until_ms = min(check.next_at_ms, self._give_up_at_ms)
                 with clock.timeout_ms(until_ms - now_ms):
--- a/ibisfront/gateway/queries/delegated_query.py
+++ b/ibisfront/gateway/queries/delegated_query.py
@@ -16,11 +16,11 @@
     "DelegatedQuery",
     "delegated_from",
     "delegating_request",
-    "is_out_of_reach",
-    "out_of_reach_header",
+    "is_unreachable",
     "service_bits",
     "signatures_header",
     "signatures_of",
+    "unreachable_header",
 ]
 
 _GATHERING = b"x-ibisfront-gathering"
@@ -30,7 +30,7 @@
 _MINIMUM = b"x-ibisfront-minimum"
 _REPEAT = b"x-ibisfront-repeat"
 _SIGNATURES = b"x-ibisfront-signatures"
-_OUT_OF_REACH = b"x-ibisfront-out-of-reach"
+_UNREACHABLE = b"x-ibisfront-out-of-reach"
 
 
 class DelegatedQuery(msgspec.Struct, frozen=True):
@@ -92,14 +92,14 @@
         return None
 
 
-def is_out_of_reach(reply: BackendReply) -> bool:
+def is_unreachable(reply: BackendReply) -> bool:
     """Return whether an instance refused since it cannot reach the servers."""
-    return any(name.lower() == _OUT_OF_REACH for name, _ in reply.headers)
+    return any(name.lower() == _UNREACHABLE for name, _ in reply.headers)
 
 
-def out_of_reach_header() -> Header:
+def unreachable_header() -> Header:
     """Return the header by which an instance says so."""
-    return (_OUT_OF_REACH, b"1")
+    return (_UNREACHABLE, b"1")
 
 
 def signatures_header(signatures: Sequence[bytes]) -> Header:
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
+from ibisfront.gateway.load.baseline_latency import BaselineLatency
 from ibisfront.gateway.load.server_choice import choose_server
-from ibisfront.gateway.load.usual_latency import UsualLatency
 from ibisfront.gateway.queries.remote_call import RemotePlan
 from ibisfront.gateway.route_state import keep_routes
 from ibisfront.gateway.state.configuration import Gathering
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
-    from ibisfront.gateway.instances.gatherers import Gatherers
+    from ibisfront.gateway.instances.coordinators import Coordinators
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.gateway.servers.server_book import ServerBook
+    from ibisfront.gateway.servers.server_registry import ServerRegistry
     from ibisfront.gateway.state.configuration import Route
 
 __all__ = ["Delegation"]
@@ -48,53 +48,53 @@
 
     Parameters
     ----------
-    book : ServerBook
+    registry : ServerRegistry
         The backend servers.
-    peers : ServerBook
+    peers : ServerRegistry
         The other instances, under their zone as the service.
     zone : str
         This instance's availability zone.
-    gatherers : Gatherers
+    coordinators : Coordinators
         Which instances gather.
     clock : Clock
         The tier's clock.
     """
 
     __slots__ = (
-        "_book",
         "_clock",
+        "_coordinators",
         "_found",
-        "_gatherers",
         "_latencies",
         "_peers",
+        "_registry",
         "_zone",
     )
 
     def __init__(
         self,
         *,
-        book: ServerBook,
-        peers: ServerBook,
+        registry: ServerRegistry,
+        peers: ServerRegistry,
         zone: str,
-        gatherers: Gatherers,
+        coordinators: Coordinators,
         clock: Clock,
     ) -> None:
-        self._gatherers = gatherers
-        self._book = book
+        self._coordinators = coordinators
+        self._registry = registry
         self._peers = peers
         self._zone = zone
         self._clock = clock
         self._found: dict[str, _Found] = {}
-        self._latencies: dict[str, UsualLatency] = {}
+        self._latencies: dict[str, BaselineLatency] = {}
 
     @property
-    def is_concentrated(self) -> bool:
+    def uses_coordinators(self) -> bool:
         """Whether only some instances gather."""
-        return self._gatherers.is_concentrated
+        return self._coordinators.uses_coordinators
 
     def plan(self, route: Route, gathering: Gathering) -> RemotePlan | None:
         """Return whom to ask for which services; None to ask them all here."""
-        if not self._gatherers.is_gatherer:
+        if not self._coordinators.is_coordinator:
             whole = self.plan_whole(route, gathering)
             if whole is not None:
                 return whole
@@ -104,12 +104,14 @@
         """Return whom to ask for the services that stand elsewhere only."""
         now_ms = self._clock.now_ms()
         by_zone = self._services_by_zone(route, gathering, now_ms)
-        usual = self._usual(route)
+        baseline = self._baseline(route)
         candidates = [peer for zone in by_zone for peer in self._gathering_peers(zone)]
-        peer = choose_server(candidates, [], now_ms=now_ms, usual_ms=usual.median_ms)
-        if peer is None or peer.is_overdue(now_ms, usual.late_ms):
+        peer = choose_server(
+            candidates, [], now_ms=now_ms, baseline_ms=baseline.median_ms
+        )
+        if peer is None or peer.is_overdue(now_ms, baseline.late_ms):
             return None
-        return RemotePlan(peer, by_zone[peer.entry.zone], usual)
+        return RemotePlan(peer, by_zone[peer.entry.zone], baseline)
 
     def may_ask_twice(self, route: Route, gathering: Gathering) -> bool:
         """Return whether a query may be gathered again after an instance was lost.
@@ -118,7 +120,7 @@
         attempts, unless it has no more of them.
         """
         askable = sum(
-            len(self._book.of_service(service)) <= route.attempts
+            len(self._registry.of_service(service)) <= route.attempts
             for service in gathering.services
         )
         return askable >= gathering.needed_parts
@@ -126,26 +128,26 @@
     def plan_whole(
         self, route: Route, gathering: Gathering, tried: Sequence[Server] = ()
     ) -> RemotePlan | None:
-        """Return a gatherer for a whole query, of the own zone if there is one."""
+        """Return a coordinator for a whole query, of the own zone if there is one."""
         now_ms = self._clock.now_ms()
-        usual = self._usual(route)
+        baseline = self._baseline(route)
         zones = sorted(
-            {item.zone for item in self._gatherers.instances},
+            {item.zone for item in self._coordinators.instances},
             key=lambda zone: (zone != self._zone, zone),
         )
         for zone in zones:
             candidates = self._gathering_peers(zone)
             peer = choose_server(
-                candidates, list(tried), now_ms=now_ms, usual_ms=usual.median_ms
+                candidates, list(tried), now_ms=now_ms, baseline_ms=baseline.median_ms
             )
-            if peer is not None and not peer.is_overdue(now_ms, usual.late_ms):
-                return RemotePlan(peer, gathering.services, usual, is_whole=True)
+            if peer is not None and not peer.is_overdue(now_ms, baseline.late_ms):
+                return RemotePlan(peer, gathering.services, baseline, is_whole=True)
         return None
 
     def _gathering_peers(self, zone: str) -> list[Server]:
         """Return the instances of a zone that gather and are within reach."""
         now_ms = self._clock.now_ms()
-        chosen = self._gatherers.of_zone(zone)
+        chosen = self._coordinators.of_zone(zone)
         return [
             peer
             for peer in self._peers.of_service(zone)
@@ -159,11 +161,13 @@
         keep_routes(self._latencies, names)
         keep_routes(self._found, names)
 
-    def _usual(self, route: Route) -> UsualLatency:
-        usual = self._latencies.get(route.name)
-        if usual is None:
-            usual = self._latencies[route.name] = UsualLatency(route.objective_ms / 2.0)
-        return usual
+    def _baseline(self, route: Route) -> BaselineLatency:
+        baseline = self._latencies.get(route.name)
+        if baseline is None:
+            baseline = self._latencies[route.name] = BaselineLatency(
+                route.objective_ms / 2.0
+            )
+        return baseline
 
     def _services_by_zone(
         self, route: Route, gathering: Gathering, now_ms: float
@@ -188,7 +192,7 @@
         for service in gathering.services:
             zones = {
                 server.entry.zone
-                for server in self._book.of_service(service)
+                for server in self._registry.of_service(service)
                 if server.is_usable and server.is_reachable(now_ms)
             }
             if self._zone in zones:
--- a/ibisfront/gateway/queries/forwarding.py
+++ b/ibisfront/gateway/queries/forwarding.py
@@ -68,7 +68,7 @@
         started_ms = clock.now_ms()
         if not call.start(started_ms):
             return
-        self._sent_by_ms = started_ms + self._context.usual.median_ms
+        self._sent_by_ms = started_ms + self._context.baseline.median_ms
         while not call.is_settled:
             now_ms = clock.now_ms()
             if now_ms >= self._give_up_at_ms or not self._act(now_ms):
@@ -88,7 +88,7 @@
             return self._send_again(now_ms)
         if now_ms >= self._hedge_at_ms:
             self._hedge_at_ms = math.inf
-            call.send_extra()
+            call.send_extra_attempt()
         return True
 
     def _next_act_ms(self) -> float:
@@ -110,10 +110,10 @@
             return True
         if not self._may_repeat():
             return False
-        if self.call.send_extra():
+        if self.call.send_extra_attempt():
             return True
         self._resend_at_ms = self.call.may_send_again_at_ms(now_ms)
-        latest_ms = self._give_up_at_ms - self._context.usual.median_ms
+        latest_ms = self._give_up_at_ms - self._context.baseline.median_ms
         return self._resend_at_ms <= latest_ms
 
     def _may_repeat(self) -> bool:
--- a/ibisfront/gateway/queries/gathering.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -13,10 +13,13 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from ibisfront.gateway.instances.life_check import CheckLife, LifeCheck
+    from ibisfront.gateway.instances.liveness_probe import (
+        LivenessProbe,
+        StartLivenessProbe,
+    )
     from ibisfront.gateway.load.gather_plan import GatherPlan
     from ibisfront.gateway.messages import BackendReply
-    from ibisfront.gateway.queries.followed_query import AskGatherer
+    from ibisfront.gateway.queries.coordinated_query import StartRemoteCall
     from ibisfront.gateway.queries.remote_call import RemoteCall, RemotePlan
     from ibisfront.gateway.queries.service_call import CallContext
     from ibisfront.gateway.state.configuration import Gathering
@@ -24,7 +27,7 @@
 __all__ = ["GatherRun"]
 
 _LAST_HEDGE_FACTOR = 1.15
-"""A hedged request is sent while at least this many usual latencies are left
+"""A hedged request is sent while at least this many baseline latencies are left
 before the query ends; later ones would come too late."""
 
 _READ_FIRST_MS = 1.0
@@ -46,7 +49,7 @@
         Which services another instance is asked for.
     start_remote : callable, optional
         Asks it.
-    check_life : callable, optional
+    start_liveness_probe : callable, optional
         Returns what finds out whether that instance is lost, given it and what to
         call. Without it the parts are asked from here as soon as it is late.
 
@@ -62,7 +65,6 @@
 
     __slots__ = (
         "_all_calls",
-        "_check_life",
         "_context",
         "_failed",
         "_fallback_parts",
@@ -71,7 +73,7 @@
         "_hedge_at_ms",
         "_is_falling_back",
         "_is_past_end",
-        "_life_check",
+        "_liveness_probe",
         "_lost",
         "_needed",
         "_own_parts",
@@ -80,6 +82,7 @@
         "_remote_plan",
         "_remote_started_ms",
         "_resend_at_ms",
+        "_start_liveness_probe",
         "_start_remote",
         "_started_ms",
         "_wake_at_ms",
@@ -96,11 +99,11 @@
         plan: GatherPlan,
         *,
         remote_plan: RemotePlan | None = None,
-        start_remote: AskGatherer | None = None,
-        check_life: CheckLife | None = None,
+        start_remote: StartRemoteCall | None = None,
+        start_liveness_probe: StartLivenessProbe | None = None,
     ) -> None:
-        self._check_life = check_life
-        self._life_check: LifeCheck | None = None
+        self._start_liveness_probe = start_liveness_probe
+        self._liveness_probe: LivenessProbe | None = None
         self._gathering = gathering
         self._context = context
         self._plan = plan
@@ -218,8 +221,8 @@
         for call in self._all_calls:
             if call.is_open:
                 call.end(at_once=at_once)
-        if self._life_check is not None:
-            self._life_check.end()
+        if self._liveness_probe is not None:
+            self._liveness_probe.end()
         if self.remote is not None:
             # Closing tells the other instance to stop its work; its parts
             # cannot be waited for one by one.
@@ -283,7 +286,7 @@
             self._failed.append(call)
             self._wake()
             return
-        call.end(at_once=self._context.usual.is_loaded)
+        call.end(at_once=self._context.baseline.is_loaded)
         if self._remote_calls and call in self._remote_calls:
             self._fallback_parts += 1
         else:
@@ -296,7 +299,7 @@
         for call in failed:
             if call.is_settled or call.is_open:
                 continue
-            if not call.send_extra():
+            if not call.send_extra_attempt():
                 self._has_lost_parts = True
                 self._lost.append(call)
         self._resend_at_ms = self._next_resend_ms(now_ms)
@@ -314,35 +317,35 @@
         lacking = self._needed - self.answered - open_parts
         if lacking <= 0:
             return math.inf
-        latest_ms = self._plan.give_up_at_ms - self._context.usual.median_ms
+        latest_ms = self._plan.give_up_at_ms - self._context.baseline.median_ms
         moments_ms = [call.may_send_again_at_ms(now_ms) for call in self._lost]
         if sum(at_ms <= latest_ms for at_ms in moments_ms) < lacking:
             return math.inf
         return min(moments_ms)
 
     def _hedge(self, now_ms: float) -> None:
-        usual_ms = self._context.usual.median_ms
-        if now_ms + _LAST_HEDGE_FACTOR * usual_ms > self._plan.end_at_ms:
+        baseline_ms = self._context.baseline.median_ms
+        if now_ms + _LAST_HEDGE_FACTOR * baseline_ms > self._plan.end_at_ms:
             return
         for call in self._all_calls:
             if not call.is_settled and call.is_open:
-                call.send_extra()
+                call.send_extra_attempt()
 
     def _remote_due_at_ms(self) -> float:
         """Return when the other instance is to be looked at next."""
         if self.remote is None:
             return math.inf
-        if self._life_check is not None:
-            return self._life_check.next_at_ms
+        if self._liveness_probe is not None:
+            return self._liveness_probe.next_at_ms
         return self._remote_started_ms + self.remote.late_ms
 
     def _is_given_up(self, remote: RemoteCall, now_ms: float) -> bool:
         """Return whether the parts of an open remote call are asked from here."""
-        if self._life_check is None:
+        if self._liveness_probe is None:
             return now_ms >= self._remote_due_at_ms()
-        if not self._life_check.is_lost(now_ms):
+        if not self._liveness_probe.is_lost(now_ms):
             return False
-        remote.peer.note_no_life(now_ms)
+        remote.peer.record_liveness_failure(now_ms)
         # Nothing comes any more; counted as open it would hold up a query whose
         # other parts have failed.
         remote.end(at_once=True)
@@ -358,8 +361,8 @@
         assert self._start_remote is not None
         self._remote_started_ms = self._context.clock.now_ms()
         self.remote = self._start_remote(plan, False, self._wake)
-        if self._check_life is not None:
-            self._life_check = self._check_life(self.remote, self._wake)
+        if self._start_liveness_probe is not None:
+            self._liveness_probe = self._start_liveness_probe(self.remote, self._wake)
 
     def _check_remote(self, now_ms: float) -> None:
         """Ask from here if the other instance refuses, fails or is silent.
@@ -377,7 +380,7 @@
         self._is_falling_back = True
         # The first choice may be a server that has fallen silent together with
         # the instance; these parts are hedged in their turn.
-        self._hedge_at_ms = now_ms + self._context.usual.late_ms
+        self._hedge_at_ms = now_ms + self._context.baseline.late_ms
         self._remote_calls = [
             ServiceCall(name, self._context, self._changed) for name in remote.services
         ]
@@ -389,7 +392,7 @@
             return
         for call in self._remote_calls:
             if call.has_no_more_servers_than_attempts:
-                call.send_extra()
+                call.send_extra_attempt()
 
     def _is_silent(self, now_ms: float) -> bool:
         """Return whether no server that was asked has replied anything.
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from ibisfront.gateway.load.usual_latency import UsualLatency
+from ibisfront.gateway.load.baseline_latency import BaselineLatency
 from ibisfront.gateway.queries.delegated_query import (
     DelegatedQuery,
     delegating_request,
-    is_out_of_reach,
+    is_unreachable,
     service_bits,
     signatures_of,
 )
@@ -23,7 +23,7 @@
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.messages import BackendReply, InboundRequest
     from ibisfront.gateway.state.configuration import Gathering
-    from ibisfront.gateway.wire import Wire
+    from ibisfront.gateway.wire import WireCodec
 
 __all__ = ["RemoteCall", "RemotePlan"]
 
@@ -48,7 +48,7 @@
         The instance.
     services : tuple of str
         The services.
-    usual : UsualLatency
+    baseline : BaselineLatency
         What is usual for the route's delegated queries.
     is_whole : bool
         Whether it is asked for the whole query, and may ask another instance
@@ -57,7 +57,7 @@
 
     peer: Server
     services: tuple[str, ...]
-    usual: UsualLatency
+    baseline: BaselineLatency
     is_whole: bool = False
 
 
@@ -83,7 +83,7 @@
         The greatest records of these parts.
     is_refused : bool
         Whether the instance has not run it and will not.
-    is_out_of_reach : bool
+    is_unreachable : bool
         Whether it refused since it cannot reach the servers.
     """
 
@@ -92,8 +92,8 @@
         "_exchange",
         "_on_change",
         "_plan",
-        "is_out_of_reach",
         "is_refused",
+        "is_unreachable",
         "records",
         "services",
         "signatures",
@@ -110,7 +110,7 @@
         self.signatures: list[bytes] = []
         self.records = b""
         self.is_refused = False
-        self.is_out_of_reach = False
+        self.is_unreachable = False
 
     @property
     def peer(self) -> Server:
@@ -147,7 +147,7 @@
     @property
     def late_ms(self) -> float:
         """After how long its answer is late."""
-        return self._plan.usual.late_ms
+        return self._plan.baseline.late_ms
 
     @property
     def may_have_run(self) -> bool:
@@ -159,7 +159,7 @@
         self,
         request: InboundRequest,
         *,
-        wire: Wire,
+        wire: WireCodec,
         gathering: Gathering,
         rank: int,
         end_at_ms: float,
@@ -173,7 +173,7 @@
         ----------
         request : InboundRequest
             The caller's request.
-        wire : Wire
+        wire : WireCodec
             The codec.
         gathering : Gathering
             The route's gathering here. The other instance answers only by an
@@ -216,7 +216,7 @@
             on_end=self._ended,
             rank=rank,
             created_at_ms=self._clock.now_ms(),
-            expected_ms=self._plan.usual.late_ms,
+            expected_ms=self._plan.baseline.late_ms,
         )
         assert self._plan.peer.pool is not None
         self._plan.peer.pool.submit(self._exchange)
@@ -242,21 +242,21 @@
         if peer.pool is not None:
             peer.pool.forget(exchange)
         if exchange.reply is not None:
-            usual = self._plan.usual
+            baseline = self._plan.baseline
             took_ms = now_ms - exchange.waits_since_ms
-            peer.note_reply(now_ms, took_ms=took_ms, usual_ms=usual.median_ms)
-            usual.record_ms(took_ms)
+            peer.record_reply(now_ms, took_ms=took_ms, baseline_ms=baseline.median_ms)
+            baseline.record_ms(took_ms)
             self._take(exchange.reply)
         else:
             self.is_refused = exchange.sent_at_ms is None
             if exchange.sent_at_ms is not None and not exchange.is_cancelled:
-                peer.note_lost(now_ms)
+                peer.record_lost(now_ms)
         if not exchange.is_abandoned:
             self._on_change()
 
     def _take(self, reply: BackendReply) -> None:
         self.is_refused = reply.status == _UNAVAILABLE
-        self.is_out_of_reach = self.is_refused and is_out_of_reach(reply)
+        self.is_unreachable = self.is_refused and is_unreachable(reply)
         signatures = signatures_of(reply)
         if reply.status == _OK and signatures:
             self.signatures = signatures
--- a/ibisfront/gateway/queries/gathered.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -10,44 +10,44 @@
 import msgspec
 import trio
 
-from ibisfront.gateway.answering import BAD_GATEWAY, GATEWAY_TIMEOUT
-from ibisfront.gateway.instances.life_check import life_checker
+from ibisfront.gateway.instances.liveness_probe import liveness_prober
 from ibisfront.gateway.load.gather_plan import gather_plan
 from ibisfront.gateway.messages import CallerReply
+from ibisfront.gateway.queries.coordinated_query import CoordinatedQuery
 from ibisfront.gateway.queries.delegated_query import (
-    out_of_reach_header,
     signatures_header,
+    unreachable_header,
 )
-from ibisfront.gateway.queries.followed_query import FollowedQuery
-from ibisfront.gateway.queries.gathering import GatherRun
+from ibisfront.gateway.queries.gather_run import GatherRun
 from ibisfront.gateway.queries.records import greatest_records
 from ibisfront.gateway.queries.remote_call import RemoteCall
+from ibisfront.gateway.request_services import BAD_GATEWAY, GATEWAY_TIMEOUT
 from ibisfront.gateway.route_state import give_up_at_ms
 
 if TYPE_CHECKING:
-    from ibisfront.gateway.answering import Answering
-    from ibisfront.gateway.load.reach import Reach
+    from ibisfront.gateway.load.reachability import Reachability
     from ibisfront.gateway.messages import InboundRequest
+    from ibisfront.gateway.queries.coordinated_query import StartRemoteCall
     from ibisfront.gateway.queries.delegated_query import DelegatedQuery
     from ibisfront.gateway.queries.delegation import Delegation
-    from ibisfront.gateway.queries.followed_query import AskGatherer
     from ibisfront.gateway.queries.remote_call import RemotePlan
     from ibisfront.gateway.queries.service_call import CallContext
+    from ibisfront.gateway.request_services import RequestServices
     from ibisfront.gateway.state.configuration import Gathering, Route
 
-__all__ = ["Queries"]
+__all__ = ["ScatterGather"]
 
-_NO_GATHERER = "no_gatherer"
+_NO_COORDINATOR = "no_gatherer"
 _VERSION_PAUSE_MS = 60.0
 """How far apart instances may be with a new version: the pause before a source
-passes a change on, and the ways."""
+passes a change on, and the paths."""
 
-_OUT_OF_REACH_MS = 1_500.0
+_UNREACHABLE_MS = 1_500.0
 """How long an instance stays not ready after one that gathers for it found the
-ways to the servers cut: it hears of it again about once a second as long as
+paths to the servers cut: it hears of it again about once a second as long as
 that is so."""
 
-_TOLD_OUT_OF_REACH_MS = 4_000.0
+_REPORTED_UNREACHABLE_MS = 4_000.0
 """The same after it was told so with the state: in an outage it looks for a source
 every second or two, while others restart. The end of a cut is told at once."""
 
@@ -89,142 +89,153 @@
         return min(self.end_at_ms, self.give_up_at_ms)
 
 
-class Queries:
+class ScatterGather:
     """Gathers the parts of queries.
 
     Parameters
     ----------
-    answering : Answering
+    request_services : RequestServices
         What answering takes.
     delegation : Delegation or None
         Asks other instances for the parts that stand near them.
-    reach : Reach
+    reachability : Reachability
         Which routes can be served.
     """
 
     __slots__ = (
-        "_answering",
-        "_check_life",
         "_delegation",
-        "_out_of_reach_until_ms",
-        "_reach",
+        "_reachability",
+        "_request_services",
+        "_start_liveness_probe",
+        "_unreachable_until_ms",
     )
 
     def __init__(
-        self, answering: Answering, delegation: Delegation | None, reach: Reach
+        self,
+        request_services: RequestServices,
+        delegation: Delegation | None,
+        reachability: Reachability,
     ) -> None:
-        self._answering = answering
-        self._check_life = life_checker(answering.wire, answering.clock)
+        self._request_services = request_services
+        self._start_liveness_probe = liveness_prober(
+            request_services.wire, request_services.clock
+        )
         self._delegation = delegation
-        self._reach = reach
-        self._out_of_reach_until_ms = -math.inf
+        self._reachability = reachability
+        self._unreachable_until_ms = -math.inf
 
     @property
-    def is_out_of_reach(self) -> bool:
-        """Whether those that gather for this instance have found a cut way.
+    def is_unreachable(self) -> bool:
+        """Whether those that gather for this instance have found a cut path.
 
         It asks no servers itself, and would not see that its zone is cut off.
         """
-        return self._answering.clock.now_ms() < self._out_of_reach_until_ms
+        return self._request_services.clock.now_ms() < self._unreachable_until_ms
 
-    def note_out_of_reach(self) -> None:
+    def record_unreachable(self) -> None:
         """Take in that one that gathers has refused, as it reaches no servers."""
-        self._stay_out_of_reach(_OUT_OF_REACH_MS)
+        self._stay_unreachable(_UNREACHABLE_MS)
 
-    def note_told_out_of_reach(self) -> None:
+    def record_reported_unreachable(self) -> None:
         """Take in that those that gather say that they reach no servers."""
-        self._stay_out_of_reach(_TOLD_OUT_OF_REACH_MS)
+        self._stay_unreachable(_REPORTED_UNREACHABLE_MS)
 
-    def _stay_out_of_reach(self, duration_ms: float) -> None:
-        now_ms = self._answering.clock.now_ms()
-        until_ms = max(self._out_of_reach_until_ms, now_ms + duration_ms)
-        self._out_of_reach_until_ms = until_ms
-        self._answering.rotation.note(is_ready=False, now_ms=now_ms)
+    def _stay_unreachable(self, duration_ms: float) -> None:
+        now_ms = self._request_services.clock.now_ms()
+        until_ms = max(self._unreachable_until_ms, now_ms + duration_ms)
+        self._unreachable_until_ms = until_ms
+        self._request_services.rotation.record(is_ready=False, now_ms=now_ms)
 
-    def note_within_reach(self) -> None:
+    def record_reachable(self) -> None:
         """Take in that those that gather can reach the servers."""
-        self._out_of_reach_until_ms = -math.inf
+        self._unreachable_until_ms = -math.inf
 
     async def answer(
         self, request: InboundRequest, route: Route, gathering: Gathering
     ) -> CallerReply:
         """Return the answer to a caller's query."""
         reply = await self._gather(request, route, gathering)
-        if reply.reason != _NO_GATHERER:
+        if reply.reason != _NO_COORDINATOR:
             return reply
         return await self._gather_again(request)
 
     async def answer_delegated(self, query: DelegatedQuery) -> CallerReply:
         """Return the parts of a query that another instance asks for."""
-        answering = self._answering
+        request_services = self._request_services
         request = query.request
-        table = answering.table
+        table = request_services.table
         route = None if table is None else table.find(request.host, request.path)
         if route is None or route.gathering is None:
-            return answering.refuse(request, answering.not_run("no_gathering_route"))
+            return request_services.refuse(
+                request, request_services.not_run("no_gathering_route")
+            )
         if route.gathering.digest != query.gathering:
-            return answering.refuse(request, answering.not_run("other_gathering"))
-        if query.is_whole and not self._reach.can_serve(route):
-            reply = answering.out_of_reach()
-            reply.headers.append(out_of_reach_header())
-            return answering.refuse(request, reply)
+            return request_services.refuse(
+                request, request_services.not_run("other_gathering")
+            )
+        if query.is_whole and not self._reachability.can_serve(route):
+            reply = request_services.unreachable()
+            reply.headers.append(unreachable_header())
+            return request_services.refuse(request, reply)
         gathering = _delegated_gathering(query, route.gathering)
         end_at_ms = request.arrived_at_ms + query.objective_left_ms
-        context = answering.context(request, route, is_repeat=query.is_repeat)
+        context = request_services.context(request, route, is_repeat=query.is_repeat)
         asked = _Asked(request, route, gathering, context, end_at_ms)
         remote_plan = None
         if query.is_whole and self._delegation is not None:
             remote_plan = self._delegation.plan_far(route, gathering)
         run = await self._run(asked, remote_plan)
         reply = self._delegated(run, gathering)
-        answering.note(request, route, reply, context, parts=_parts_text(run))
+        request_services.record(request, route, reply, context, parts=_parts_text(run))
         # The other instance tells by it that the reply is to this query.
-        reply.headers.append(answering.wire.request_id(request.request_id))
+        reply.headers.append(request_services.wire.request_id(request.request_id))
         return reply
 
     async def _gather(
         self, request: InboundRequest, route: Route, gathering: Gathering
     ) -> CallerReply:
-        answering = self._answering
-        end_at_ms = answering.states.of(route).objective_at_ms(request, route)
-        context = answering.context(request, route)
+        request_services = self._request_services
+        end_at_ms = request_services.states.of(route).objective_at_ms(request, route)
+        context = request_services.context(request, route)
         asked = _Asked(request, route, gathering, context, end_at_ms)
         remote_plan = None
         if self._delegation is not None:
             remote_plan = self._delegation.plan(route, gathering)
-        run: GatherRun | FollowedQuery
+        run: GatherRun | CoordinatedQuery
         if remote_plan is not None and remote_plan.is_whole:
             run = await self._follow(asked, remote_plan)
         else:
             run = await self._run(asked, remote_plan)
-        if run.remote is not None and run.remote.is_out_of_reach:
-            self.note_out_of_reach()
+        if run.remote is not None and run.remote.is_unreachable:
+            self.record_unreachable()
         reply = self._gathered(run, gathering)
-        answering.note(request, route, reply, context, parts=_parts_text(run))
+        request_services.record(request, route, reply, context, parts=_parts_text(run))
         return reply
 
     async def _gather_again(self, request: InboundRequest) -> CallerReply:
-        """Gather a query that no gatherer would take.
+        """Gather a query that no coordinator would take.
 
         They take queries only if their version gathers it in the same way. A
         new version reaches all instances within a moment of each other.
         """
-        answering = self._answering
-        await answering.clock.sleep_ms(_VERSION_PAUSE_MS)
-        assert answering.table is not None
-        route = answering.table.find(request.host, request.path)
+        request_services = self._request_services
+        await request_services.clock.sleep_ms(_VERSION_PAUSE_MS)
+        assert request_services.table is not None
+        route = request_services.table.find(request.host, request.path)
         if route is None or route.gathering is None:
-            return answering.refuse(request, answering.not_run(_NO_GATHERER))
+            return request_services.refuse(
+                request, request_services.not_run(_NO_COORDINATOR)
+            )
         return await self._gather(request, route, route.gathering)
 
     async def _run(self, asked: _Asked, remote_plan: RemotePlan | None) -> GatherRun:
         """Gather a query from here."""
         context = asked.context
         plan = gather_plan(
-            self._answering.clock.now_ms(),
+            self._request_services.clock.now_ms(),
             end_at_ms=asked.end_or_give_up_at_ms,
             give_up_at_ms=asked.give_up_at_ms,
-            usual=context.usual,
+            baseline=context.baseline,
             objective_ms=asked.route.objective_ms,
         )
         run = GatherRun(
@@ -233,26 +244,28 @@
             plan,
             remote_plan=remote_plan,
             start_remote=self._remote_starter(asked),
-            check_life=self._check_life if self._is_concentrated else None,
+            start_liveness_probe=self._start_liveness_probe
+            if self._uses_coordinators
+            else None,
         )
         await self._run_until_left(run, asked)
         # Servers drop a request when its connection closes. Under load that
         # frees slots for requests that are waited for; in calm it only costs a
         # connection.
-        run.end(at_once=context.usual.is_loaded)
+        run.end(at_once=context.baseline.is_loaded)
         return run
 
-    async def _follow(self, asked: _Asked, remote_plan: RemotePlan) -> FollowedQuery:
+    async def _follow(self, asked: _Asked, remote_plan: RemotePlan) -> CoordinatedQuery:
         """Have a query gathered by another instance.
 
         Nothing is asked from here: with too few connections for every instance it
         would take them from those that gather.
         """
         assert self._delegation is not None
-        run = FollowedQuery(
+        run = CoordinatedQuery(
             asked.gathering,
             asked.context,
-            check_life=self._check_life,
+            start_liveness_probe=self._start_liveness_probe,
             plan=remote_plan,
             ask=self._remote_starter(asked),
             next_plan=partial(
@@ -266,27 +279,31 @@
         return run
 
     async def _run_until_left(
-        self, run: GatherRun | FollowedQuery, asked: _Asked
+        self, run: GatherRun | CoordinatedQuery, asked: _Asked
     ) -> None:
         """Run a query; stop its work if its asker leaves."""
         try:
             await run.run()
         except trio.Cancelled:
             run.end(at_once=True)
-            self._answering.note_left(asked.request, asked.route, asked.context)
+            self._request_services.record_left(
+                asked.request, asked.route, asked.context
+            )
             raise
 
-    def _remote_starter(self, asked: _Asked) -> AskGatherer:
+    def _remote_starter(self, asked: _Asked) -> StartRemoteCall:
         """Return what asks another instance for parts of a query."""
-        answering = self._answering
+        request_services = self._request_services
 
         def start(
             remote_plan: RemotePlan, is_repeat: bool, on_change: Callable[[], None]
         ) -> RemoteCall:
-            remote = RemoteCall(remote_plan, clock=answering.clock, on_change=on_change)
+            remote = RemoteCall(
+                remote_plan, clock=request_services.clock, on_change=on_change
+            )
             remote.start(
                 asked.request,
-                wire=answering.wire,
+                wire=request_services.wire,
                 gathering=asked.gathering,
                 rank=asked.route.rank,
                 end_at_ms=asked.end_or_give_up_at_ms,
@@ -299,23 +316,23 @@
         return start
 
     @property
-    def _is_concentrated(self) -> bool:
+    def _uses_coordinators(self) -> bool:
         """Whether only some instances gather.
 
         They have little room for work that is done twice: parts that another one
         was asked for are asked from here only if it is lost.
         """
-        return self._delegation is not None and self._delegation.is_concentrated
+        return self._delegation is not None and self._delegation.uses_coordinators
 
     def _gathered(
-        self, run: GatherRun | FollowedQuery, gathering: Gathering
+        self, run: GatherRun | CoordinatedQuery, gathering: Gathering
     ) -> CallerReply:
         if not run.is_enough:
             return self._no_answer(run)
         signatures, bodies = run.answer()
         missing = run.total - len(signatures)
         body = greatest_records(bodies, gathering.top_count)
-        headers = self._answering.wire.gathered_headers(signatures, missing)
+        headers = self._request_services.wire.gathered_headers(signatures, missing)
         return CallerReply(200, headers, body, "partial" if missing else "whole")
 
     def _delegated(self, run: GatherRun, gathering: Gathering) -> CallerReply:
@@ -326,14 +343,14 @@
         headers = [signatures_header(signatures)]
         return CallerReply(200, headers, records, "delegated_parts")
 
-    def _not_run(self, run: GatherRun | FollowedQuery) -> CallerReply:
+    def _not_run(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         """Return the refusal of a query that no server was asked for."""
-        if run.remote is not None and run.remote.is_out_of_reach:
-            return self._answering.out_of_reach()
-        reason = _NO_GATHERER if isinstance(run, FollowedQuery) else "no_server"
-        return self._answering.not_run(reason)
+        if run.remote is not None and run.remote.is_unreachable:
+            return self._request_services.unreachable()
+        reason = _NO_COORDINATOR if isinstance(run, CoordinatedQuery) else "no_server"
+        return self._request_services.not_run(reason)
 
-    def _no_answer(self, run: GatherRun | FollowedQuery) -> CallerReply:
+    def _no_answer(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         if not run.was_sent:
             return self._not_run(run)
         if run.found_silence:
@@ -348,13 +365,15 @@
         Where this instance is cut off, its caller's next try is of use only
         once the balancer sends it to another zone.
         """
-        answering = self._answering
-        table = answering.table
-        if table is None or not self._reach.is_isolated(table):
+        request_services = self._request_services
+        table = request_services.table
+        if table is None or not self._reachability.is_isolated(table):
             return CallerReply(status, [], b"", reason, closes=closes)
-        now_ms = answering.clock.now_ms()
-        answering.rotation.note(is_ready=False, now_ms=now_ms)
-        later = answering.wire.retry_after(answering.rotation.wait_ms(now_ms))
+        now_ms = request_services.clock.now_ms()
+        request_services.rotation.record(is_ready=False, now_ms=now_ms)
+        later = request_services.wire.retry_after(
+            request_services.rotation.wait_ms(now_ms)
+        )
         return CallerReply(status, [later], b"", reason, closes=True)
 
 
@@ -374,7 +393,7 @@
     return msgspec.structs.replace(whole, services=services, minimum_coverage=coverage)
 
 
-def _parts_text(run: GatherRun | FollowedQuery) -> str:
+def _parts_text(run: GatherRun | CoordinatedQuery) -> str:
     missing = run.missing[:_SHOWN_SERVICES]
     names = ", ".join(f"{call.service} ({call.last_error})" for call in missing)
     text = f"{run.answered}/{run.total} {names}"
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.gateway.load.budget import ExtraBudgets
-    from ibisfront.gateway.load.usual_latency import UsualLatency
+    from ibisfront.gateway.load.baseline_latency import BaselineLatency
+    from ibisfront.gateway.load.retry_budget import RetryBudgets
     from ibisfront.gateway.messages import BackendReply
-    from ibisfront.gateway.observing import RequestTrace
+    from ibisfront.gateway.observability import RequestTrace
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.gateway.servers.server_book import ServerBook
+    from ibisfront.gateway.servers.server_registry import ServerRegistry
 
 __all__ = ["CallContext", "ServiceCall"]
 
@@ -57,11 +57,11 @@
         0 goes first.
     has_reply_body : bool
         Whether replies may have a body.
-    usual : UsualLatency
+    baseline : BaselineLatency
         What is usual on the route.
-    book : ServerBook
+    registry : ServerRegistry
         The servers.
-    budgets : ExtraBudgets
+    budgets : RetryBudgets
         The budgets of extra sub-requests.
     clock : Clock
         The tier's clock.
@@ -80,9 +80,9 @@
     attempts: int
     rank: int
     has_reply_body: bool
-    usual: UsualLatency
-    book: ServerBook
-    budgets: ExtraBudgets
+    baseline: BaselineLatency
+    registry: ServerRegistry
+    budgets: RetryBudgets
     clock: Clock
     trace: RequestTrace
     counters: Counters
@@ -176,11 +176,11 @@
         if self._context.is_repeat:
             # The servers that were asked are not known here. With more of them
             # than the route allows attempts this could be one too many.
-            return self.has_no_more_servers_than_attempts and self.send_extra()
-        self._context.budgets.of_service(self.service).note_first(now_ms)
+            return self.has_no_more_servers_than_attempts and self.send_extra_attempt()
+        self._context.budgets.of_service(self.service).record_primary(now_ms)
         return self._send(now_ms)
 
-    def send_extra(self) -> bool:
+    def send_extra_attempt(self) -> bool:
         """Send to one more server if attempts and budget allow it."""
         context = self._context
         if self.sends >= context.attempts + min(self._refunded, _NOT_RUN_RETRIES):
@@ -190,17 +190,17 @@
         why = self.last_error or "late"
         if server is None or now_ms < server.not_before_ms:
             context.counters.add(CounterKind.RETRIES_WITHHELD, "no_other_server")
-            context.trace.note(now_ms, "no_other_server", self.service, "", why)
+            context.trace.record(now_ms, "no_other_server", self.service, "", why)
             return False
         if not context.budgets.try_spend(self.service, now_ms):
             context.counters.add(CounterKind.RETRIES_WITHHELD, "budget")
-            context.trace.note(now_ms, "budget_spent", self.service, "", why)
+            context.trace.record(now_ms, "budget_spent", self.service, "", why)
             self._is_out_of_budget = True
             return False
         context.counters.add(CounterKind.RETRIES, why)
         context.trace.extras += 1
         name = server.entry.server_id
-        context.trace.note(now_ms, "sent_again", self.service, name, why)
+        context.trace.record(now_ms, "sent_again", self.service, name, why)
         self._submit(server, now_ms)
         return True
 
@@ -227,7 +227,7 @@
     @property
     def has_no_more_servers_than_attempts(self) -> bool:
         """Whether asking each server once stays within the route's attempts."""
-        servers = self._context.book.of_service(self.service)
+        servers = self._context.registry.of_service(self.service)
         return len(servers) <= self._context.attempts
 
     def withdraw_unsent(self, now_ms: float) -> None:
@@ -255,7 +255,7 @@
         from another zone costs more bytes between zones than a new connection.
         """
         now_ms = self._context.clock.now_ms()
-        is_large = self._context.usual.reply_bytes > _CONNECTION_BYTES
+        is_large = self._context.baseline.reply_bytes > _CONNECTION_BYTES
         for exchange in list(self._open):
             server = exchange.server
             stops = server.slowness(now_ms) > _SLOW or (is_large and not server.is_near)
@@ -271,15 +271,15 @@
     def _best(self, tried: list[Server], now_ms: float) -> Server | None:
         """Return the server to ask that was not tried."""
         context = self._context
-        servers = context.book.of_service(self.service)
-        usual_ms = context.usual.median_ms
-        return choose_server(servers, tried, now_ms=now_ms, usual_ms=usual_ms)
+        servers = context.registry.of_service(self.service)
+        baseline_ms = context.baseline.median_ms
+        return choose_server(servers, tried, now_ms=now_ms, baseline_ms=baseline_ms)
 
     def _send(self, now_ms: float) -> bool:
         server = self._choose(now_ms)
         if server is None:
             self.last_error = "no_server"
-            self._context.trace.note(now_ms, "no_server", self.service, "")
+            self._context.trace.record(now_ms, "no_server", self.service, "")
             return False
         self._submit(server, now_ms)
         return True
@@ -294,7 +294,7 @@
             on_end=self._ended,
             rank=context.rank,
             created_at_ms=now_ms,
-            expected_ms=context.usual.late_ms,
+            expected_ms=context.baseline.late_ms,
             has_reply_body=context.has_reply_body,
             may_break_off=context.is_idempotent,
         )
@@ -312,24 +312,24 @@
         if exchange in self._open:
             self._open.remove(exchange)
         if exchange.reply is not None:
-            self._note_reply(exchange, exchange.reply)
+            self._record_reply(exchange, exchange.reply)
         else:
-            self._note_error(exchange)
+            self._record_error(exchange)
         if self.last_error and not exchange.is_abandoned and not self.is_settled:
             now_ms = self._context.clock.now_ms()
             name = server.entry.server_id
-            self._context.trace.note(
+            self._context.trace.record(
                 now_ms, "failed", self.service, name, self.last_error
             )
         if not exchange.is_abandoned:
             self._on_change(self)
 
-    def _note_reply(self, exchange: Exchange, reply: BackendReply) -> None:
+    def _record_reply(self, exchange: Exchange, reply: BackendReply) -> None:
         now_ms = self._context.clock.now_ms()
         server = exchange.server
         if reply.load is not None:
-            server.note_load(now_ms, reply.load)
-            self._context.usual.note_load(reply.load)
+            server.record_load(now_ms, reply.load)
+            self._context.baseline.record_load(reply.load)
         elif reply.has_unreadable_load:
             self._context.counters.add(CounterKind.SERVER_LOADS, "unreadable")
         if reply.not_run:
@@ -337,7 +337,7 @@
             self._again_at_ms = now_ms + _RESEND_PAUSE_MS
             self.last_error = f"not_run_{reply.status}"
             self.retry_after_ms = reply.retry_after_ms
-            server.note_refused(now_ms, reply.retry_after_ms)
+            server.record_refused(now_ms, reply.retry_after_ms)
             if reply.is_other_server:
                 # Another server has the address now: this one is gone, though
                 # the store may list it for a while yet.
@@ -346,18 +346,18 @@
         self._has_run = True
         if reply.is_success:
             took_ms = now_ms - exchange.waits_since_ms
-            usual = self._context.usual
-            server.note_reply(now_ms, took_ms=took_ms, usual_ms=usual.median_ms)
-            usual.record_ms(took_ms)
-            usual.note_size(len(reply.body))
+            baseline = self._context.baseline
+            server.record_reply(now_ms, took_ms=took_ms, baseline_ms=baseline.median_ms)
+            baseline.record_ms(took_ms)
+            baseline.record_size(len(reply.body))
             if self.reply is None:
                 self.reply = reply
             return
-        server.note_failed(now_ms)
+        server.record_failed(now_ms)
         self.failure = reply
         self.last_error = f"failed_{reply.status}"
 
-    def _note_error(self, exchange: Exchange) -> None:
+    def _record_error(self, exchange: Exchange) -> None:
         error = exchange.error
         assert error is not None
         if error.may_have_run:
@@ -369,12 +369,12 @@
         self.last_error = error.kind.value
         now_ms = self._context.clock.now_ms()
         if exchange.is_abandoned and not exchange.is_cancelled:
-            exchange.server.note_silent(now_ms, exchange)
+            exchange.server.record_silent(now_ms, exchange)
         elif exchange.is_cancelled:
-            exchange.server.note_cancelled(
+            exchange.server.record_cancelled(
                 now_ms,
                 waited_ms=now_ms - exchange.waits_since_ms,
-                usual_ms=self._context.usual.median_ms,
+                baseline_ms=self._context.baseline.median_ms,
             )
         elif error.may_have_run:
-            exchange.server.note_lost(now_ms)
+            exchange.server.record_lost(now_ms)
--- a/ibisfront/gateway/answering.py
+++ b/ibisfront/gateway/request_services.py
@@ -6,21 +6,21 @@
 
 from ibisfront.gateway.instances.rotation import Rotation
 from ibisfront.gateway.messages import CallerReply
-from ibisfront.gateway.observing import RequestTrace
+from ibisfront.gateway.observability import RequestTrace
 from ibisfront.gateway.queries.service_call import CallContext
 from ibisfront.gateway.route_state import RouteStates, caller_until_ms
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
-    from ibisfront.gateway.load.budget import ExtraBudgets
+    from ibisfront.gateway.load.retry_budget import RetryBudgets
     from ibisfront.gateway.messages import InboundRequest
-    from ibisfront.gateway.observing import Observer
+    from ibisfront.gateway.observability import Observer
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.gateway.servers.server_book import ServerBook
+    from ibisfront.gateway.servers.server_registry import ServerRegistry
     from ibisfront.gateway.state.configuration import Route, RouteTable
-    from ibisfront.gateway.wire import Wire
+    from ibisfront.gateway.wire import WireCodec
 
-__all__ = ["BAD_GATEWAY", "GATEWAY_TIMEOUT", "Answering"]
+__all__ = ["BAD_GATEWAY", "GATEWAY_TIMEOUT", "RequestServices"]
 
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
@@ -31,16 +31,16 @@
 to be tried again, short beside a deadline."""
 
 
-class Answering:
+class RequestServices:
     """The parts that forwarded requests and gathered queries share.
 
     Parameters
     ----------
-    book : ServerBook
+    registry : ServerRegistry
         The backend servers.
-    budgets : ExtraBudgets
+    budgets : RetryBudgets
         The budgets of extra sub-requests.
-    wire : Wire
+    wire : WireCodec
         The codec.
     clock : Clock
         The tier's clock.
@@ -60,8 +60,8 @@
     __slots__ = (
         "_budgets",
         "_observer",
-        "book",
         "clock",
+        "registry",
         "rotation",
         "states",
         "table",
@@ -71,15 +71,15 @@
     def __init__(
         self,
         *,
-        book: ServerBook,
-        budgets: ExtraBudgets,
-        wire: Wire,
+        registry: ServerRegistry,
+        budgets: RetryBudgets,
+        wire: WireCodec,
         clock: Clock,
         observer: Observer,
     ) -> None:
         self._budgets = budgets
         self._observer = observer
-        self.book = book
+        self.registry = registry
         self.wire = wire
         self.clock = clock
         self.states = RouteStates()
@@ -114,8 +114,8 @@
             attempts=route.attempts,
             rank=route.rank,
             has_reply_body=request.method != b"HEAD",
-            usual=self.states.of(route).usual,
-            book=self.book,
+            baseline=self.states.of(route).baseline,
+            registry=self.registry,
             budgets=self._budgets,
             clock=self.clock,
             trace=RequestTrace(request.arrived_at_ms),
@@ -128,7 +128,7 @@
         wait_ms = _RETRY_AFTER_MS if retry_after_ms is None else retry_after_ms
         return CallerReply(_UNAVAILABLE, [self.wire.retry_after(wait_ms)], b"", reason)
 
-    def out_of_reach(self) -> CallerReply:
+    def unreachable(self) -> CallerReply:
         """Return the refusal where too few servers of a route can be reached.
 
         An instance of another zone can serve the caller, once the balancer
@@ -141,17 +141,17 @@
 
     def refuse(self, request: InboundRequest, reply: CallerReply) -> CallerReply:
         """Note a request that is refused before any server is asked."""
-        self._observer.note_refused(request, reply, version=self.version)
+        self._observer.record_refused(request, reply, version=self.version)
         return reply
 
-    def note_left(
+    def record_left(
         self, request: InboundRequest, route: Route, context: CallContext
     ) -> None:
         """Note a request whose asker left before its answer."""
         now_ms = self.clock.now_ms()
-        self._observer.note_left(request, route, context.trace, now_ms)
+        self._observer.record_left(request, route, context.trace, now_ms)
 
-    def note(
+    def record(
         self,
         request: InboundRequest,
         route: Route,
@@ -161,13 +161,13 @@
         parts: str,
     ) -> None:
         """Note a request that is answered."""
-        self._observer.note_request(
+        self._observer.record_request(
             request,
             route,
             reply,
             version=self.version or 0,
             now_ms=self.clock.now_ms(),
             trace=context.trace,
-            usual=context.usual,
+            baseline=context.baseline,
             parts=parts,
         )
--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING, TypeVar
 
-from ibisfront.gateway.load.usual_latency import UsualLatency
+from ibisfront.gateway.load.baseline_latency import BaselineLatency
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -27,7 +27,7 @@
 """How long a caller waits that does not say; the route's timeout is less."""
 
 _FIRST_GUESS_SHARE = 0.15
-"""The usual latency before any reply was seen, as a share of the objective."""
+"""The baseline latency before any reply was seen, as a share of the objective."""
 
 _WORK_MARGIN_MS = 3.0
 """What this process needs from the last part to the last byte of an answer."""
@@ -56,14 +56,14 @@
 
     Attributes
     ----------
-    usual : UsualLatency
-        The usual latency of its sub-requests.
+    baseline : BaselineLatency
+        The baseline latency of its sub-requests.
     """
 
-    __slots__ = ("_longest_deadline_ms", "usual")
+    __slots__ = ("_longest_deadline_ms", "baseline")
 
     def __init__(self, route: Route) -> None:
-        self.usual = UsualLatency(route.objective_ms * _FIRST_GUESS_SHARE)
+        self.baseline = BaselineLatency(route.objective_ms * _FIRST_GUESS_SHARE)
         self._longest_deadline_ms = 0.0
 
     def objective_at_ms(self, request: InboundRequest, route: Route) -> float:
@@ -80,7 +80,7 @@
             self._longest_deadline_ms = max(self._longest_deadline_ms, deadline_ms)
             spent_ms = self._longest_deadline_ms - deadline_ms
         left_ms = route.objective_ms - spent_ms - request.network_ms - _WORK_MARGIN_MS
-        if left_ms < self.usual.median_ms:
+        if left_ms < self.baseline.median_ms:
             return math.inf
         return request.arrived_at_ms + left_ms
 
--- a/ibisfront/gateway/servers/exchange.py
+++ b/ibisfront/gateway/servers/exchange.py
@@ -41,7 +41,7 @@
     has_reply_body : bool
         Whether its reply may have a body; that to a HEAD request has none.
     may_break_off : bool
-        Whether its end may be hastened when the way to its server is cut: the
+        Whether its end may be hastened when the path to its server is cut: the
         request may be sent again, so that nothing hangs on this reply.
 
     Attributes
--- a/ibisfront/gateway/servers/pool.py
+++ b/ibisfront/gateway/servers/pool.py
@@ -11,7 +11,7 @@
 import trio
 
 from ibisfront.gateway.messages import ExchangeErrorKind
-from ibisfront.gateway.servers.server_news import ServerNews
+from ibisfront.gateway.servers.server_event_log import ServerEventLog
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
@@ -77,7 +77,7 @@
         The tier's clock.
     maximum : int
         How many connections there may be.
-    news : ServerNews, optional
+    event_log : ServerEventLog, optional
         Logs that the server cannot be reached.
 
     Attributes
@@ -89,9 +89,9 @@
     __slots__ = (
         "_clock",
         "_connections",
+        "_event_log",
         "_idle",
         "_is_closed",
-        "_news",
         "_nursery",
         "_open_connection",
         "_opening",
@@ -109,9 +109,9 @@
         nursery: trio.Nursery,
         clock: Clock,
         maximum: int,
-        news: ServerNews | None = None,
+        event_log: ServerEventLog | None = None,
     ) -> None:
-        self._news = ServerNews(clock) if news is None else news
+        self._event_log = ServerEventLog(clock) if event_log is None else event_log
         self._server = server
         self._open_connection = open_connection
         self._nursery = nursery
@@ -137,7 +137,7 @@
     def submit(self, exchange: Exchange) -> None:
         """Send an exchange, now or as soon as there is a connection."""
         now_ms = exchange.created_at_ms
-        self._server.note_submitted(exchange, now_ms)
+        self._server.record_submitted(exchange, now_ms)
         if self._is_closed:
             exchange.fail(ExchangeErrorKind.SERVER_GONE)
             return
@@ -240,10 +240,10 @@
             connection = await self._open(timeout_ms)
         except OSError as error:
             self._opening -= 1
-            self._note_unreachable(error)
+            self._record_unreachable(error)
             return
         self._opening -= 1
-        self._server.note_connected(self._clock.now_ms())
+        self._server.record_connected(self._clock.now_ms())
         self._connections.add(connection)
         try:
             self._offer(connection)
@@ -255,12 +255,12 @@
         if self._waiting and self.size < self.maximum and not self._is_closed:
             self._start_opening()
 
-    def _note_unreachable(self, error: OSError) -> None:
+    def _record_unreachable(self, error: OSError) -> None:
         entry = self._server.entry
         why = error.strerror or type(error).__name__
         what = f"Cannot be reached, {why}"
-        self._news.note(what, entry.server_id, entry.service, is_fault=True)
-        self._server.note_unreachable(self._clock.now_ms())
+        self._event_log.record(what, entry.server_id, entry.service, is_fault=True)
+        self._server.record_unreachable(self._clock.now_ms())
         if not self.size:
             self._fail_waiting(ExchangeErrorKind.CONNECT_FAILED)
 
@@ -292,7 +292,7 @@
             return False
         if not connection.send(exchange, now_ms):
             return False
-        self._server.note_sent(now_ms)
+        self._server.record_sent(now_ms)
 
         def abandon(at_once: bool) -> None:
             if at_once:
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -5,10 +5,10 @@
 import math
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.load.cold_limit import ColdLimit
+from ibisfront.gateway.load.cold_start_limit import ColdStartLimit
 
 if TYPE_CHECKING:
-    from ibisfront.gateway.instances.zone_ways import ZoneWay
+    from ibisfront.gateway.instances.zone_paths import ZonePath
     from ibisfront.gateway.load.server_load import ServerLoad
     from ibisfront.gateway.servers.exchange import Exchange
     from ibisfront.gateway.servers.pool import ServerPool
@@ -21,7 +21,7 @@
 more than one of another zone, two slow replies do."""
 
 _LARGEST_RATIO = 5.0
-"""One reply counts as at most this many times the route's usual latency, so
+"""One reply counts as at most this many times the route's baseline latency, so
 that a single pause does not look like a slow server."""
 
 _SLOWNESS_HALF_LIFE_MS = 2_500.0
@@ -53,7 +53,7 @@
 at work on one long request replies to nothing meanwhile."""
 
 _OVERDUE_FACTOR = 2.5
-"""Silence of this many usual latencies counts as a pause: twice the time after which
+"""Silence of this many baseline latencies counts as a pause: twice the time after which
 a healthy reply would already be hedged at the earliest."""
 
 _OVERDUE_FLOOR_MS = 8.0
@@ -71,8 +71,8 @@
         The time.
     is_near : bool
         Whether it is in this instance's availability zone.
-    way : ZoneWay, optional
-        The way to its zone; None for this instance's.
+    path : ZonePath, optional
+        The path to its zone; None for this instance's.
 
     Attributes
     ----------
@@ -82,7 +82,7 @@
         Whether it must get nothing more.
     is_evacuated : bool
         Whether its zone is evacuated, so that it must get nothing.
-    is_lapsed : bool
+    is_stale : bool
         Whether its entry was missing from the first list after an outage of the
         store: it may be gone, or live and not have written its entry again.
     in_flight : dict of Exchange
@@ -99,7 +99,7 @@
         When it did.
     warm_at_ms : float
         Until when it is cold.
-    cold_limit : ColdLimit
+    cold_start_limit : ColdStartLimit
         What it may get from here while it is cold.
     """
 
@@ -110,21 +110,21 @@
         "_lost_in_row",
         "_slowness",
         "_slowness_at_ms",
-        "cold_limit",
+        "cold_start_limit",
         "connected_at_ms",
         "entry",
         "in_flight",
         "is_evacuated",
         "is_gone",
-        "is_lapsed",
         "is_near",
+        "is_stale",
         "last_reply_at_ms",
         "load",
         "load_at_ms",
         "not_before_ms",
+        "path",
         "pool",
         "warm_at_ms",
-        "way",
     )
 
     def __init__(
@@ -133,21 +133,21 @@
         *,
         now_ms: float,
         is_near: bool,
-        way: ZoneWay | None = None,
+        path: ZonePath | None = None,
     ) -> None:
         self.entry = entry
-        self.way = way
+        self.path = path
         self.is_near = is_near
         self.pool: ServerPool | None = None
         self.is_gone = False
         self.is_evacuated = False
-        self.is_lapsed = False
+        self.is_stale = False
         self.in_flight: dict[Exchange, None] = {}
         self.last_reply_at_ms = -math.inf
         self.connected_at_ms = -math.inf
         self.not_before_ms = -math.inf
         self.warm_at_ms = now_ms + entry.warm_up_left_ms
-        self.cold_limit = ColdLimit()
+        self.cold_start_limit = ColdStartLimit()
         self.load: ServerLoad | None = None
         self.load_at_ms = -math.inf
         self._slowness = 1.0
@@ -163,9 +163,9 @@
         return not (self.is_gone or self.is_evacuated or self.entry.is_draining)
 
     @property
-    def is_behind_cut(self) -> bool:
-        """Whether the way to its zone is cut."""
-        return self.way is not None and self.way.is_cut
+    def is_behind_partition(self) -> bool:
+        """Whether the path to its zone is cut."""
+        return self.path is not None and self.path.is_partitioned
 
     def is_cold(self, now_ms: float) -> bool:
         """Return whether it has just started, or has become cold again."""
@@ -176,12 +176,12 @@
         if not self.is_cold(now_ms):
             return True
         waiting = sum(item.sent_at_ms is None for item in self.in_flight)
-        return self.cold_limit.has_room(now_ms, waiting=waiting)
+        return self.cold_start_limit.has_room(now_ms, waiting=waiting)
 
-    def note_sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """Take in that a request was sent to it."""
         if self.is_cold(now_ms):
-            self.cold_limit.note_sent(now_ms)
+            self.cold_start_limit.record_sent(now_ms)
 
     @property
     def last_seen_ms(self) -> float:
@@ -189,7 +189,7 @@
         return max(self.last_reply_at_ms, self.connected_at_ms)
 
     def slowness(self, now_ms: float) -> float:
-        """Return how many usual latencies one of its replies takes."""
+        """Return how many baseline latencies one of its replies takes."""
         age_ms = now_ms - self._slowness_at_ms
         left = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self._slowness - 1.0) * left
@@ -208,7 +208,7 @@
 
     def is_reachable(self, now_ms: float) -> bool:
         """Return whether it seems to be there at all, if perhaps slow."""
-        if self._is_unreachable or self.is_behind_cut:
+        if self._is_unreachable or self.is_behind_partition:
             return False
         if not self.in_flight:
             return True
@@ -216,14 +216,14 @@
         silent_ms = now_ms - max(oldest.waits_since_ms, self.last_seen_ms)
         return silent_ms <= _silence_limit_ms(oldest)
 
-    def is_overdue(self, now_ms: float, usual_ms: float) -> bool:
+    def is_overdue(self, now_ms: float, baseline_ms: float) -> bool:
         """Return whether it seems to stand still.
 
         A server pauses now and then, and a dead one falls silent. Both show
         first as a reply that is overdue; until it comes, the other servers of
         the service are the better choice.
         """
-        limit_ms = _OVERDUE_FACTOR * usual_ms + _OVERDUE_FLOOR_MS
+        limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_FLOOR_MS
         return self.silent_ms(now_ms) > limit_ms
 
     def use_entry(self, entry: ServerEntry, now_ms: float) -> None:
@@ -249,17 +249,17 @@
         Each instance begins with each server at a moment of its own, so that the work
         comes back over the warm-up.
         """
-        warm_up_ms = self.cold_limit.warm_up_ms
+        warm_up_ms = self.cold_start_limit.warm_up_ms
         self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
         begins_ms = now_ms + warm_up_share * warm_up_ms
         self.not_before_ms = max(self.not_before_ms, begins_ms)
 
-    def note_submitted(self, exchange: Exchange, now_ms: float) -> None:
+    def record_submitted(self, exchange: Exchange, now_ms: float) -> None:
         """Take in an exchange that is sent, or waits for a connection."""
         self.in_flight[exchange] = None
-        if self.way is not None:
+        if self.path is not None:
             name = self.entry.server_id
-            self.way.note_asked(name, now_ms, late_ms=exchange.expected_ms)
+            self.path.record_asked(name, now_ms, late_ms=exchange.expected_ms)
 
     def break_off(self) -> int:
         """End what waits for its reply and may be sent again; return how many."""
@@ -269,29 +269,31 @@
         return len(exchanges)
 
     def forget_losses(self) -> None:
-        """Take it for reachable and sound: what it lost was lost on a cut way."""
+        """Take it for reachable and sound: what it lost was lost on a cut path."""
         self._lost_in_row = 0
         self._is_unreachable = False
         self._failing = 0.0
         self.not_before_ms = -math.inf
 
-    def note_load(self, now_ms: float, load: ServerLoad) -> None:
+    def record_load(self, now_ms: float, load: ServerLoad) -> None:
         """Take in what it says of its load."""
         self.load = load
         self.load_at_ms = now_ms
 
-    def note_reply(self, now_ms: float, *, took_ms: float, usual_ms: float) -> None:
+    def record_reply(
+        self, now_ms: float, *, took_ms: float, baseline_ms: float
+    ) -> None:
         """Take in a reply that shows how fast it works."""
-        self.note_alive(now_ms)
+        self.record_alive(now_ms)
         self._lost_in_row = 0
         self.not_before_ms = -math.inf
-        ratio = min(took_ms / usual_ms, _LARGEST_RATIO)
-        self._note_ratio(now_ms, ratio)
+        ratio = min(took_ms / baseline_ms, _LARGEST_RATIO)
+        self._record_ratio(now_ms, ratio)
         self._failing = self.failing(now_ms) * (1.0 - _FAILURE_WEIGHT)
         self._failing_at_ms = now_ms
 
-    def note_cancelled(
-        self, now_ms: float, *, waited_ms: float, usual_ms: float
+    def record_cancelled(
+        self, now_ms: float, *, waited_ms: float, baseline_ms: float
     ) -> None:
         """Take in a reply that was not waited for any longer.
 
@@ -299,86 +301,86 @@
         server whose work is always stopped would be measured no more, seem
         healthy again within seconds, and get the next first choice.
         """
-        ratio = min(waited_ms / usual_ms, _LARGEST_RATIO)
+        ratio = min(waited_ms / baseline_ms, _LARGEST_RATIO)
         if ratio > self.slowness(now_ms):
-            self._note_ratio(now_ms, ratio)
+            self._record_ratio(now_ms, ratio)
 
-    def note_refused(self, now_ms: float, retry_after_ms: float | None) -> None:
+    def record_refused(self, now_ms: float, retry_after_ms: float | None) -> None:
         """Take in a reply that says that the request did not run."""
-        self.note_alive(now_ms)
+        self.record_alive(now_ms)
         self._lost_in_row = 0
-        self._note_failing(now_ms)
+        self._record_failing(now_ms)
         if retry_after_ms is not None:
             wait_ms = min(retry_after_ms, _FIRST_BACK_OFF_MS)
             self.not_before_ms = max(self.not_before_ms, now_ms + wait_ms)
 
-    def note_failed(self, now_ms: float) -> None:
+    def record_failed(self, now_ms: float) -> None:
         """Take in a reply that is a failure."""
-        self.note_alive(now_ms)
-        self._note_failing(now_ms)
+        self.record_alive(now_ms)
+        self._record_failing(now_ms)
 
-    def note_connected(self, now_ms: float) -> None:
+    def record_connected(self, now_ms: float) -> None:
         """Take in that a connection to it could be opened."""
         self.connected_at_ms = now_ms
-        if self.way is not None:
-            self.way.note_life()
+        if self.path is not None:
+            self.path.record_liveness()
         self._lost_in_row = 0
-        if self._is_unreachable and self.cold_limit.share is not None:
+        if self._is_unreachable and self.cold_start_limit.share is not None:
             # It may have started again, which the store says a moment later.
-            warm_up_ms = self.cold_limit.warm_up_ms
+            warm_up_ms = self.cold_start_limit.warm_up_ms
             self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
         self._is_unreachable = False
         self.not_before_ms = -math.inf
 
-    def note_unreachable(self, now_ms: float) -> None:
+    def record_unreachable(self, now_ms: float) -> None:
         """Take in that no connection to it could be opened."""
         self._is_unreachable = True
-        self.note_lost(now_ms)
+        self.record_lost(now_ms)
 
-    def note_no_life(self, now_ms: float) -> None:
+    def record_liveness_failure(self, now_ms: float) -> None:
         """Take in that it did not even reply whether it is there."""
-        self.note_unreachable(now_ms)
-        if self.way is not None:
-            self.way.suspect()
+        self.record_unreachable(now_ms)
+        if self.path is not None:
+            self.path.suspect()
 
-    def note_silent(self, now_ms: float, exchange: Exchange) -> None:
+    def record_silent(self, now_ms: float, exchange: Exchange) -> None:
         """Take in that a reply was waited for in vain, long past its use."""
         if now_ms - self.last_seen_ms > _silence_limit_ms(exchange):
             self._is_unreachable = True
-        self.note_lost(now_ms)
+        self.record_lost(now_ms)
 
-    def note_lost(self, now_ms: float) -> None:
+    def record_lost(self, now_ms: float) -> None:
         """Take in a connection that was lost.
 
         A server that resets connections may only have too many of them; it
         is left alone for a while, and still counts as there.
         """
-        self._note_failing(now_ms)
+        self._record_failing(now_ms)
         self._lost_in_row += 1
         if self._lost_in_row >= _DEAD_AFTER:
             doublings = self._lost_in_row - _DEAD_AFTER
             wait_ms = min(_FIRST_BACK_OFF_MS * 2**doublings, _LONGEST_BACK_OFF_MS)
             self.not_before_ms = max(self.not_before_ms, now_ms + wait_ms)
 
-    def note_alive(self, now_ms: float) -> None:
+    def record_alive(self, now_ms: float) -> None:
         """Take in a reply that says only that it is there."""
         self.last_reply_at_ms = now_ms
-        if self.way is not None:
-            self.way.note_life()
+        if self.path is not None:
+            self.path.record_liveness()
         self._is_unreachable = False
 
-    def _note_ratio(self, now_ms: float, ratio: float) -> None:
-        """Take in how many usual latencies a reply has taken."""
+    def _record_ratio(self, now_ms: float, ratio: float) -> None:
+        """Take in how many baseline latencies a reply has taken."""
         slowness = self.slowness(now_ms)
         self._slowness = slowness + _SLOWNESS_WEIGHT * (ratio - slowness)
         self._slowness_at_ms = now_ms
 
-    def _note_failing(self, now_ms: float) -> None:
+    def _record_failing(self, now_ms: float) -> None:
         failing = self.failing(now_ms)
         self._failing = failing + _FAILURE_WEIGHT * (1.0 - failing)
         self._failing_at_ms = now_ms
 
 
 def _silence_limit_ms(exchange: Exchange) -> float:
-    """Return after how much silence an open exchange shows a cut way."""
+    """Return after how much silence an open exchange shows a cut path."""
     return max(_UNREACHABLE_MS, _UNREACHABLE_FACTOR * exchange.expected_ms)
--- a/ibisfront/gateway/servers/server_news.py
+++ b/ibisfront/gateway/servers/server_event_log.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
 
-__all__ = ["ServerNews"]
+__all__ = ["ServerEventLog"]
 
 _LOG = part_logger(LogPart.BACKEND)
 
@@ -17,7 +17,7 @@
 """Servers that one line names: those of one zone's part of a release."""
 
 
-class ServerNews:
+class ServerEventLog:
     """Gathers what befalls servers, and logs it in a line for each kind.
 
     Hundreds of servers come, leave or fall silent together. A line for each spends
@@ -36,7 +36,7 @@
         self._by_what: dict[tuple[str, bool], list[str]] = {}
         self._first_ms = 0.0
 
-    def note(
+    def record(
         self, what: str, server_id: str, service: str, *, is_fault: bool = False
     ) -> None:
         """Note what has befallen a server, to be told with the next lines."""
--- a/ibisfront/gateway/servers/server_book.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from ibisfront.core.logs import LogPart, part_logger
-from ibisfront.gateway.instances.zone_ways import ZoneWays
+from ibisfront.gateway.instances.zone_paths import ZonePaths
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
-from ibisfront.gateway.servers.server_news import ServerNews
+from ibisfront.gateway.servers.server_event_log import ServerEventLog
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -18,11 +18,11 @@
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.servers.server_entry import ServerEntry
 
-__all__ = ["BIRTHS_KEPT", "LAPSE_GRACE_MS", "ServerBook"]
+__all__ = ["BIRTHS_KEPT", "STALE_ENTRY_GRACE_MS", "ServerRegistry"]
 
 _LOG = part_logger(LogPart.BACKEND)
 
-LAPSE_GRACE_MS = 2_600.0
+STALE_ENTRY_GRACE_MS = 2_600.0
 """How long a server whose entry lapsed while the store was away stays in use
 after the store is back: live servers write theirs again within about two
 seconds; what is missing then has gone."""
@@ -32,7 +32,7 @@
 is told from that of a new one: one is seconds late, and a thousand leave in hours."""
 
 
-class ServerBook:
+class ServerRegistry:
     """Every backend server that may be asked.
 
     A server may start again under the id that it had. It knows nothing of
@@ -47,9 +47,9 @@
         Makes the connections of a server.
     zone : str
         This instance's availability zone.
-    ways : ZoneWays, optional
-        The ways to other zones, which the books of an instance share.
-    news : ServerNews, optional
+    paths : ZonePaths, optional
+        The paths to other zones, which the registries of an instance share.
+    event_log : ServerEventLog, optional
         Logs what befalls servers; without it nothing is told.
     evacuated : frozenset of str or None, optional
         The zones whose servers get nothing; None if that is yet to be learnt.
@@ -61,12 +61,12 @@
         "_clock",
         "_complete_at_ms",
         "_evacuated",
+        "_event_log",
         "_gone_born_ms",
         "_is_listed",
-        "_lapsed",
         "_make_pool",
-        "_news",
-        "_ways",
+        "_paths",
+        "_stale",
         "_zone",
     )
 
@@ -76,18 +76,18 @@
         clock: Clock,
         make_pool: Callable[[Server], ServerPool],
         zone: str,
-        ways: ZoneWays | None = None,
-        news: ServerNews | None = None,
+        paths: ZonePaths | None = None,
+        event_log: ServerEventLog | None = None,
         evacuated: frozenset[str] | None = frozenset(),
     ) -> None:
-        self._news = ServerNews(clock) if news is None else news
-        self._ways = ZoneWays(zone) if ways is None else ways
+        self._event_log = ServerEventLog(clock) if event_log is None else event_log
+        self._paths = ZonePaths(zone) if paths is None else paths
         self._zone = zone
         self._clock = clock
         self._make_pool = make_pool
         self._by_id: dict[str, Server] = {}
         self._by_service: dict[str, list[Server]] = {}
-        self._lapsed: dict[str, float] = {}
+        self._stale: dict[str, float] = {}
         self._complete_at_ms = -math.inf
         self._gone_born_ms: dict[str, int] = {}
         self._evacuated = evacuated
@@ -146,7 +146,11 @@
         """Connect to servers that seem cut off and have been left alone."""
         now_ms = self._clock.now_ms()
         for server in self._by_id.values():
-            if server.pool is None or not server.is_usable or server.is_behind_cut:
+            if (
+                server.pool is None
+                or not server.is_usable
+                or server.is_behind_partition
+            ):
                 continue
             if not server.is_reachable(now_ms) and now_ms >= server.not_before_ms:
                 server.pool.probe()
@@ -155,9 +159,9 @@
         """Return all servers that are not gone."""
         return self._by_id.values()
 
-    def lapsed(self) -> frozenset[str]:
+    def stale(self) -> frozenset[str]:
         """Return the ids of those whose entries have lapsed and may come back."""
-        return frozenset(self._lapsed)
+        return frozenset(self._stale)
 
     @property
     def may_lack_servers(self) -> bool:
@@ -176,11 +180,11 @@
             return
         known = self._by_id.get(server_id)
         if known is not None:
-            self._lapsed.pop(server_id, None)
-            known.is_lapsed = False
+            self._stale.pop(server_id, None)
+            known.is_stale = False
         if known is not None and known.entry.is_same_server(entry):
             if entry.is_draining and not known.entry.is_draining:
-                self._news.note("Draining", server_id, entry.service)
+                self._event_log.record("Draining", server_id, entry.service)
             known.use_entry(entry, self._clock.now_ms())
             return
         if known is not None:
@@ -195,13 +199,13 @@
             entry,
             now_ms=self._clock.now_ms(),
             is_near=is_near,
-            way=self._ways.to(entry.zone),
+            path=self._paths.to(entry.zone),
         )
         server.pool = self._make_pool(server)
         server.is_evacuated = entry.zone in (self._evacuated or ())
         self._by_id[entry.server_id] = server
         self._by_service.setdefault(entry.service, []).append(server)
-        self._news.note("Listed", entry.server_id, entry.service)
+        self._event_log.record("Listed", entry.server_id, entry.service)
 
     def _newest_born_ms(self, server_id: str) -> int:
         """Return the newest start of a server that is listed, or was; 0 for none."""
@@ -210,7 +214,7 @@
             return known.entry.born_ms
         return self._gone_born_ms.get(server_id, 0)
 
-    def _note_gone(self, entry: ServerEntry) -> None:
+    def _record_gone(self, entry: ServerEntry) -> None:
         if not entry.born_ms:
             return
         self._gone_born_ms.pop(entry.server_id, None)
@@ -248,15 +252,15 @@
         for entry in listed.values():
             self.put(entry)
         if after_outage:
-            self._complete_at_ms = self._clock.now_ms() + LAPSE_GRACE_MS
+            self._complete_at_ms = self._clock.now_ms() + STALE_ENTRY_GRACE_MS
         for server_id in [name for name in self._by_id if name not in listed]:
             if after_outage and server_id not in unreadable:
-                self._lapsed.setdefault(server_id, self._complete_at_ms)
-                self._by_id[server_id].is_lapsed = True
+                self._stale.setdefault(server_id, self._complete_at_ms)
+                self._by_id[server_id].is_stale = True
             else:
                 self._remove(server_id, "it is not listed any more")
 
-    def remove_lapsed(self) -> bool:
+    def remove_stale(self) -> bool:
         """Drop servers whose entries did not come back in time.
 
         Returns
@@ -265,7 +269,7 @@
             Whether what may be passed on has changed.
         """
         now_ms = self._clock.now_ms()
-        due = [name for name, at_ms in self._lapsed.items() if at_ms <= now_ms]
+        due = [name for name, at_ms in self._stale.items() if at_ms <= now_ms]
         for server_id in due:
             self._remove(server_id, "its entry lapsed and did not come back")
         is_complete_now = self.may_lack_servers and now_ms >= self._complete_at_ms
@@ -274,12 +278,12 @@
         return bool(due) or is_complete_now
 
     def _remove(self, server_id: str, why: str, *, is_reborn: bool = False) -> None:
-        self._lapsed.pop(server_id, None)
+        self._stale.pop(server_id, None)
         server = self._by_id.pop(server_id, None)
         if server is None:
             return
         server.is_gone = True
-        self._note_gone(server.entry)
+        self._record_gone(server.entry)
         servers = self._by_service[server.entry.service]
         servers.remove(server)
         if not servers:
@@ -290,4 +294,4 @@
             server.pool.retire()
         elif server.pool is not None:
             server.pool.close()
-        self._news.note(f"Gone, {why}", server_id, server.entry.service)
+        self._event_log.record(f"Gone, {why}", server_id, server.entry.service)
--- a/ibisfront/gateway/state/feed.py
+++ b/ibisfront/gateway/state/kind_watch.py
@@ -15,9 +15,15 @@
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
-    from ibisfront.gateway.state.store import KindFeed, Listing, ObjectChange
+    from ibisfront.gateway.state.store import KindClient, Listing, ObjectChange
 
-__all__ = ["DEFAULT_OPTIONS", "FeedTarget", "FollowOptions", "StoreOutage", "follow"]
+__all__ = [
+    "DEFAULT_OPTIONS",
+    "StoreOutage",
+    "WatchOptions",
+    "WatchTarget",
+    "watch_kind",
+]
 
 _LOG = part_logger(LogPart.PLATFORM)
 
@@ -35,14 +41,14 @@
 
 
 _OTHERS_WAIT_MS = 3_000.0
-"""How long the feeds that do not try the store wait for the one that does: it may be
+"""How long the watches that do not try the store wait for the one that does: it may be
 turned away for reasons of its own."""
 
 
 class StoreOutage:
-    """Lets one of several feeds try a store that does not answer.
+    """Lets one of several watches try a store that does not answer.
 
-    Each call has its price, also a refused one, and the store that answers one feed of
+    Each call has its price, also a refused one, and the store that answers one watch of
     an instance answers the others too.
 
     Parameters
@@ -59,12 +65,12 @@
         self._trying: str | None = None
 
     async def wait(self, name: str, wait_ms: float, *, clock: Clock) -> None:
-        """Wait before a feed's next try.
+        """Wait before a watch's next try.
 
         Parameters
         ----------
         name : str
-            The feed.
+            The kind.
         wait_ms : float
             How long it waits if it is the one that tries.
         clock : Clock
@@ -79,14 +85,14 @@
             await self._over.wait()
         await clock.sleep_ms(self._after_ms)
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Take in that the store answers."""
         self._trying = None
         self._over.set()
         self._over = trio.Event()
 
 
-class FollowOptions(msgspec.Struct, frozen=True):
+class WatchOptions(msgspec.Struct, frozen=True):
     """How a kind is followed.
 
     Attributes
@@ -105,14 +111,14 @@
     after_outage_ms: float = 0.0
 
 
-DEFAULT_OPTIONS = FollowOptions()
+DEFAULT_OPTIONS = WatchOptions()
 
 
 def _ignore() -> None:
     """Stand in for a target that need not know."""
 
 
-class FeedTarget(msgspec.Struct, frozen=True):
+class WatchTarget(msgspec.Struct, frozen=True):
     """What takes in the objects of a kind.
 
     Attributes
@@ -133,12 +139,12 @@
     away: Callable[[], None] = _ignore
 
 
-async def follow(
-    feed: KindFeed,
-    target: FeedTarget,
+async def watch_kind(
+    client: KindClient,
+    target: WatchTarget,
     *,
     clock: Clock,
-    options: FollowOptions = DEFAULT_OPTIONS,
+    options: WatchOptions = DEFAULT_OPTIONS,
     outage: StoreOutage | None = None,
 ) -> None:
     """List the objects of a kind, then watch them, until cancelled.
@@ -148,16 +154,16 @@
 
     Parameters
     ----------
-    feed : KindFeed
+    client : KindClient
         Lists and watches the kind.
-    target : FeedTarget
+    target : WatchTarget
         Takes in what it brings.
     clock : Clock
         The tier's clock.
-    options : FollowOptions
+    options : WatchOptions
         How to begin, and how to go on in an outage.
     outage : StoreOutage, optional
-        What the feeds of an instance share; without it each tries for itself.
+        What the watches of an instance share; without it each tries for itself.
     """
     outage = StoreOutage() if outage is None else outage
     backoff = Backoff(
@@ -168,14 +174,14 @@
     was_away = options.was_away
     while True:
         try:
-            listing = await feed.list_all()
-            outage.note_answer()
+            listing = await client.list_all()
+            outage.record_answer()
             target.replace(listing, was_away)
             if was_away:
                 _LOG.info("The store answers again for %s.", target.name)
             was_away = False
             backoff.reset()
-            await _watch(feed, target, listing.revision, clock)
+            await _watch(client, target, listing.revision, clock)
         except StoreError as error:
             if error.kind is StoreErrorKind.HISTORY_GONE:
                 _LOG.info("The history of %s is gone: listed anew.", target.name)
@@ -185,15 +191,15 @@
                 _LOG.warning("The store does not serve %s: %s.", target.name, error)
             was_away = True
             target.away()
-            feed.close()
+            client.close()
             await outage.wait(target.name, backoff.next_ms(), clock=clock)
 
 
 async def _watch(
-    feed: KindFeed, target: FeedTarget, revision: int, clock: Clock
+    client: KindClient, target: WatchTarget, revision: int, clock: Clock
 ) -> None:
     while True:
-        answer = await feed.watch(revision)
+        answer = await client.watch(revision)
         revision = answer.revision
         if answer.changes:
             target.change(answer.changes)
--- a/ibisfront/gateway/state/relays.py
+++ b/ibisfront/gateway/state/relay_topology.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.instances.gatherers import strongest_first
+from ibisfront.gateway.instances.coordinators import strongest_first
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from ibisfront.gateway.instances.directory import InstanceEntry
 
-__all__ = ["Relays"]
+__all__ = ["RelayTopology"]
 
 _MOST_WATCHERS = 12
 """Up to so many instances each watch the store: a change then takes one way
@@ -22,7 +22,7 @@
 in while one is lost and another is turned away by the store."""
 
 
-class Relays:
+class RelayTopology:
     """The instances that pass the store's state on to the others.
 
     Each call of the store has a price, and its rates grow more slowly than the
--- a/ibisfront/gateway/state/state_relay.py
+++ b/ibisfront/gateway/state/state_relay.py
@@ -25,12 +25,12 @@
 
 __all__ = [
     "FRESH_WAIT_MS",
-    "AskedState",
-    "KnownState",
+    "LocalState",
     "RelayedState",
     "StateClient",
+    "StateRequest",
     "StateSource",
-    "ask_state",
+    "request_state",
 ]
 
 _LOG = part_logger(LogPart.PEERS)
@@ -120,7 +120,7 @@
         return self.configuration is not None or self.configuration_change is not None
 
 
-class AskedState(msgspec.Struct, frozen=True):
+class StateRequest(msgspec.Struct, frozen=True):
     """What an instance says when it asks another one.
 
     Attributes
@@ -137,7 +137,7 @@
     known_version: int = 0
 
 
-class KnownState(msgspec.Struct, frozen=True):
+class LocalState(msgspec.Struct, frozen=True):
     """What an instance knows now: the newest of each.
 
     Attributes
@@ -148,7 +148,7 @@
         The servers that the store lists.
     instances : list of InstanceEntry
         All instances.
-    lapsed : frozenset of str
+    stale : frozenset of str
         Servers that the store does not list and that are kept for a while, in
         case they have not written their entries again after an outage.
     may_lack_servers : bool
@@ -160,7 +160,7 @@
     configuration: Configuration | None
     servers: list[ServerEntry]
     instances: list[InstanceEntry]
-    lapsed: frozenset[str] = frozenset()
+    stale: frozenset[str] = frozenset()
     may_lack_servers: bool = False
     evacuated: frozenset[str] | None = None
 
@@ -199,19 +199,19 @@
         "_is_cut_off",
         "_is_fresh",
         "_known",
-        "_lapsed",
         "_may_become_fresh",
         "_may_lack_servers",
         "_removed",
         "_revision",
         "_revisions",
+        "_stale",
         "_state",
     )
 
     def __init__(
         self,
         *,
-        state: Callable[[], KnownState],
+        state: Callable[[], LocalState],
         is_fresh: Callable[[], bool],
         may_become_fresh: Callable[[], bool],
         is_cut_off: Callable[[], bool],
@@ -230,10 +230,10 @@
         self._known: dict[str, ServerEntry] = {}
         self._revisions: dict[str, int] = {}
         self._removed: dict[str, int] = {}
-        self._lapsed: frozenset[str] = frozenset()
+        self._stale: frozenset[str] = frozenset()
         self._may_lack_servers = False
         self._history = ConfigurationHistory()
-        self._encoded: dict[tuple[AskedState, bool, bool], bytes] = {}
+        self._encoded: dict[tuple[StateRequest, bool, bool], bytes] = {}
         self._instances_revision = self._revision
         self._evacuated: frozenset[str] | None = None
         self._evacuated_revision = self._revision
@@ -251,7 +251,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """Note that the configuration or a server may have changed."""
         state = self._state()
         revision = self._revision + 1
@@ -265,20 +265,20 @@
         if state.evacuated != self._evacuated:
             self._evacuated, self._evacuated_revision = state.evacuated, revision
             changed = True
-        changed = self._note_servers(state, revision) or changed
+        changed = self._record_servers(state, revision) or changed
         self._forget_removed()
         if changed:
             self._revision = revision
             self._encoded.clear()
             self.wake_askers()
 
-    def _note_servers(self, state: KnownState, revision: int) -> bool:
+    def _record_servers(self, state: LocalState, revision: int) -> bool:
         """Take in the servers; return whether followers must hear of a change."""
-        before = (self._lapsed, self._may_lack_servers)
-        if before != (state.lapsed, state.may_lack_servers):
+        before = (self._stale, self._may_lack_servers)
+        if before != (state.stale, state.may_lack_servers):
             self._encoded.clear()
-        came_back = self._lapsed - state.lapsed
-        self._lapsed = state.lapsed
+        came_back = self._stale - state.stale
+        self._stale = state.stale
         self._may_lack_servers = state.may_lack_servers
         changed = False
         listed = {entry.server_id: entry for entry in state.servers}
@@ -289,7 +289,7 @@
                 self._removed.pop(server_id, None)
                 changed = True
         # Those that have only lapsed are not told to be gone.
-        for server_id in self._known.keys() - listed.keys() - state.lapsed:
+        for server_id in self._known.keys() - listed.keys() - state.stale:
             del self._known[server_id]
             del self._revisions[server_id]
             self._removed[server_id] = revision
@@ -302,7 +302,7 @@
             oldest = next(iter(self._removed))
             self._first = self._removed.pop(oldest)
 
-    async def answer(self, asked: AskedState) -> bytes:
+    async def answer(self, asked: StateRequest) -> bytes:
         """Return what has changed, at once or after a wait for a change."""
         if not self._is_fresh():
             await self._wait_until_fresh()
@@ -318,7 +318,7 @@
         newest = self._history.newest
         return 0 if newest is None else newest.version
 
-    def _is_up_to_date(self, asked: AskedState) -> bool:
+    def _is_up_to_date(self, asked: StateRequest) -> bool:
         """Return whether there is nothing to tell an asker.
 
         One that asked while its version changed may have got a change to
@@ -327,7 +327,7 @@
         knows_version = asked.known_version >= self._version
         return knows_version and asked.known_revision == self._revision
 
-    def _encoded_for(self, asked: AskedState) -> bytes:
+    def _encoded_for(self, asked: StateRequest) -> bytes:
         """Return the encoded answer.
 
         All followers ask for the same change at once; encoded for each, it would take
@@ -352,7 +352,7 @@
         while self._may_become_fresh() and self._clock.now_ms() < until_ms:
             await self._clock.sleep_ms(_FRESH_CHECK_MS)
 
-    def _since(self, asked: AskedState) -> RelayedState:
+    def _since(self, asked: StateRequest) -> RelayedState:
         is_whole = not self._first <= asked.known_revision <= self._revision
         since = 0 if is_whole else asked.known_revision
         configuration, change = self._configuration_since(asked.known_version)
@@ -371,7 +371,7 @@
             servers=[
                 entry
                 for server_id, entry in self._known.items()
-                if self._revisions[server_id] > since and server_id not in self._lapsed
+                if self._revisions[server_id] > since and server_id not in self._stale
             ],
             removed=[
                 server_id
@@ -397,15 +397,15 @@
 class StateClient(Protocol):
     """Asks one other instance for its state."""
 
-    async def ask(self, asked: AskedState, *, timeout_ms: float) -> bytes:
+    async def ask(self, asked: StateRequest, *, timeout_ms: float) -> bytes:
         """Return an encoded ``RelayedState``; raises ``OSError``."""
 
     def close(self) -> None:
         """Close the connection."""
 
 
-async def ask_state(
-    client: StateClient, asked: AskedState, *, name: str
+async def request_state(
+    client: StateClient, asked: StateRequest, *, name: str
 ) -> RelayedState | None:
     """Ask another instance once.
 
@@ -413,7 +413,7 @@
     ----------
     client : StateClient
         Asks the instance.
-    asked : AskedState
+    asked : StateRequest
         What is known here.
     name : str
         The instance, for the log.
