--- a/ibisfront/gateway/state/state_feed.py
+++ b/ibisfront/gateway/state/state_sync.py
@@ -13,22 +13,22 @@
 import trio
 
 from ibisfront.core.logs import LogPart, part_logger
-from ibisfront.gateway.state.feed import FollowOptions
+from ibisfront.gateway.state.kind_watch import WatchOptions
 from ibisfront.gateway.state.state_relay import (
     FRESH_WAIT_MS,
-    AskedState,
     RelayedState,
     StateClient,
-    ask_state,
+    StateRequest,
+    request_state,
 )
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
     from ibisfront.core.types import Address
     from ibisfront.gateway.instances.directory import InstanceEntry
-    from ibisfront.gateway.state.relays import Relays
+    from ibisfront.gateway.state.relay_topology import RelayTopology
 
-__all__ = ["StateFeed"]
+__all__ = ["StateSync"]
 
 _LOG = part_logger(LogPart.PEERS)
 
@@ -114,7 +114,7 @@
     WATCHING = "watching"
 
 
-class StateFeed:
+class StateSync:
     """Keeps the configuration, the servers and the instances up to date.
 
     It follows one of the instances that watch the store. While none can be
@@ -123,7 +123,7 @@
 
     Parameters
     ----------
-    relays : Relays
+    topology : RelayTopology
         Whom to follow.
     connect : callable
         Returns a client that asks the instance at an address.
@@ -156,7 +156,7 @@
         "_connect",
         "_deaf",
         "_is_first_start",
-        "_is_told_cut_off",
+        "_is_reported_cut_off",
         "_kinds",
         "_known_version",
         "_listed",
@@ -164,10 +164,10 @@
         "_next_look_ms",
         "_on_cut_off",
         "_on_lost",
-        "_relays",
         "_seeds",
         "_store_was_away",
         "_take",
+        "_topology",
         "_watch",
         "_watch_started_ms",
         "away",
@@ -176,9 +176,9 @@
     def __init__(
         self,
         *,
-        relays: Relays,
+        topology: RelayTopology,
         connect: Callable[[Address], StateClient],
-        watch: Callable[[trio.Nursery, FollowOptions], None],
+        watch: Callable[[trio.Nursery, WatchOptions], None],
         take: Callable[[RelayedState], None],
         on_cut_off: Callable[[str, bool], None],
         on_lost: Callable[[str], None],
@@ -189,7 +189,7 @@
     ) -> None:
         self._is_first_start = is_first_start
         self._next_look_ms = math.inf
-        self._relays = relays
+        self._topology = topology
         self._connect = connect
         self._watch = watch
         self._take = take
@@ -202,7 +202,7 @@
         self._listed = trio.Event()
         self._watch_started_ms = -math.inf
         self._kinds = 0
-        self._is_told_cut_off = False
+        self._is_reported_cut_off = False
         # Who answered the last look without hearing the store.
         self._deaf: set[str] = set()
         self.away: set[str] = set()
@@ -247,7 +247,7 @@
         has_listed = self._mode is _Mode.WATCHING and len(self.away) < self._kinds
         return not has_listed and not self._known_version()
 
-    def note_listed(self) -> None:
+    def record_listed(self) -> None:
         """Note that the list of instances was read, or could not be."""
         self._listed.set()
 
@@ -255,7 +255,7 @@
         """Keep up to date until cancelled."""
         await self._listed.wait()
         async with trio.open_nursery() as nursery:
-            if not self._relays.is_known:
+            if not self._topology.is_known:
                 nursery.start_soon(self._ask_seeds)
             await self._keep_up()
 
@@ -266,14 +266,14 @@
                 source = await self._outlast_outage()
             if source is None:
                 source = await self._watch_until_found()
-            elif self._relays.sources and source.is_near:
+            elif self._topology.sources and source.is_near:
                 await self._follow(source)
                 source = await self._look()
             else:
                 with self._clock.timeout_ms(_FOLLOW_NEIGHBOUR_MS):
                     await self._follow(source)
                 self._mode = _Mode.SEEKING
-                source = await self._look() if self._relays.sources else None
+                source = await self._look() if self._topology.sources else None
 
     async def _ask_seeds(self) -> None:
         """Take what other instances know while the store is away at the start.
@@ -297,10 +297,10 @@
 
     async def _look_at_start(self) -> _Source | None:
         """Look for an instance to follow while all may be starting."""
-        if self._relays.is_source and not self._is_first_start:
+        if self._topology.is_source and not self._is_first_start:
             return await self._look_as_stand_in()
         until_ms = self._clock.now_ms() + _START_PATIENCE_MS
-        while self._relays.sources:
+        while self._topology.sources:
             source = await self._look()
             if source is not None or self._clock.now_ms() >= until_ms:
                 return source
@@ -310,8 +310,10 @@
     async def _look_as_stand_in(self) -> _Source | None:
         """Look for one to follow, and give up soon: others wait for this one."""
         source = None
-        with self._clock.timeout_ms(_STAND_IN_PATIENCE_MS * len(self._relays.sources)):
-            while source is None and self._relays.sources:
+        with self._clock.timeout_ms(
+            _STAND_IN_PATIENCE_MS * len(self._topology.sources)
+        ):
+            while source is None and self._topology.sources:
                 source = await self._look()
                 if source is None:
                     await self._clock.sleep_ms(_START_PAUSE_MS)
@@ -323,11 +325,11 @@
     async def _look(self) -> _Source | None:
         """Return a source that hears the store; None if none does."""
         self._deaf.clear()
-        self._is_told_cut_off = False
-        source = await self._ask_in_turn(self._relays.sources)
+        self._is_reported_cut_off = False
+        source = await self._ask_in_turn(self._topology.sources)
         if source is not None:
             return source
-        if self._is_told_cut_off:
+        if self._is_reported_cut_off:
             # Nobody elsewhere can be reached; asking them would put off the next
             # look, and with it what keeps this instance out of rotation.
             return None
@@ -370,7 +372,7 @@
         the others know them a moment later.
         """
         until_ms = self._clock.now_ms() + _OUTLAST_MS
-        while len(self._deaf) >= _DEAF_INSTANCES and not self._relays.is_source:
+        while len(self._deaf) >= _DEAF_INSTANCES and not self._topology.is_source:
             if self._clock.now_ms() >= until_ms:
                 return None
             await self._clock.sleep_ms(_LOOK_IN_OUTAGE_MS)
@@ -388,7 +390,7 @@
         found: list[_Source] = []
 
         async def ask(entry: InstanceEntry) -> None:
-            is_near = self._relays.is_near(entry)
+            is_near = self._topology.is_near(entry)
             source = await self._ask(entry.name, entry.address, is_near=is_near)
             if source is None:
                 return
@@ -398,7 +400,7 @@
             found.append(source)
             nursery.cancel_scope.cancel()
 
-        neighbours = self._relays.neighbours
+        neighbours = self._topology.neighbours
         count = min(len(neighbours), _ASKED_NEIGHBOURS)
         async with trio.open_nursery() as nursery:
             for entry in random.sample(neighbours, count):
@@ -412,8 +414,8 @@
         client = self._connect(address)
         with ExitStack() as stack:
             stack.callback(client.close)
-            asked = AskedState(0, self._known_version())
-            state = await ask_state(client, asked, name=name)
+            asked = StateRequest(0, self._known_version())
+            state = await request_state(client, asked, name=name)
             self._heed(name, state, is_near=is_near)
             if state is None or not state.is_fresh:
                 return None
@@ -427,7 +429,7 @@
             return
         if is_near:
             self._on_cut_off(name, state.is_cut_off)
-            self._is_told_cut_off = state.is_cut_off or self._is_told_cut_off
+            self._is_reported_cut_off = state.is_cut_off or self._is_reported_cut_off
         if not state.is_fresh:
             _LOG.info("%s does not hear the store.", name)
             self._deaf.add(name)
@@ -447,15 +449,15 @@
                 if state.revision != revision or state.brings_configuration:
                     self._take(state)
                 revision = state.revision
-                asked = AskedState(revision, self._known_version())
-                state = await ask_state(source.client, asked, name=source.name)
+                asked = StateRequest(revision, self._known_version())
+                state = await request_state(source.client, asked, name=source.name)
                 self._heed(source.name, state, is_near=source.is_near)
         self._mode = _Mode.SEEKING
 
-    def _options(self) -> FollowOptions:
-        if self._relays.is_source or not self._relays.sources:
-            return FollowOptions(self._store_was_away)
-        return FollowOptions(
+    def _options(self) -> WatchOptions:
+        if self._topology.is_source or not self._topology.sources:
+            return WatchOptions(self._store_was_away)
+        return WatchOptions(
             self._store_was_away,
             _FOLLOWER_BACK_OFF_MS,
             after_outage_ms=_LOOK_IN_OUTAGE_MS,
@@ -470,14 +472,14 @@
         source = None
         async with trio.open_nursery() as nursery:
             self._mode = _Mode.WATCHING
-            is_source = self._relays.is_source
+            is_source = self._topology.is_source
             self._watch_started_ms = self._clock.now_ms()
             _LOG.info("The store is watched from here from now on.")
             self._watch(nursery, self._options())
             self._kinds = len(self.away)
             looked_ms = self._watch_started_ms
             # Others follow this instance now, or no more: it watches anew.
-            while source is None and self._relays.is_source is is_source:
+            while source is None and self._topology.is_source is is_source:
                 await self._clock.sleep_ms(_CHECK_MS)
                 pause_ms = _LOOK_IN_OUTAGE_MS if self.away else _LOOK_MS
                 now_ms = self._clock.now_ms()
--- a/ibisfront/gateway/state/store.py
+++ b/ibisfront/gateway/state/store.py
@@ -10,7 +10,7 @@
 
 __all__ = [
     "Changes",
-    "KindFeed",
+    "KindClient",
     "Listing",
     "ObjectChange",
     "StoreError",
@@ -91,7 +91,7 @@
         self.kind = kind
 
 
-class KindFeed(Protocol):
+class KindClient(Protocol):
     """Reads the objects of one kind and their changes."""
 
     async def list_all(self) -> Listing:
--- a/ibisfront/gateway/wire.py
+++ b/ibisfront/gateway/wire.py
@@ -16,13 +16,13 @@
     )
     from ibisfront.http1.parser import RawMessage
 
-__all__ = ["EncodeFor", "Wire"]
+__all__ = ["EncodeFor", "WireCodec"]
 
 EncodeFor: TypeAlias = Callable[[str, float], bytes]
 """Writes a request for one server: takes its id and the time left in ms."""
 
 
-class Wire(msgspec.Struct, frozen=True):
+class WireCodec(msgspec.Struct, frozen=True):
     """The codec of requests and replies.
 
     Attributes
--- a/ibisfront/http1/backend_connection.py
+++ b/ibisfront/http1/backend_connection.py
@@ -204,7 +204,7 @@
                 # the connection is not used again.
                 self._is_dirty = True
                 continue
-            self._note_keep_alive(reply)
+            self._record_keep_alive(reply)
             if self._is_sending:
                 # The server replied before it had read the whole body; what
                 # it reads next must not be another request's bytes.
@@ -212,7 +212,7 @@
             self._exchange = None
             exchange.finish(reply)
 
-    def _note_keep_alive(self, reply: BackendReply) -> None:
+    def _record_keep_alive(self, reply: BackendReply) -> None:
         if reply.closes:
             self._is_dirty = True
         if reply.idle_timeout_ms is not None:
--- a/ibisfront/http1/caller_connection.py
+++ b/ibisfront/http1/caller_connection.py
@@ -18,7 +18,7 @@
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.messages import InboundRequest
     from ibisfront.gateway.state.configuration import CallerLimits
-    from ibisfront.gateway.wire import Wire
+    from ibisfront.gateway.wire import WireCodec
 
 __all__ = ["CallerConnection", "ConnectionHost"]
 
@@ -55,7 +55,7 @@
     is_stopping: bool
 
     @property
-    def wire(self) -> Wire:
+    def wire(self) -> WireCodec:
         """The codec."""
 
     @property
--- a/ibisfront/http1/caller_listener.py
+++ b/ibisfront/http1/caller_listener.py
@@ -16,7 +16,7 @@
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.messages import InboundRequest
     from ibisfront.gateway.state.configuration import CallerLimits
-    from ibisfront.gateway.wire import Wire
+    from ibisfront.gateway.wire import WireCodec
 
 __all__ = ["AnswerRequest", "CallerListener"]
 
@@ -40,7 +40,7 @@
         Where to listen; owned from now on.
     answer : callable
         Answers a request.
-    wire : Wire
+    wire : WireCodec
         The codec.
     limits : callable
         Returns what callers may send.
@@ -69,7 +69,7 @@
         sock: socket.socket,
         *,
         answer: AnswerRequest,
-        wire: Wire,
+        wire: WireCodec,
         limits: Callable[[], CallerLimits],
         clock: Clock,
     ) -> None:
@@ -155,7 +155,7 @@
         return self._limits()
 
     @property
-    def wire(self) -> Wire:
+    def wire(self) -> WireCodec:
         """The codec."""
         return self._wire
 
--- a/ibisfront/http1/state_client.py
+++ b/ibisfront/http1/state_client.py
@@ -5,26 +5,26 @@
 from typing import TYPE_CHECKING
 
 from ibisfront.gateway.state.state_codec import MAXIMUM_STATE_BYTES
-from ibisfront.gateway.state.state_relay import AskedState
+from ibisfront.gateway.state.state_relay import StateRequest
 from ibisfront.http1.client import HttpClient
 
 if TYPE_CHECKING:
     from ibisfront.core.types import Address
     from ibisfront.gateway.messages import InboundRequest
 
-__all__ = ["HttpStateClient", "asked_state"]
+__all__ = ["HttpStateClient", "parse_state_request"]
 
 _PATH = b"/ibisfront/state"
 _OK = 200
 
 
-def asked_state(request: InboundRequest) -> AskedState | None:
+def parse_state_request(request: InboundRequest) -> StateRequest | None:
     """Return what an asker says; None if it asks something else."""
     path, _, text = request.target.partition(b"?")
     if path != _PATH:
         return None
     revision, _, version = text.partition(b"&")
-    return AskedState(_number(revision), _number(version))
+    return StateRequest(_number(revision), _number(version))
 
 
 def _number(text: bytes) -> int:
@@ -45,7 +45,7 @@
     def __init__(self, address: Address) -> None:
         self._client = HttpClient(address, maximum_body_bytes=MAXIMUM_STATE_BYTES)
 
-    async def ask(self, asked: AskedState, *, timeout_ms: float) -> bytes:
+    async def ask(self, asked: StateRequest, *, timeout_ms: float) -> bytes:
         """Return an encoded ``RelayedState``; raises ``OSError``."""
         target = f"{_PATH.decode()}?{asked.known_revision}&{asked.known_version}"
         message = await self._client.call("GET", target, timeout_ms=timeout_ms)
--- a/ibisfront/lab/connections.py
+++ b/ibisfront/lab/connections.py
@@ -10,7 +10,7 @@
 import trio
 
 from ibisfront.gateway.messages import BackendReply, ExchangeErrorKind
-from ibisfront.gateway.wire import Wire
+from ibisfront.gateway.wire import WireCodec
 from ibisfront.lab.servers import Job
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
     _unused(reply)
 
 
-LAB_WIRE = Wire(
+LAB_WIRE = WireCodec(
     decode_request=_decode_request,
     encode_request=_encode_request,
     decode_reply=_decode_reply,
--- a/ibisfront/lab/deployment.py
+++ b/ibisfront/lab/deployment.py
@@ -9,13 +9,13 @@
 import numpy as np
 
 from ibisfront.core.logs import LOGGER_NAME
-from ibisfront.gateway.answering import Answering
 from ibisfront.gateway.gateway import Gateway
-from ibisfront.gateway.load.budget import ExtraBudgets
-from ibisfront.gateway.observing import Observer
+from ibisfront.gateway.load.retry_budget import RetryBudgets
+from ibisfront.gateway.observability import Observer
+from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -73,12 +73,12 @@
 
     __slots__ = (
         "_agenda",
-        "_books",
         "_by_address",
         "_clock",
         "_nursery",
         "_pattern",
         "_random",
+        "_registries",
         "gateways",
         "servers",
     )
@@ -104,7 +104,7 @@
             for shard in range(pattern.shards)
             for copy in range(pattern.servers_per_shard)
         ]
-        self._books: list[ServerBook] = []
+        self._registries: list[ServerRegistry] = []
         self._by_address = {item.entry.address: item for item in self.servers}
         self.gateways = [self._gateway(n) for n in range(pattern.gatherers)]
         for fault in pattern.faults:
@@ -114,8 +114,8 @@
         """Look after what the instances know of servers, until cancelled."""
         while True:
             await self._clock.sleep_ms(_UPKEEP_MS)
-            for book in self._books:
-                book.probe_unreachable()
+            for registry in self._registries:
+                registry.probe_unreachable()
 
     def _server(self, shard: int, copy: int) -> ModelServer:
         zone = f"z{(shard + copy) % self._pattern.zones}"
@@ -131,17 +131,17 @@
     def _gateway(self, number: int) -> Gateway:
         pattern = self._pattern
         zone = f"z{number % pattern.zones}"
-        book = ServerBook(clock=self._clock, make_pool=self._pool, zone=zone)
-        self._books.append(book)
+        registry = ServerRegistry(clock=self._clock, make_pool=self._pool, zone=zone)
+        self._registries.append(registry)
         for server in self.servers:
-            book.put(server.entry)
+            registry.put(server.entry)
         bounds = Bounds(
             extra_ratio=pattern.extra_ratio, extra_allowance=pattern.extra_allowance
         )
         gateway = Gateway(
-            Answering(
-                book=book,
-                budgets=ExtraBudgets(bounds, instances=pattern.gatherers),
+            RequestServices(
+                registry=registry,
+                budgets=RetryBudgets(bounds, instances=pattern.gatherers),
                 wire=LAB_WIRE,
                 clock=self._clock,
                 observer=Observer(),
--- a/ibisfront/lab/results.py
+++ b/ibisfront/lab/results.py
@@ -120,7 +120,7 @@
             histogram.record_value(int(took_ms * 1000.0))
 
     def result(
-        self, title: str, seed: int, *, firsts: int, arrivals: int, shed: int
+        self, title: str, seed: int, *, primaries: int, arrivals: int, shed: int
     ) -> RunResult:
         """Return the figures."""
         callers: Counter[str] = Counter()
@@ -133,7 +133,7 @@
             seed=seed,
             worth=round(self._earned.total() / max(self._owed.total(), 1e-9), 4),
             unserved=round(lost / max(staying, 1), 4),
-            extra=round(max(arrivals - firsts, 0) / max(firsts, 1), 4),
+            extra=round(max(arrivals - primaries, 0) / max(primaries, 1), 4),
             shed=shed,
             queries={name: self._figures(name) for name in sorted(self._outcomes)},
             seconds=[
--- a/ibisfront/lab/running.py
+++ b/ibisfront/lab/running.py
@@ -63,7 +63,7 @@
     return recorder.result(
         pattern.title,
         seed,
-        firsts=len(coming) * pattern.shards,
+        primaries=len(coming) * pattern.shards,
         arrivals=sum(server.arrivals for server in servers),
         shed=sum(server.shed for server in servers),
     )
--- a/ibisfront/platform/headers.py
+++ b/ibisfront/platform/headers.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.load.server_load import told_load
+from ibisfront.gateway.load.server_load import parse_reported_load
 from ibisfront.gateway.messages import BackendReply, InboundRequest
-from ibisfront.gateway.wire import EncodeFor, Wire
+from ibisfront.gateway.wire import EncodeFor, WireCodec
 from ibisfront.http1.fields import (
     OF_ONE_CONNECTION,
     encode_reply,
@@ -125,7 +125,7 @@
 
 def _read_load(reply: BackendReply, value: bytes) -> None:
     # Running, waiting, slots, and at times how long work takes, in percent.
-    reply.load = told_load(value.split(b","))
+    reply.load = parse_reported_load(value.split(b","))
     reply.has_unreadable_load = reply.load is None
 
 
@@ -157,7 +157,7 @@
     return (b"Retry-After", b"%.3f" % (wait_ms / _MILLISECONDS_PER_SECOND))
 
 
-WIRE = Wire(
+WIRE = WireCodec(
     decode_request=_decode_request,
     encode_request=_encode_request,
     decode_reply=_decode_reply,
--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -31,7 +31,7 @@
     "EVACUATIONS_KIND",
     "SERVERS_KIND",
     "PlatformDirectory",
-    "PlatformKindFeed",
+    "PlatformKindClient",
 ]
 
 _LOG = part_logger(LogPart.PLATFORM)
@@ -204,8 +204,8 @@
         self._calls.close()
 
 
-class PlatformKindFeed:
-    """Lists and watches one kind of object; see ``KindFeed``.
+class PlatformKindClient:
+    """Lists and watches one kind of object; see ``KindClient``.
 
     Parameters
     ----------
--- a/ibisfront/testing/gateway_fixture.py
+++ b/ibisfront/testing/gateway_fixture.py
@@ -11,22 +11,22 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.answering import Answering
 from ibisfront.gateway.gateway import Gateway
-from ibisfront.gateway.instances.zone_watch import ZoneWatch
-from ibisfront.gateway.instances.zone_ways import ZoneWays
-from ibisfront.gateway.load.budget import ExtraBudgets
+from ibisfront.gateway.instances.zone_path_monitor import ZonePathMonitor
+from ibisfront.gateway.instances.zone_paths import ZonePaths
+from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import (
     BackendReply,
     CallerReply,
     ExchangeErrorKind,
     InboundRequest,
 )
-from ibisfront.gateway.observing import Observer
+from ibisfront.gateway.observability import Observer
+from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -293,7 +293,7 @@
         for service in sorted(names):
             for number in range(servers):
                 self._add(service, number, latency_ms)
-        self.budgets = ExtraBudgets(Bounds(extra_allowance=allowance), instances=1)
+        self.budgets = RetryBudgets(Bounds(extra_allowance=allowance), instances=1)
         self.observer = Observer()
         self._ids = itertools.count(1)
         self._services = {name: RoutedService(name, 25) for name in names}
@@ -303,40 +303,42 @@
         """Run the gateway for the length of the block."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            ways = ZoneWays("z0")
-            self.book = ServerBook(
-                clock=self.clock, make_pool=self._make_pool, zone="z0", ways=ways
+            paths = ZonePaths("z0")
+            self.registry = ServerRegistry(
+                clock=self.clock, make_pool=self._make_pool, zone="z0", paths=paths
             )
             if self.watches_zones:
-                nursery.start_soon(self._zone_watch(ways).run)
+                nursery.start_soon(self._zone_path_monitor(paths).run)
             for servers in self.servers.values():
                 for server in servers:
-                    self.book.put(server.entry)
-            self.answering = Answering(
-                book=self.book,
+                    self.registry.put(server.entry)
+            self.request_services = RequestServices(
+                registry=self.registry,
                 budgets=self.budgets,
                 wire=WIRE,
                 clock=self.clock,
                 observer=self.observer,
             )
-            self.gateway = Gateway(self.answering)
+            self.gateway = Gateway(self.request_services)
             limits = CallerLimits()
             configuration = Configuration(1, self.routes, self._services, limits)
             self.gateway.table = RouteTable(configuration)
             yield self.gateway
             nursery.cancel_scope.cancel()
 
-    def _zone_watch(self, ways: ZoneWays) -> ZoneWatch:
-        return ZoneWatch(
-            ways=ways,
-            servers=self.book,
-            peers=ServerBook(clock=self.clock, make_pool=self._make_pool, zone="z0"),
+    def _zone_path_monitor(self, paths: ZonePaths) -> ZonePathMonitor:
+        return ZonePathMonitor(
+            paths=paths,
+            servers=self.registry,
+            peers=ServerRegistry(
+                clock=self.clock, make_pool=self._make_pool, zone="z0"
+            ),
             counters=self.observer.counters,
-            on_change=self._note_zone_change,
+            on_change=self._record_zone_change,
             clock=self.clock,
         )
 
-    def _note_zone_change(self) -> None:
+    def _record_zone_change(self) -> None:
         self.zone_changes += 1
 
     async def ask(
--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -12,19 +12,19 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.answering import Answering
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import InstanceEntry
-from ibisfront.gateway.instances.gatherers import Gatherers
-from ibisfront.gateway.load.budget import ExtraBudgets
+from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import ExchangeErrorKind, InboundRequest
-from ibisfront.gateway.observing import Observer
+from ibisfront.gateway.observability import Observer
 from ibisfront.gateway.queries.delegated_query import delegated_from
 from ibisfront.gateway.queries.delegation import Delegation
+from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -165,10 +165,10 @@
             arrived_at_ms=self.clock.now_ms(),
         )
 
-    def _gatherers(self, zone: str) -> Gatherers:
+    def _coordinators(self, zone: str) -> Coordinators:
         """Return which instances gather, as an instance sees it."""
         own = InstanceEntry(f"instance-{zone}", zone, zone)
-        gatherers = Gatherers(own)
+        coordinators = Coordinators(own)
         if self._follows:
             # The strongest of each zone gather; that of z0 is out of reach.
             listed = [
@@ -182,8 +182,8 @@
             table = RouteTable(
                 Configuration(0, (self._route,), services, CallerLimits())
             )
-            gatherers.update(listed, table)
-        return gatherers
+            coordinators.update(listed, table)
+        return coordinators
 
     async def ask(self, zone: str) -> CallerReply:
         """Ask the instance of a zone as a caller would."""
@@ -231,30 +231,30 @@
         return sum(server.running for server in self._servers.values())
 
     def _gateway(self, zone: str) -> Gateway:
-        book = ServerBook(
+        registry = ServerRegistry(
             clock=self.clock, make_pool=partial(self._pool, self._open), zone=zone
         )
         for server in self._servers.values():
-            book.put(server.entry)
-        peers = ServerBook(
+            registry.put(server.entry)
+        peers = ServerRegistry(
             clock=self.clock, make_pool=partial(self._pool, self._open_peer), zone=zone
         )
         for other in self._zones:
             if other != zone:
                 peers.put(ServerEntry(f"instance-{other}", other, other, other))
         return Gateway(
-            Answering(
-                book=book,
-                budgets=ExtraBudgets(Bounds(extra_allowance=1000.0), instances=1),
+            RequestServices(
+                registry=registry,
+                budgets=RetryBudgets(Bounds(extra_allowance=1000.0), instances=1),
                 wire=WIRE,
                 clock=self.clock,
                 observer=Observer(),
             ),
             delegation=Delegation(
-                book=book,
+                registry=registry,
                 peers=peers,
                 zone=zone,
-                gatherers=self._gatherers(zone),
+                coordinators=self._coordinators(zone),
                 clock=self.clock,
             ),
         )
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -15,7 +15,7 @@
     servers_target,
 )
 from ibisfront.gateway.settings import Bounds, GatewaySettings
-from ibisfront.gateway.state.feed import StoreOutage, follow
+from ibisfront.gateway.state.kind_watch import StoreOutage, watch_kind
 from ibisfront.gateway.state.store import (
     Changes,
     Listing,
@@ -61,24 +61,24 @@
             capacity=2.0 if self.is_strong else 0.5,
         )
         self.process = FrontProcess(settings, clock=zone.clock, nursery=nursery)
-        self.process.feed._connect = functools.partial(Client, self)
-        self.process.feed._watch = self.watch
+        self.process.state_sync._connect = functools.partial(Client, self)
+        self.process.state_sync._watch = self.watch
 
     @property
     def version(self):
         table = self.process.gateway.table
         return 0 if table is None else table.configuration.version
 
-    async def drop_lapsed(self):
-        """Drop lapsed servers as the upkeep does; it would connect to others too."""
+    async def drop_stale(self):
+        """Drop stale servers as the upkeep does; it would connect to others too."""
         while True:
             await self.zone.clock.sleep_ms(100.0)
-            if self.process.book.remove_lapsed():
-                self.process.source.note_change()
+            if self.process.registry.remove_stale():
+                self.process.source.record_change()
 
     def watch(self, nursery, options):
         run = functools.partial(
-            follow,
+            watch_kind,
             clock=self.zone.clock,
             options=options,
             outage=StoreOutage(options.after_outage_ms),
@@ -239,7 +239,7 @@
         return [
             number
             for number, front in enumerate(self.fronts)
-            for server in front.process.book.servers()
+            for server in front.process.registry.servers()
             if server.entry.server_id == server_id and server.is_usable
         ]
 
@@ -247,9 +247,9 @@
         listed = [item.process.own for item in self.fronts]
         for front in self.fronts:
             front.process.take_instances(listed)
-            front.process.feed.note_listed()
-            nursery.start_soon(front.process.feed.run)
-            nursery.start_soon(front.drop_lapsed)
+            front.process.state_sync.record_listed()
+            nursery.start_soon(front.process.state_sync.run)
+            nursery.start_soon(front.drop_stale)
 
     def add_routes(self, count):
         """Put a version with more routes in force."""
--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -8,13 +8,13 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.front.connections import Connections
+from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import InstanceEntry
-from ibisfront.gateway.instances.gatherers import Gatherers
-from ibisfront.gateway.load.budget import ExtraBudgets
+from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.servers.exchange import Exchange
 from ibisfront.gateway.servers.server import Server
 from ibisfront.gateway.servers.server_entry import ServerEntry
-from ibisfront.gateway.servers.server_news import ServerNews
+from ibisfront.gateway.servers.server_event_log import ServerEventLog
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -51,22 +51,22 @@
         open_now = []
         async with trio.open_nursery() as nursery:
             for own in listed:
-                gatherers = Gatherers(own)
-                gatherers.update(listed, table)
+                coordinators = Coordinators(own)
+                coordinators.update(listed, table)
                 connections = Connections(
-                    gatherers=gatherers,
-                    budgets=ExtraBudgets(Bounds(), instances=_INSTANCES),
+                    coordinators=coordinators,
+                    budgets=RetryBudgets(Bounds(), instances=_INSTANCES),
                     find_table=lambda: table,
                     find_bounds=Bounds,
                     nursery=nursery,
                     clock=clock,
-                    news=ServerNews(clock),
+                    event_log=ServerEventLog(clock),
                 )
                 connections._open_connection = open_connection
                 server = Server(entry, now_ms=clock.now_ms(), is_near=True)
                 server.pool = connections.server_pool(server)
                 server.pool.submit(_exchange(server, clock))
-                open_now.append((gatherers.is_gatherer, server.pool))
+                open_now.append((coordinators.is_coordinator, server.pool))
             await trio.sleep(0.5)
             sizes = [(gathers, pool.size) for gathers, pool in open_now]
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_front_evacuations.py
+++ b/ibisfront/tests/test_front_evacuations.py
@@ -23,7 +23,7 @@
 
 def _asked_zones(front):
     """Return the zones in which an instance would ask servers."""
-    servers = front.process.book.servers()
+    servers = front.process.registry.servers()
     return {server.entry.zone for server in servers if server.is_usable}
 
 
--- a/ibisfront/tests/test_front_garbage.py
+++ b/ibisfront/tests/test_front_garbage_collection.py
@@ -9,7 +9,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.front.garbage import collect_garbage
+from ibisfront.front.garbage_collection import collect_garbage
 from ibisfront.tests import trio_test
 
 
--- a/ibisfront/tests/test_front_readiness.py
+++ b/ibisfront/tests/test_front_readiness.py
@@ -42,12 +42,12 @@
     services = {name: RoutedService(name, 25) for name in route.service_names}
     for name in route.service_names:
         entry = ServerEntry(f"{name}.0", name, "10.0.1.1:1", "z0")
-        process.book._make_pool = lambda server: None
-        process.book.put(entry)
+        process.registry._make_pool = lambda server: None
+        process.registry.put(entry)
     process.use_configuration(Configuration(1, (route,), services, CallerLimits()))
     process.peers._make_pool = lambda server: None
     process.take_instances(listed)
-    return process, [item.name for item in process.relays.sources]
+    return process, [item.name for item in process.topology.sources]
 
 
 class ReadinessTest(unittest.TestCase):
@@ -55,20 +55,20 @@
 
     def tell(self, process, name, *, is_cut_off):
         state = RelayedState(1, False, is_cut_off=is_cut_off)
-        process.feed._heed(name, state, is_near=True)
+        process.state_sync._heed(name, state, is_near=True)
 
     @trio_test
     async def test_instance_that_asks_no_servers_does_not_end_a_cut(self):
         """Callers of a zone that is cut off go on to be sent to it for its length.
 
-        Its gatherers say that it is cut off. A third instance, which may be followed
+        Its coordinators say that it is cut off. A third instance, which may be followed
         too and gathers nothing, says that it is not; whoever asks it is ready again,
         and the balancer uses a zone as long as one of its instances is.
         """
         async with trio.open_nursery() as nursery:
             process, sources = follower(nursery)
-            gatherers = process.gatherers.of_zone("z0")
-            self.assertEqual((len(sources), len(gatherers)), (3, 2))
+            coordinators = process.coordinators.of_zone("z0")
+            self.assertEqual((len(sources), len(coordinators)), (3, 2))
             self.assertTrue(process.tell_readiness())
             for _ in range(4):
                 self.tell(process, sources[0], is_cut_off=True)
--- a/ibisfront/tests/test_front_removed_servers.py
+++ b/ibisfront/tests/test_front_removed_servers.py
@@ -31,7 +31,7 @@
             zone = FrontZone(nursery)
             zone.start(nursery)
             await trio.sleep(5.0)
-            followed = next(f for f in zone.fronts if f.process.feed.is_fresh)
+            followed = next(f for f in zone.fronts if f.process.state_sync.is_fresh)
             number = zone.fronts.index(followed)
             followed.is_cut_off = True
             await trio.sleep(_CUT_S - _REMOVED_BEFORE_END_S)
@@ -45,5 +45,5 @@
                 late = set(zone.may_ask(name)) - {number}
                 self.assertEqual(late, set(), "taken back from the one that was cut")
             self.assertEqual(zone.may_ask(name), [])
-            self.assertTrue(followed.process.feed.is_fresh)
+            self.assertTrue(followed.process.state_sync.is_fresh)
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_gateway_cold_limit.py
+++ b/ibisfront/tests/test_gateway_cold_start_limit.py
@@ -8,15 +8,15 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.front.connections import Connections
+from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import InstanceEntry
-from ibisfront.gateway.instances.gatherers import Gatherers
-from ibisfront.gateway.load.budget import ExtraBudgets
+from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.load.server_choice import choose_server
 from ibisfront.gateway.servers.exchange import Exchange
 from ibisfront.gateway.servers.server import Server
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
-from ibisfront.gateway.servers.server_news import ServerNews
+from ibisfront.gateway.servers.server_event_log import ServerEventLog
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -41,32 +41,32 @@
 
     def __init__(self, own, listed, table, nursery, clock, stand_in):
         self._clock = clock
-        gatherers = Gatherers(own)
-        gatherers.update(listed, table)
+        coordinators = Coordinators(own)
+        coordinators.update(listed, table)
         connections = Connections(
-            gatherers=gatherers,
-            budgets=ExtraBudgets(Bounds(), instances=len(listed)),
+            coordinators=coordinators,
+            budgets=RetryBudgets(Bounds(), instances=len(listed)),
             find_table=lambda: table,
             find_bounds=lambda: _BOUNDS,
             nursery=nursery,
             clock=clock,
-            news=ServerNews(clock),
+            event_log=ServerEventLog(clock),
         )
 
         async def open_connection(address):
             return connect_to(stand_in)
 
         connections._open_connection = open_connection
-        self.book = ServerBook(
+        self.registry = ServerRegistry(
             clock=clock, make_pool=connections.server_pool, zone="z0"
         )
-        self.book.put(_ENTRY)
+        self.registry.put(_ENTRY)
 
     async def run(self):
         while True:
             now_ms = self._clock.now_ms()
-            servers = self.book.of_service("archive")
-            server = choose_server(servers, [], now_ms=now_ms, usual_ms=10.0)
+            servers = self.registry.of_service("archive")
+            server = choose_server(servers, [], now_ms=now_ms, baseline_ms=10.0)
             if server is not None:
                 server.pool.submit(_exchange(server, now_ms))
             await trio.sleep(0.02)
@@ -138,10 +138,10 @@
     async def test_server_that_was_lost_counts_as_cold_when_it_is_back(self):
         """Guards against a restarted server whose new entry is not here yet."""
         server = Server(_ENTRY, now_ms=0.0, is_near=True)
-        server.cold_limit.share = 1
-        server.cold_limit.warm_up_ms = _WARM_UP_MS
+        server.cold_start_limit.share = 1
+        server.cold_start_limit.warm_up_ms = _WARM_UP_MS
         now_ms = 2.0 * _WARM_UP_MS
         self.assertFalse(server.is_cold(now_ms))
-        server.note_unreachable(now_ms)
-        server.note_connected(now_ms)
+        server.record_unreachable(now_ms)
+        server.record_connected(now_ms)
         self.assertTrue(server.is_cold(now_ms + _WARM_UP_MS - 1.0))
--- a/ibisfront/tests/test_gateway_followed_query.py
+++ b/ibisfront/tests/test_gateway_coordinated_query.py
@@ -8,7 +8,7 @@
 import trio
 
 from ibisfront.gateway.messages import InboundRequest
-from ibisfront.gateway.queries.followed_query import FollowedQuery
+from ibisfront.gateway.queries.coordinated_query import CoordinatedQuery
 from ibisfront.testing.gateway_fixture import GatewayFixture, gather_route
 from ibisfront.tests import trio_test
 
@@ -20,9 +20,9 @@
     is_refused = True
     signatures = ()
 
-    def __init__(self, plan, *, is_out_of_reach):
+    def __init__(self, plan, *, is_unreachable):
         self.peer = plan.peer
-        self.is_out_of_reach = is_out_of_reach
+        self.is_unreachable = is_unreachable
 
     def end(self, *, at_once):
         pass
@@ -33,26 +33,26 @@
 )
 
 
-class FollowedQueryTest(unittest.TestCase):
+class CoordinatedQueryTest(unittest.TestCase):
     """Whom a query goes on to when instances refuse it."""
 
-    async def asked(self, *, is_out_of_reach):
+    async def asked(self, *, is_unreachable):
         """Return how many instances are asked if all refuse."""
         route = gather_route(4)
         fixture = GatewayFixture(route)
         async with fixture.running():
             request = InboundRequest(b"GET", b"/", "h", "r", 900.0, [], b"", 0.0)
-            context = fixture.answering.context(request, route)
+            context = fixture.request_services.context(request, route)
             asked = []
 
             def ask(plan, is_repeat, on_change):
                 asked.append(is_repeat)
-                return RefusingRemote(plan, is_out_of_reach=is_out_of_reach)
+                return RefusingRemote(plan, is_unreachable=is_unreachable)
 
-            query = FollowedQuery(
+            query = CoordinatedQuery(
                 route.gathering,
                 context,
-                check_life=lambda remote, on_change: Check(),
+                start_liveness_probe=lambda remote, on_change: Check(),
                 plan=PLAN,
                 ask=ask,
                 next_plan=lambda tried: PLAN,
@@ -67,7 +67,7 @@
     @trio_test
     async def test_query_goes_on_while_instances_are_behind(self):
         """A zone refuses its queries while both that gather for it are behind."""
-        self.assertEqual(await self.asked(is_out_of_reach=False), 4)
+        self.assertEqual(await self.asked(is_unreachable=False), 4)
 
     @trio_test
     async def test_zone_that_is_cut_off_refuses_at_once(self):
@@ -76,7 +76,7 @@
         Both instances that gather for it say that they reach no servers. The query
         went on to those of other zones, behind the cut, and waited for each.
         """
-        self.assertEqual(await self.asked(is_out_of_reach=True), 2)
+        self.assertEqual(await self.asked(is_unreachable=True), 2)
 
 
 class Check:
--- a/ibisfront/tests/test_gateway_gatherers.py
+++ b/ibisfront/tests/test_gateway_coordinators.py
@@ -4,8 +4,8 @@
 
 import unittest
 
+from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import InstanceEntry
-from ibisfront.gateway.instances.gatherers import Gatherers
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
     Configuration,
@@ -32,23 +32,23 @@
     ]
 
 
-class GatherersTest(unittest.TestCase):
+class CoordinatorsTest(unittest.TestCase):
     """Who gathers, by the connections that servers accept."""
 
     def test_all_gather_while_servers_accept_enough(self):
         listed = instances(9, zones=3)
-        gatherers = Gatherers(listed[0])
-        gatherers.update(listed, table(25))
-        self.assertFalse(gatherers.is_concentrated)
-        self.assertTrue(gatherers.is_gatherer)
+        coordinators = Coordinators(listed[0])
+        coordinators.update(listed, table(25))
+        self.assertFalse(coordinators.uses_coordinators)
+        self.assertTrue(coordinators.is_coordinator)
 
     def test_the_strongest_of_each_zone_gather_beyond_that(self):
         listed = instances(68)
-        gatherers = Gatherers(listed[0])
-        gatherers.update(listed, table(56))
-        self.assertFalse(gatherers.is_gatherer)
-        self.assertEqual(gatherers.of_zone("z0"), ("i64", "i60"))
-        self.assertLessEqual(gatherers.count * 4, 56 * 0.9)
+        coordinators = Coordinators(listed[0])
+        coordinators.update(listed, table(56))
+        self.assertFalse(coordinators.is_coordinator)
+        self.assertEqual(coordinators.of_zone("z0"), ("i64", "i60"))
+        self.assertLessEqual(coordinators.count * 4, 56 * 0.9)
 
     def test_a_few_gather_for_many_although_there_are_connections(self):
         """Searches fail in a middling deployment that was given more room.
@@ -58,22 +58,22 @@
         nearly every sub-request opens one.
         """
         listed = instances(31)
-        gatherers = Gatherers(listed[0])
-        gatherers.update(listed, table(80))
-        self.assertTrue(gatherers.is_concentrated)
-        self.assertEqual(len(gatherers.of_zone("z0")), 2)
+        coordinators = Coordinators(listed[0])
+        coordinators.update(listed, table(80))
+        self.assertTrue(coordinators.uses_coordinators)
+        self.assertEqual(len(coordinators.of_zone("z0")), 2)
 
     def test_more_gather_where_there_are_more_instances(self):
         listed = instances(400)
-        gatherers = Gatherers(listed[0])
-        gatherers.update(listed, table(300))
-        self.assertEqual(len(gatherers.of_zone("z0")), 5)
+        coordinators = Coordinators(listed[0])
+        coordinators.update(listed, table(300))
+        self.assertEqual(len(coordinators.of_zone("z0")), 5)
 
     def test_every_instance_works_out_the_same(self):
         listed = instances(68)
         found = set()
         for own in listed:
-            gatherers = Gatherers(own)
-            gatherers.update(list(reversed(listed)), table(56))
-            found.add(tuple(gatherers.of_zone(f"z{zone}") for zone in range(4)))
+            coordinators = Coordinators(own)
+            coordinators.update(list(reversed(listed)), table(56))
+            found.add(tuple(coordinators.of_zone(f"z{zone}") for zone in range(4)))
         self.assertEqual(len(found), 1)
--- a/ibisfront/tests/test_gateway_evacuations.py
+++ b/ibisfront/tests/test_gateway_evacuations.py
@@ -8,8 +8,8 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.testing.gateway_fixture import (
     GatewayFixture,
     forward_route,
@@ -36,7 +36,7 @@
         ):
             fixture = GatewayFixture(route)
             async with fixture.running():
-                fixture.book.evacuate(frozenset(("z0",)))
+                fixture.registry.evacuate(frozenset(("z0",)))
                 reply = await fixture.ask(f"{path}/a")
             self.assertEqual((_sent(fixture), reply.status), (0, 503))
             self.assertIn(b"Retry-After", dict(reply.headers))
@@ -52,7 +52,7 @@
                 nursery.start_soon(fixture.ask, "/fetch/a")
             await trio.sleep(0.5)
             sent = _sent(fixture)
-            fixture.book.evacuate(frozenset(("z0",)))
+            fixture.registry.evacuate(frozenset(("z0",)))
             await trio.sleep(3.0)
             self.assertEqual(_sent(fixture), sent)
             nursery.cancel_scope.cancel()
@@ -60,26 +60,28 @@
     @trio_test
     async def test_server_listed_meanwhile_gets_nothing(self):
         """Guards against new servers of an evacuated zone."""
-        book = ServerBook(clock=Clock(), make_pool=lambda server: None, zone="z0")
-        book.evacuate(frozenset(("z1",)))
-        book.put(ServerEntry("new", "s", "new:80", "z1"))
-        self.assertFalse(book.is_reachable("s"))
-        (released,) = book.evacuate(frozenset())
+        registry = ServerRegistry(
+            clock=Clock(), make_pool=lambda server: None, zone="z0"
+        )
+        registry.evacuate(frozenset(("z1",)))
+        registry.put(ServerEntry("new", "s", "new:80", "z1"))
+        self.assertFalse(registry.is_reachable("s"))
+        (released,) = registry.evacuate(frozenset())
         self.assertTrue(released.is_usable)
 
     @trio_test
     async def test_servers_come_back_one_by_one_and_count_as_cold(self):
         """Guards against a zone's cold servers that get all work at once."""
         clock = Clock()
-        book = ServerBook(clock=clock, make_pool=lambda server: None, zone="z0")
+        registry = ServerRegistry(clock=clock, make_pool=lambda server: None, zone="z0")
         for number in range(40):
-            book.put(ServerEntry(f"i{number}", "s", f"i{number}:80", "z1"))
-        book.evacuate(frozenset(("z1",)))
+            registry.put(ServerEntry(f"i{number}", "s", f"i{number}:80", "z1"))
+        registry.evacuate(frozenset(("z1",)))
         now_ms = clock.now_ms()
-        released = book.evacuate(frozenset())
+        released = registry.evacuate(frozenset())
         draws = Random(1)
         for server in released:
-            server.cold_limit.warm_up_ms = _WARM_UP_MS
+            server.cold_start_limit.warm_up_ms = _WARM_UP_MS
             server.return_cold(now_ms, warm_up_share=draws.random())
         in_use = [
             sum(
--- a/ibisfront/tests/test_gateway_forwarding.py
+++ b/ibisfront/tests/test_gateway_forwarding.py
@@ -194,7 +194,7 @@
             nursery.start_soon(ask)
             await trio.sleep(0.05)
             stand_in.latency_ms = 10.0
-            fixture.book.put(msgspec.structs.replace(stand_in.entry, born_ms=2_000))
+            fixture.registry.put(msgspec.structs.replace(stand_in.entry, born_ms=2_000))
             await trio.sleep(0.1)
             ended = len(replies)
         return ended, replies[0], len(stand_in.received)
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -52,13 +52,13 @@
             directory,
             OWN,
             on_list=self.listed.append,
-            on_first_try=self.note_first_try,
+            on_first_try=self.record_first_try,
             is_needed=lambda: self.is_needed,
             is_first_start=is_first_start,
             clock=Clock(),
         )
 
-    def note_first_try(self):
+    def record_first_try(self):
         self.first_try_at_s = trio.current_time() - self.started_s
 
     async def run_for(self, seconds, directory, **options):
--- a/ibisfront/tests/test_gateway_feed.py
+++ b/ibisfront/tests/test_gateway_kind_watch.py
@@ -7,7 +7,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.state.feed import FeedTarget, StoreOutage, follow
+from ibisfront.gateway.state.kind_watch import StoreOutage, WatchTarget, watch_kind
 from ibisfront.gateway.state.store import Changes, Listing, StoreError, StoreErrorKind
 from ibisfront.tests import trio_test
 
@@ -52,10 +52,10 @@
         clock, outage = Clock(), StoreOutage()
         async with trio.open_nursery() as nursery:
             for kind in kinds:
-                target = FeedTarget(kind, replace, lambda changes: None)
+                target = WatchTarget(kind, replace, lambda changes: None)
 
                 async def run(target=target):
-                    await follow(store, target, clock=clock, outage=outage)
+                    await watch_kind(store, target, clock=clock, outage=outage)
 
                 nursery.start_soon(run)
             await trio.sleep(for_s)
--- a/ibisfront/tests/test_gateway_many_routes.py
+++ b/ibisfront/tests/test_gateway_many_routes.py
@@ -10,11 +10,11 @@
 from ibisfront.core.clock import Clock
 from ibisfront.core.latencies import RouteLatencies
 from ibisfront.core.metrics_text import metrics_text
-from ibisfront.gateway.load.reach import Reach
-from ibisfront.gateway.load.weights import WeightedTurns
+from ibisfront.gateway.load.reachability import Reachability
+from ibisfront.gateway.load.weighted_round_robin import WeightedRoundRobin
 from ibisfront.gateway.route_state import RouteStates
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.configuration import RouteTable, WeightedService
 from ibisfront.gateway.state.route_cache import RouteCache
 from ibisfront.platform.documents import configuration_from
@@ -32,7 +32,7 @@
     return RouteTable(configuration_from(configuration_spec(1, routes), RouteCache()))
 
 
-class CountingBook(ServerBook):
+class CountingRegistry(ServerRegistry):
     """Counts how often it is asked whether a service is within reach."""
 
     asked = 0
@@ -44,11 +44,11 @@
 
 def questions(table):
     """Return how many services are looked at to tell whether all can be served."""
-    book = CountingBook(clock=Clock(), make_pool=lambda server: None, zone="z0")
+    registry = CountingRegistry(clock=Clock(), make_pool=lambda server: None, zone="z0")
     for service in sorted(table.service_names):
-        book.put(ServerEntry(service, service, "10.0.0.1:80", "z0"))
-    Reach(book=book, clock=Clock()).is_isolated(table)
-    return book.asked
+        registry.put(ServerEntry(service, service, "10.0.0.1:80", "z0"))
+    Reachability(registry=registry, clock=Clock()).is_isolated(table)
+    return registry.asked
 
 
 class ManyRoutesTest(unittest.TestCase):
@@ -67,7 +67,7 @@
     def test_what_is_kept_of_routes_that_are_gone_goes_too(self):
         table = table_of(3)
         gone = msgspec.structs.replace(table.configuration.routes[0], name="gone")
-        states, latencies, turns = RouteStates(), RouteLatencies(), WeightedTurns()
+        states, latencies, turns = RouteStates(), RouteLatencies(), WeightedRoundRobin()
         weighted = (WeightedService("a", 1.0), WeightedService("b", 1.0))
         for route in (gone, *table.configuration.routes):
             states.of(route)
--- a/ibisfront/tests/test_gateway_budget.py
+++ b/ibisfront/tests/test_gateway_retry_budget.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ibisfront.gateway.load.budget import ExtraBudget, ExtraBudgets
+from ibisfront.gateway.load.retry_budget import RetryBudgets, ServiceRetryBudget
 from ibisfront.gateway.settings import Bounds
 
 BOUNDS = Bounds(extra_ratio=0.2, extra_window_ms=10_000.0, extra_allowance=20.0)
@@ -21,17 +21,19 @@
     return count
 
 
-class ExtraBudgetTest(unittest.TestCase):
+class ServiceRetryBudgetTest(unittest.TestCase):
     """No window holds more than the share and the allowance."""
 
     def test_share_and_allowance_bound_what_is_spent(self):
-        budget = ExtraBudget(BOUNDS)
+        budget = ServiceRetryBudget(BOUNDS)
         for _ in range(100):
-            budget.note_first(0.0)
+            budget.record_primary(0.0)
         self.assertLessEqual(spend_all(budget, 0.0), 0.2 * 100 + 20)
 
     def test_allowance_is_split_over_the_instances(self):
-        spent = sum(spend_all(ExtraBudget(BOUNDS), 0.0, instances=4) for _ in range(4))
+        spent = sum(
+            spend_all(ServiceRetryBudget(BOUNDS), 0.0, instances=4) for _ in range(4)
+        )
         self.assertLessEqual(spent, 20)
         self.assertGreater(spent, 10)
 
@@ -41,7 +43,7 @@
         Extra sub-requests are taken as fast as they are given, with no firsts.
         Any ten seconds, wherever they begin, must hold the allowance at most.
         """
-        budget = ExtraBudget(BOUNDS)
+        budget = ServiceRetryBudget(BOUNDS)
         spent_ms = []
         for step in range(600):
             now_ms = step * 100.0
@@ -52,7 +54,7 @@
         self.assertLessEqual(worst, 20)
 
     def test_other_window_forgives_nothing(self):
-        budgets = ExtraBudgets(BOUNDS, instances=1)
+        budgets = RetryBudgets(BOUNDS, instances=1)
         budget = budgets.of_service("s")
         spend_all(budget, 5_000.0)
         budgets.use(msgspec.structs.replace(BOUNDS, extra_window_ms=20_000.0), 6_000.0)
@@ -61,13 +63,13 @@
         self.assertGreater(spend_all(budget, 40_000.0), 0)
 
 
-class GatherersBudgetTest(unittest.TestCase):
+class CoordinatorsBudgetTest(unittest.TestCase):
     """Allowances where a few of many instances ask the servers."""
 
     def spent(self, *, count, **options):
         """Return how many extras an instance gives at once without firsts."""
-        budgets = ExtraBudgets(BOUNDS, instances=80, **options)
-        budgets.use_gatherers(count, frozenset(("s",)))
+        budgets = RetryBudgets(BOUNDS, instances=80, **options)
+        budgets.set_coordinator_count(count, frozenset(("s",)))
         spent = 0
         while budgets.try_spend("s", 20_000.0):
             spent += 1
--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -210,7 +210,7 @@
                 while True:
                     await fixture.ask()
                     await trio.sleep(0.05)
-                    fixture.book.probe_unreachable()
+                    fixture.registry.probe_unreachable()
             started_ms = fixture.clock.now_ms()
             reply = await fixture.ask()
             took_ms = fixture.clock.now_ms() - started_ms
@@ -221,7 +221,7 @@
                 server.latency_ms, server.accepts = 10.0, True
             for _ in range(30):
                 await trio.sleep(0.05)
-                fixture.book.probe_unreachable()
+                fixture.registry.probe_unreachable()
             self.assertTrue(gateway.is_ready)
             reply = await fixture.ask()
         self.assertEqual(reply.status, 200)
--- a/ibisfront/tests/test_gateway_server_news.py
+++ b/ibisfront/tests/test_gateway_server_event_log.py
@@ -5,11 +5,11 @@
 import unittest
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.servers.server_news import ServerNews
+from ibisfront.gateway.servers.server_event_log import ServerEventLog
 from ibisfront.tests import trio_test
 
 
-class ServerNewsTest(unittest.TestCase):
+class ServerEventLogTest(unittest.TestCase):
     """What an operator reads when hundreds of servers come and go."""
 
     @trio_test
@@ -19,12 +19,12 @@
         A repartition brought hundreds of servers, each with a line of its own at
         every instance, which used up the lines that may be written.
         """
-        news = ServerNews(Clock())
+        event_log = ServerEventLog(Clock())
         for number in range(300):
-            news.note("Listed", f"i-{number}", "s")
-        news.note("Cannot be reached, timed out", "i-7", "s", is_fault=True)
+            event_log.record("Listed", f"i-{number}", "s")
+        event_log.record("Cannot be reached, timed out", "i-7", "s", is_fault=True)
         with self.assertLogs("ibisfront", "INFO") as logs:
-            news.tell()
+            event_log.tell()
         listed, failed = logs.records
         self.assertIn("i-0 of s", listed.getMessage())
         self.assertIn("and 288 more", listed.getMessage())
@@ -34,9 +34,9 @@
 
     @trio_test
     async def test_nothing_new_has_no_line(self):
-        news = ServerNews(Clock())
-        news.note("Listed", "i-1", "s")
+        event_log = ServerEventLog(Clock())
+        event_log.record("Listed", "i-1", "s")
         with self.assertLogs("ibisfront", "INFO"):
-            news.tell()
+            event_log.tell()
         with self.assertNoLogs("ibisfront", "INFO"):
-            news.tell()
+            event_log.tell()
--- a/ibisfront/tests/test_gateway_server_book.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -7,16 +7,16 @@
 import trio
 
 from ibisfront.core.clock import Clock
+from ibisfront.gateway.load.baseline_latency import BaselineLatency
 from ibisfront.gateway.load.server_choice import choose_server, server_cost
 from ibisfront.gateway.load.server_load import ServerLoad
-from ibisfront.gateway.load.usual_latency import UsualLatency
 from ibisfront.gateway.servers.server import Server
-from ibisfront.gateway.servers.server_book import (
+from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import (
     BIRTHS_KEPT,
-    LAPSE_GRACE_MS,
-    ServerBook,
+    STALE_ENTRY_GRACE_MS,
+    ServerRegistry,
 )
-from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.tests import trio_test
 
 
@@ -26,30 +26,32 @@
     return ServerEntry(name, **{**fields, **changes})
 
 
-def book_of(*names):
-    """Return a book with some servers."""
-    book = ServerBook(clock=Clock(), make_pool=lambda server: None, zone="z0")
+def registry_of(*names):
+    """Return a registry with some servers."""
+    registry = ServerRegistry(clock=Clock(), make_pool=lambda server: None, zone="z0")
     for name in names:
-        book.put(entry(name))
-    return book
+        registry.put(entry(name))
+    return registry
 
 
-def listed(book):
+def listed(registry):
     """Return the names of the servers of ``s`` that may be asked."""
     return {
-        server.entry.server_id for server in book.of_service("s") if server.is_usable
+        server.entry.server_id
+        for server in registry.of_service("s")
+        if server.is_usable
     }
 
 
-class ServerBookTest(unittest.TestCase):
+class ServerRegistryTest(unittest.TestCase):
     """Who may be asked."""
 
     @trio_test
     async def test_draining_and_removed_servers_are_left_at_once(self):
-        book = book_of("a", "b", "c")
-        book.put(entry("a", is_draining=True))
-        book.remove("b")
-        self.assertEqual(listed(book), {"c"})
+        registry = registry_of("a", "b", "c")
+        registry.put(entry("a", is_draining=True))
+        registry.remove("b")
+        self.assertEqual(listed(registry), {"c"})
 
     @trio_test
     async def test_servers_that_lapsed_with_the_store_stay_until_they_are_back(self):
@@ -59,16 +61,16 @@
         holds only some of them. Those that come back within two seconds must
         not be missed; one that does not has gone.
         """
-        book = book_of("a", "b", "c")
-        book.replace([entry("a")], after_outage=True)
-        self.assertEqual(listed(book), {"a", "b", "c"})
+        registry = registry_of("a", "b", "c")
+        registry.replace([entry("a")], after_outage=True)
+        self.assertEqual(listed(registry), {"a", "b", "c"})
         await trio.sleep(1.9)
-        book.put(entry("b"))
-        book.remove_lapsed()
-        self.assertEqual(listed(book), {"a", "b", "c"})
-        await trio.sleep((LAPSE_GRACE_MS - 1899.0) / 1000.0)
-        self.assertTrue(book.remove_lapsed())
-        self.assertEqual(listed(book), {"a", "b"})
+        registry.put(entry("b"))
+        registry.remove_stale()
+        self.assertEqual(listed(registry), {"a", "b", "c"})
+        await trio.sleep((STALE_ENTRY_GRACE_MS - 1899.0) / 1000.0)
+        self.assertTrue(registry.remove_stale())
+        self.assertEqual(listed(registry), {"a", "b"})
 
     @trio_test
     async def test_lapsed_server_is_asked_only_where_there_is_no_other(self):
@@ -78,33 +80,33 @@
         keeps it for a while in case it has only lapsed. The other server of the
         service is listed and could take all of them.
         """
-        book = book_of("a", "b")
-        book.replace([entry("b")], after_outage=True)
-        servers = book.of_service("s")
+        registry = registry_of("a", "b")
+        registry.replace([entry("b")], after_outage=True)
+        servers = registry.of_service("s")
         chosen = [
-            choose_server(servers, [], now_ms=0.0, usual_ms=10.0) for _ in range(50)
+            choose_server(servers, [], now_ms=0.0, baseline_ms=10.0) for _ in range(50)
         ]
         self.assertEqual({item.entry.server_id for item in chosen}, {"b"})
-        book.replace([], after_outage=True)
-        chosen = choose_server(servers, [], now_ms=0.0, usual_ms=10.0)
+        registry.replace([], after_outage=True)
+        chosen = choose_server(servers, [], now_ms=0.0, baseline_ms=10.0)
         self.assertIsNotNone(chosen)
-        book.put(entry("a"))
-        chosen = choose_server(servers, [], now_ms=0.0, usual_ms=10.0)
+        registry.put(entry("a"))
+        chosen = choose_server(servers, [], now_ms=0.0, baseline_ms=10.0)
         self.assertEqual(chosen.entry.server_id, "a")
 
     @trio_test
     async def test_list_of_a_store_that_was_well_is_believed_at_once(self):
-        book = book_of("a", "b")
-        book.replace([entry("b")], after_outage=False)
-        self.assertEqual(listed(book), {"b"})
+        registry = registry_of("a", "b")
+        registry.replace([entry("b")], after_outage=False)
+        self.assertEqual(listed(registry), {"b"})
 
     @trio_test
     async def test_other_server_at_the_address_is_another_server(self):
-        book = book_of("a")
-        before = book.of_service("s")[0]
-        book.put(entry("a", address="elsewhere:80"))
+        registry = registry_of("a")
+        before = registry.of_service("s")[0]
+        registry.put(entry("a", address="elsewhere:80"))
         self.assertTrue(before.is_gone)
-        self.assertIsNot(book.of_service("s")[0], before)
+        self.assertIsNot(registry.of_service("s")[0], before)
 
 
 class IncarnationTest(unittest.TestCase):
@@ -121,18 +123,18 @@
         It was silent and refused connections before it died; all that was
         held against it is held against the new one at the same address.
         """
-        book = book_of("a")
-        before = book.of_service("s")[0]
-        before.note_unreachable(Clock().now_ms())
-        before.note_unreachable(Clock().now_ms())
-        book.put(entry("a", born_ms=2_000, warm_up_left_ms=3_000.0))
-        after = book.of_service("s")[0]
+        registry = registry_of("a")
+        before = registry.of_service("s")[0]
+        before.record_unreachable(Clock().now_ms())
+        before.record_unreachable(Clock().now_ms())
+        registry.put(entry("a", born_ms=2_000, warm_up_left_ms=3_000.0))
+        after = registry.of_service("s")[0]
         now_ms = Clock().now_ms()
         self.assertTrue(before.is_gone)
         self.assertTrue(after.is_reachable(now_ms))
         self.assertLess(server_cost(after, now_ms, 10.0), 2.0)
         self.assertGreater(after.warm_at_ms, now_ms + 2_000.0)
-        self.assertEqual(len(book.of_service("s")), 1)
+        self.assertEqual(len(registry.of_service("s")), 1)
 
     @trio_test
     async def test_requests_of_the_dead_one_end_as_perhaps_run(self):
@@ -147,11 +149,11 @@
             pools.append(RetiredPool())
             return pools[-1]
 
-        book = ServerBook(clock=Clock(), make_pool=make_pool, zone="z0")
-        book.put(entry("a", born_ms=1_000))
-        book.put(entry("a", born_ms=2_000))
+        registry = ServerRegistry(clock=Clock(), make_pool=make_pool, zone="z0")
+        registry.put(entry("a", born_ms=1_000))
+        registry.put(entry("a", born_ms=2_000))
         self.assertEqual([pool.ends for pool in pools], [["retired"], []])
-        book.remove("a")
+        registry.remove("a")
         self.assertEqual([pool.ends for pool in pools], [["retired"], ["closed"]])
 
     @trio_test
@@ -161,19 +163,21 @@
         An entry from before the restart comes late: by a stale read, or from
         an instance that is behind. That holds after the newer one has left.
         """
-        book = book_of()
-        book.put(entry("a", born_ms=2_000))
-        server = book.of_service("s")[0]
-        book.put(entry("a", born_ms=1_000, address="elsewhere:80", is_draining=True))
-        self.assertIs(book.of_service("s")[0], server)
-        self.assertEqual(listed(book), {"a"})
-        book.replace([entry("a", born_ms=1_000)], after_outage=False)
-        self.assertIs(book.of_service("s")[0], server)
-        book.remove("a")
-        book.put(entry("a", born_ms=1_000))
-        self.assertEqual(listed(book), set())
-        book.put(entry("a", born_ms=2_000))
-        self.assertEqual(listed(book), {"a"})
+        registry = registry_of()
+        registry.put(entry("a", born_ms=2_000))
+        server = registry.of_service("s")[0]
+        registry.put(
+            entry("a", born_ms=1_000, address="elsewhere:80", is_draining=True)
+        )
+        self.assertIs(registry.of_service("s")[0], server)
+        self.assertEqual(listed(registry), {"a"})
+        registry.replace([entry("a", born_ms=1_000)], after_outage=False)
+        self.assertIs(registry.of_service("s")[0], server)
+        registry.remove("a")
+        registry.put(entry("a", born_ms=1_000))
+        self.assertEqual(listed(registry), set())
+        registry.put(entry("a", born_ms=2_000))
+        self.assertEqual(listed(registry), {"a"})
 
     @trio_test
     async def test_start_of_a_listed_server_is_never_forgotten(self):
@@ -182,20 +186,20 @@
         So many others came and went that what is remembered of those that are
         gone was dropped; that must not touch what is listed.
         """
-        book = book_of()
-        book.put(entry("a", born_ms=2_000))
+        registry = registry_of()
+        registry.put(entry("a", born_ms=2_000))
         for number in range(BIRTHS_KEPT + 1):
-            book.put(entry(f"b{number}", born_ms=1))
-            book.remove(f"b{number}")
-        book.put(entry("a", born_ms=1_000, is_draining=True))
-        self.assertEqual(listed(book), {"a"})
+            registry.put(entry(f"b{number}", born_ms=1))
+            registry.remove(f"b{number}")
+        registry.put(entry("a", born_ms=1_000, is_draining=True))
+        self.assertEqual(listed(registry), {"a"})
 
     @trio_test
     async def test_server_that_had_lost_its_address_may_be_reborn(self):
-        book = book_of("a")
-        book.of_service("s")[0].is_gone = True
-        book.put(entry("a", born_ms=2_000))
-        self.assertEqual(listed(book), {"a"})
+        registry = registry_of("a")
+        registry.of_service("s")[0].is_gone = True
+        registry.put(entry("a", born_ms=2_000))
+        self.assertEqual(listed(registry), {"a"})
 
     @trio_test
     async def test_id_that_moves_to_another_service_leaves_the_first(self):
@@ -204,10 +208,10 @@
         An id is written again with another service; it must not stay listed
         under the one that it had.
         """
-        book = book_of("a")
-        book.put(entry("a", service="t"))
-        self.assertEqual(listed(book), set())
-        self.assertEqual(len(book.of_service("t")), 1)
+        registry = registry_of("a")
+        registry.put(entry("a", service="t"))
+        self.assertEqual(listed(registry), set())
+        self.assertEqual(len(registry.of_service("t")), 1)
 
     @trio_test
     async def test_unreadable_entry_names_no_server_also_after_an_outage(self):
@@ -216,9 +220,9 @@
         What is missing from the first list may only have lapsed, and stays; an
         entry that is there and cannot be read has not lapsed.
         """
-        book = book_of("a", "b")
-        book.replace([], after_outage=True, unreadable=["b"])
-        self.assertEqual(listed(book), {"a"})
+        registry = registry_of("a", "b")
+        registry.replace([], after_outage=True, unreadable=["b"])
+        self.assertEqual(listed(registry), {"a"})
 
 
 class RetiredPool:
@@ -243,7 +247,7 @@
     def test_slow_server_costs_more_and_is_tried_again_in_time(self):
         server = self.server()
         for number in range(20):
-            server.note_reply(number * 10.0, took_ms=100.0, usual_ms=10.0)
+            server.record_reply(number * 10.0, took_ms=100.0, baseline_ms=10.0)
         slow = server_cost(server, 200.0, 10.0)
         later = server_cost(server, 20_000.0, 10.0)
         self.assertGreater(slow, 3.0)
@@ -258,23 +262,23 @@
         """
         server = self.server()
         for number in range(40):
-            server.note_cancelled(number * 500.0, waited_ms=40.0, usual_ms=10.0)
+            server.record_cancelled(number * 500.0, waited_ms=40.0, baseline_ms=10.0)
         self.assertGreater(server_cost(server, 20_000.0, 10.0), 1.7)
 
     def test_disturbed_machine_is_avoided_while_that_is_fresh(self):
         """Guards against first choices of servers that say they are slow now."""
         server = self.server()
-        server.note_load(0.0, ServerLoad(1, 0, 2, 4.0))
+        server.record_load(0.0, ServerLoad(1, 0, 2, 4.0))
         self.assertGreater(server_cost(server, 10.0, 10.0), 3.0)
         self.assertLess(server_cost(server, 2_000.0, 10.0), 1.1)
-        server.note_load(3_000.0, ServerLoad(1, 0, 2, 1e9))
+        server.record_load(3_000.0, ServerLoad(1, 0, 2, 1e9))
         self.assertLess(server_cost(server, 3_000.0, 10.0), 10.0)
-        server.note_load(3_100.0, ServerLoad(1, 0, 2, 0.5))
+        server.record_load(3_100.0, ServerLoad(1, 0, 2, 0.5))
         self.assertEqual(server_cost(server, 3_100.0, 10.0), 1.0)
 
     def test_single_pause_does_not_make_a_server_slow(self):
         server = self.server()
-        server.note_reply(10.0, took_ms=500.0, usual_ms=10.0)
+        server.record_reply(10.0, took_ms=500.0, baseline_ms=10.0)
         self.assertLess(server.slowness(10.0), 2.0)
 
     def test_reset_connections_do_not_put_a_server_out_of_reach(self):
@@ -286,11 +290,11 @@
         """
         server = self.server()
         for number in range(5):
-            server.note_lost(float(number))
+            server.record_lost(float(number))
         self.assertTrue(server.is_reachable(5.0))
-        server.note_unreachable(6.0)
+        server.record_unreachable(6.0)
         self.assertFalse(server.is_reachable(6.0))
-        server.note_connected(7.0)
+        server.record_connected(7.0)
         self.assertTrue(server.is_reachable(7.0))
 
     def test_other_zone_and_cold_start_cost_more(self):
@@ -304,35 +308,35 @@
         )
 
 
-class UsualLatencyTest(unittest.TestCase):
-    """The usual latency, and when one is late."""
+class BaselineLatencyTest(unittest.TestCase):
+    """The baseline latency, and when one is late."""
 
     def test_many_slow_servers_do_not_put_off_hedged_requests(self):
-        usual = UsualLatency(10.0)
+        baseline = BaselineLatency(10.0)
         for number in range(256):
-            usual.record_ms(100.0 if number % 4 == 0 else 10.0)
-        self.assertEqual(usual.median_ms, 10.0)
-        self.assertLessEqual(usual.late_ms, 25.0)
+            baseline.record_ms(100.0 if number % 4 == 0 else 10.0)
+        self.assertEqual(baseline.median_ms, 10.0)
+        self.assertLessEqual(baseline.late_ms, 25.0)
 
     def test_told_queues_go_before_the_latency(self):
         """Guards against work cut off, and hedged late, beside idle servers."""
-        usual = UsualLatency(10.0)
-        usual.median_ms, usual.calm_ms = 20.0, 10.0
-        self.assertTrue(usual.is_loaded)
-        usual.note_load(ServerLoad(1, 0, 2))
-        self.assertFalse(usual.is_loaded)
+        baseline = BaselineLatency(10.0)
+        baseline.median_ms, baseline.calm_ms = 20.0, 10.0
+        self.assertTrue(baseline.is_loaded)
+        baseline.record_load(ServerLoad(1, 0, 2))
+        self.assertFalse(baseline.is_loaded)
         for _ in range(20):
-            usual.note_load(ServerLoad(2, 3, 2))
-        self.assertTrue(usual.is_loaded)
+            baseline.record_load(ServerLoad(2, 3, 2))
+        self.assertTrue(baseline.is_loaded)
         for _ in range(200):
-            usual.note_load(ServerLoad(1, 0, 2))
-        self.assertFalse(usual.is_loaded)
+            baseline.record_load(ServerLoad(1, 0, 2))
+        self.assertFalse(baseline.is_loaded)
 
     def test_queues_show_against_the_calm_latency(self):
-        usual = UsualLatency(10.0)
+        baseline = BaselineLatency(10.0)
         for _ in range(256):
-            usual.record_ms(10.0)
-        self.assertFalse(usual.is_loaded)
+            baseline.record_ms(10.0)
+        self.assertFalse(baseline.is_loaded)
         for _ in range(256):
-            usual.record_ms(20.0)
-        self.assertTrue(usual.is_loaded)
+            baseline.record_ms(20.0)
+        self.assertTrue(baseline.is_loaded)
--- a/ibisfront/tests/test_gateway_state_relay.py
+++ b/ibisfront/tests/test_gateway_state_relay.py
@@ -13,16 +13,16 @@
 from ibisfront.gateway.messages import InboundRequest
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.gateway.state.configuration import CallerLimits, Configuration
-from ibisfront.gateway.state.relays import Relays
+from ibisfront.gateway.state.relay_topology import RelayTopology
 from ibisfront.gateway.state.state_codec import decode_state
-from ibisfront.gateway.state.state_feed import StateFeed
 from ibisfront.gateway.state.state_relay import (
-    AskedState,
-    KnownState,
+    LocalState,
     RelayedState,
+    StateRequest,
     StateSource,
 )
-from ibisfront.http1.state_client import asked_state
+from ibisfront.gateway.state.state_sync import StateSync
+from ibisfront.http1.state_client import parse_state_request
 from ibisfront.tests import trio_test
 
 
@@ -51,7 +51,7 @@
         self.servers = [ServerEntry("a", "s", "10.0.0.1:80", "z1", 2)]
         self.is_fresh = True
         self.is_silent = False
-        self.lapsed = frozenset()
+        self.stale = frozenset()
         self.configuration = Configuration(1, (), {}, CallerLimits())
         self.asked = []
         self.taken = []
@@ -69,12 +69,12 @@
             is_cut_off=lambda: False,
             clock=clock,
         )
-        self.source.note_change()
+        self.source.record_change()
         listed = [InstanceEntry(f"i{n}", "z0", f"i{n}", 99.0 - n) for n in range(20)]
-        relays = Relays(listed[1])
-        relays.update(listed)
-        feed = StateFeed(
-            relays=relays,
+        topology = RelayTopology(listed[1])
+        topology.update(listed)
+        state_sync = StateSync(
+            topology=topology,
             connect=lambda address: DirectClient(self),
             watch=self.watch,
             take=self.taken.append,
@@ -84,17 +84,17 @@
             seeds=(),
             clock=clock,
         )
-        feed.note_listed()
+        state_sync.record_listed()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(feed.run)
+            nursery.start_soon(state_sync.run)
             await trio.sleep(0.1)
             yield
             nursery.cancel_scope.cancel()
 
     def state(self):
-        listed = [item for item in self.servers if item.server_id not in self.lapsed]
-        may_lack = bool(self.lapsed)
-        return KnownState(self.configuration, listed, [], self.lapsed, may_lack)
+        listed = [item for item in self.servers if item.server_id not in self.stale]
+        may_lack = bool(self.stale)
+        return LocalState(self.configuration, listed, [], self.stale, may_lack)
 
     def watch(self, nursery, options):
         self.watches += 1
@@ -112,7 +112,7 @@
             self.assertEqual(len(self.taken), 1)
             self.assertLessEqual(len(self.asked), 7)
             self.servers.append(ServerEntry("b", "s", "10.0.0.2:80", "z1", 2))
-            self.source.note_change()
+            self.source.record_change()
             await trio.sleep(0.1)
         whole, change = self.taken
         self.assertEqual((whole.is_whole, len(whole.servers)), (True, 1))
@@ -125,7 +125,7 @@
     async def test_removed_server_is_told_of(self):
         async with self.following():
             self.servers.clear()
-            self.source.note_change()
+            self.source.record_change()
             await trio.sleep(0.1)
         self.assertEqual(self.taken[-1].removed, ["a"])
 
@@ -139,24 +139,24 @@
         list may lack some, and of the server once it is back.
         """
         async with self.following():
-            self.lapsed = frozenset(("a",))
-            self.source.note_change()
+            self.stale = frozenset(("a",))
+            self.source.record_change()
             await trio.sleep(1.2)
             self.assertEqual([item.removed for item in self.taken], [[]])
-            data = await self.source.answer(AskedState(0))
+            data = await self.source.answer(StateRequest(0))
             whole = decode_state(data, RelayedState)
             self.assertEqual((whole.servers, whole.may_lack_servers), ([], True))
-            self.lapsed = frozenset()
-            self.source.note_change()
-            data = await self.source.answer(AskedState(whole.revision, 1))
+            self.stale = frozenset()
+            self.source.record_change()
+            data = await self.source.answer(StateRequest(whole.revision, 1))
             told = decode_state(data, RelayedState)
             self.assertEqual((told.servers, told.removed), (self.servers, []))
             self.assertFalse(told.may_lack_servers)
-            self.lapsed = frozenset(("a",))
-            self.source.note_change()
+            self.stale = frozenset(("a",))
+            self.source.record_change()
             self.servers.clear()
-            self.lapsed = frozenset()
-            self.source.note_change()
+            self.stale = frozenset()
+            self.source.record_change()
             await trio.sleep(0.1)
         self.assertEqual(self.taken[-1].removed, ["a"])
 
@@ -188,9 +188,9 @@
     async def test_old_state_is_passed_on_to_those_without_one(self):
         async with self.following():
             self.is_fresh = False
-            old = await self.source.answer(AskedState(0))
+            old = await self.source.answer(StateRequest(0))
             self.assertIn(b"10.0.0.1:80", old)
-            bare = await self.source.answer(AskedState(0, known_version=1))
+            bare = await self.source.answer(StateRequest(0, known_version=1))
             self.assertNotIn(b"10.0.0.1:80", bare)
 
     @trio_test
@@ -202,27 +202,29 @@
         """
         async with self.following():
             self.configuration = Configuration(5, (), {}, CallerLimits())
-            self.source.note_change()
+            self.source.record_change()
             revision = decode_state(
-                await self.source.answer(AskedState(0, 1)), RelayedState
+                await self.source.answer(StateRequest(0, 1)), RelayedState
             ).revision
             started_s = trio.current_time()
-            data = await self.source.answer(AskedState(revision, known_version=3))
+            data = await self.source.answer(StateRequest(revision, known_version=3))
             self.assertLess(trio.current_time() - started_s, 0.5)
         state = decode_state(data, RelayedState)
         self.assertEqual(state.configuration, self.configuration)
         self.assertEqual((state.is_whole, state.servers), (False, []))
 
 
-class AskedStateTest(unittest.TestCase):
+class StateRequestTest(unittest.TestCase):
     """What an asker says, in the target of its request."""
 
     def asked(self, target):
-        return asked_state(InboundRequest(b"GET", target, "h", "", None, [], b"", 0.0))
+        return parse_state_request(
+            InboundRequest(b"GET", target, "h", "", None, [], b"", 0.0)
+        )
 
     def test_target_says_what_is_known(self):
         path = b"/ibisfront/state"
-        self.assertEqual(self.asked(path + b"?7&3"), AskedState(7, 3))
-        self.assertEqual(self.asked(path + b"?0&x"), AskedState(0))
-        self.assertEqual(self.asked(path), AskedState(0))
+        self.assertEqual(self.asked(path + b"?7&3"), StateRequest(7, 3))
+        self.assertEqual(self.asked(path + b"?0&x"), StateRequest(0))
+        self.assertEqual(self.asked(path), StateRequest(0))
         self.assertIsNone(self.asked(b"/search/a"))
--- a/ibisfront/tests/test_gateway_state_feed.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -11,9 +11,9 @@
 from ibisfront.core.clock import Clock
 from ibisfront.gateway.instances.directory import InstanceEntry
 from ibisfront.gateway.state.configuration import CallerLimits, Configuration
-from ibisfront.gateway.state.relays import Relays
-from ibisfront.gateway.state.state_feed import StateFeed
+from ibisfront.gateway.state.relay_topology import RelayTopology
 from ibisfront.gateway.state.state_relay import RelayedState
+from ibisfront.gateway.state.state_sync import StateSync
 from ibisfront.tests import trio_test
 from ibisfront.tests.zone_of_instances import KINDS, in_small_zone, in_zone
 
@@ -58,7 +58,7 @@
         zone.put(2)
         await trio.sleep(12.0)
         self.assertEqual({item.version for item in zone.instances}, {1})
-        self.assertEqual({item.feed.is_fresh for item in zone.instances}, {False})
+        self.assertEqual({item.state_sync.is_fresh for item in zone.instances}, {False})
         for instance in zone.instances[4:]:
             instance.is_turned_away = False
         await trio.sleep(4.0)
@@ -78,7 +78,7 @@
         for instance in zone.instances:
             instance.is_turned_away = True
         await trio.sleep(8.0)
-        self.assertFalse(zone.instances[0].is_told_cut_off)
+        self.assertFalse(zone.instances[0].is_reported_cut_off)
 
     @in_small_zone
     async def test_watch_is_taken_up_again_when_the_store_serves(self, zone, nursery):
@@ -86,10 +86,10 @@
         await trio.sleep(5.0)
         zone.instances[0].is_turned_away = True
         await trio.sleep(8.0)
-        self.assertFalse(zone.instances[0].feed.is_fresh)
+        self.assertFalse(zone.instances[0].state_sync.is_fresh)
         zone.instances[0].is_turned_away = False
         await trio.sleep(8.0)
-        self.assertTrue(zone.instances[0].feed.is_fresh)
+        self.assertTrue(zone.instances[0].state_sync.is_fresh)
 
     @in_small_zone
     async def test_restart_in_an_outage_does_not_wait_for_lost_seeds(
@@ -103,7 +103,7 @@
         """
         zone.instances[1].is_down = True
         for instance in zone.instances:
-            instance.feed._seeds = ("i1", "i1", "i1")
+            instance.state_sync._seeds = ("i1", "i1", "i1")
             instance.is_turned_away = zone.store_refuses = True
         zone.start(nursery, is_listed=False, but=zone.instances[1])
         await trio.sleep(0.1)
@@ -137,15 +137,15 @@
                 pass
 
         def watch(nursery, options):
-            feed.away.update(KINDS)
+            state_sync.away.update(KINDS)
             nursery.start_soon(list_servers)
 
         async def list_servers():
             await trio.sleep(0.005)
-            feed.away.discard("servers")
+            state_sync.away.discard("servers")
 
-        feed = StateFeed(
-            relays=Relays(InstanceEntry("i0", "z0", "i0")),
+        state_sync = StateSync(
+            topology=RelayTopology(InstanceEntry("i0", "z0", "i0")),
             connect=lambda address: Seed(),
             watch=watch,
             take=taken.append,
@@ -155,13 +155,13 @@
             seeds=("i1",),
             clock=clock,
         )
-        feed.note_listed()
+        state_sync.record_listed()
         with trio.move_on_after(0.2):
-            await feed.run()
+            await state_sync.run()
         self.assertEqual(taken, [])
 
 
-class StateFeedTest(unittest.TestCase):
+class StateSyncTest(unittest.TestCase):
     """Who watches the store, and what the others do."""
 
     @in_zone
@@ -252,7 +252,7 @@
         zone.start(nursery, but=lost)
         self.assertLess(await self.heard_after_s(zone, 1), 0.5)
         await trio.sleep(10.0)
-        watching = [item for item in zone.instances if item.feed.is_fresh]
+        watching = [item for item in zone.instances if item.state_sync.is_fresh]
         self.assertEqual(watching, [zone.instances[1]])
 
     @in_zone
@@ -289,7 +289,7 @@
                 instance.is_turned_away = is_cut_off
                 instance.source.wake_askers()
             await trio.sleep(0.1)
-            told = {item.is_told_cut_off for item in followers}
+            told = {item.is_reported_cut_off for item in followers}
             self.assertEqual(told, {is_cut_off})
 
     @in_zone
@@ -422,7 +422,7 @@
         for instance in zone.instances:
             instance.is_turned_away = True
             instance.version = 1
-            instance.source.note_change()
+            instance.source.record_change()
         late = zone.instances[-1]
         late.version = 0
         zone.start(nursery, is_listed=False)
@@ -440,8 +440,8 @@
         zone.start(nursery, is_listed=False, but=late)
         await trio.sleep(3.0)
         late.is_turned_away = True
-        late.feed.note_listed()
-        nursery.start_soon(late.feed.run)
+        late.state_sync.record_listed()
+        nursery.start_soon(late.state_sync.run)
         await trio.sleep(0.1)
         self.assertEqual(late.version, 1)
         await trio.sleep(2.0)
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -10,12 +10,12 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.gateway.instances.rotation import Rotation
-from ibisfront.gateway.instances.zone_watch import ZoneWatch
-from ibisfront.gateway.instances.zone_ways import WayStep, ZoneWay, ZoneWays
-from ibisfront.gateway.observing import Observer
+from ibisfront.gateway.instances.zone_path_monitor import ZonePathMonitor
+from ibisfront.gateway.instances.zone_paths import PathAction, ZonePath, ZonePaths
+from ibisfront.gateway.observability import Observer
 from ibisfront.gateway.servers.pool import ServerPool
-from ibisfront.gateway.servers.server_book import ServerBook
 from ibisfront.gateway.servers.server_entry import ServerEntry
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.configuration import RequestKind
 from ibisfront.testing.gateway_fixture import (
     GatewayFixture,
@@ -25,50 +25,50 @@
 from ibisfront.tests import trio_test
 
 
-def asked_way(endpoints, *, late_ms=30.0):
-    """Return a way on which some endpoints were asked at time 0."""
-    way = ZoneWay("z1")
+def asked_path(endpoints, *, late_ms=30.0):
+    """Return a path on which some endpoints were asked at time 0."""
+    path = ZonePath("z1")
     for number in range(endpoints):
-        way.note_asked(f"e{number}", 0.0, late_ms=late_ms)
-    return way
+        path.record_asked(f"e{number}", 0.0, late_ms=late_ms)
+    return path
 
 
-class ZoneWayTest(unittest.TestCase):
-    """When a way is believed to be cut."""
+class ZonePathTest(unittest.TestCase):
+    """When a path is believed to be cut."""
 
     def test_silence_and_failed_probes_together_make_a_cut(self):
-        way = asked_way(3)
-        self.assertIsNone(way.step(44.0))
-        self.assertEqual(way.step(45.0), WayStep.PROBE)
-        way.note_probed(4, 45.0)
-        self.assertIsNone(way.step(104.0))
-        self.assertFalse(way.is_cut)
-        self.assertEqual(way.step(105.0), WayStep.CUT)
-        self.assertTrue(way.is_cut)
+        path = asked_path(3)
+        self.assertIsNone(path.step(44.0))
+        self.assertEqual(path.step(45.0), PathAction.PROBE)
+        path.record_probed(4, 45.0)
+        self.assertIsNone(path.step(104.0))
+        self.assertFalse(path.is_partitioned)
+        self.assertEqual(path.step(105.0), PathAction.CUT)
+        self.assertTrue(path.is_partitioned)
 
     def test_few_silent_servers_are_no_suspicion(self):
-        way = asked_way(2)
-        self.assertIsNone(way.step(10_000.0))
+        path = asked_path(2)
+        self.assertIsNone(path.step(10_000.0))
 
     def test_any_sign_of_life_ends_the_suspicion(self):
-        way = asked_way(5)
-        self.assertEqual(way.step(50.0), WayStep.PROBE)
-        way.note_probed(3, 50.0)
-        way.note_life()
-        self.assertIsNone(way.step(200.0))
-        self.assertFalse(way.is_cut)
+        path = asked_path(5)
+        self.assertEqual(path.step(50.0), PathAction.PROBE)
+        path.record_probed(3, 50.0)
+        path.record_liveness()
+        self.assertIsNone(path.step(200.0))
+        self.assertFalse(path.is_partitioned)
 
     def test_long_work_is_given_its_time(self):
-        way = asked_way(5, late_ms=400.0)
-        self.assertIsNone(way.step(590.0))
-        self.assertEqual(way.step(600.0), WayStep.PROBE)
+        path = asked_path(5, late_ms=400.0)
+        self.assertIsNone(path.step(590.0))
+        self.assertEqual(path.step(600.0), PathAction.PROBE)
 
     def test_nothing_is_decided_before_a_probe_was_sent(self):
-        way = asked_way(3)
-        way.step(50.0)
-        way.note_probed(0, 50.0)
-        self.assertEqual(way.step(500.0), WayStep.PROBE)
-        self.assertFalse(way.is_cut)
+        path = asked_path(3)
+        path.step(50.0)
+        path.record_probed(0, 50.0)
+        self.assertEqual(path.step(500.0), PathAction.PROBE)
+        self.assertFalse(path.is_partitioned)
 
     def test_process_that_did_not_run_gives_more_time(self):
         """A zone is taken for cut though its replies lie unread here.
@@ -76,10 +76,10 @@
         A small instance may be kept from running for most of a tenth of a
         second; nobody can show life to it meanwhile.
         """
-        way = asked_way(3)
-        way.postpone(80.0)
-        self.assertIsNone(way.step(120.0))
-        self.assertEqual(way.step(125.0), WayStep.PROBE)
+        path = asked_path(3)
+        path.postpone(80.0)
+        self.assertIsNone(path.step(120.0))
+        self.assertEqual(path.step(125.0), PathAction.PROBE)
 
     def test_zone_is_probed_on_a_sign_from_elsewhere(self):
         """Each query of an instance that is cut off waits for another zone.
@@ -87,40 +87,40 @@
         It asks no servers itself and has its queries gathered elsewhere, one at a
         time: three overdue replies never come together.
         """
-        way = ZoneWay("z1")
-        way.suspect()
-        self.assertEqual(way.step(0.0), WayStep.PROBE)
-        way.note_probed(2, 0.0)
-        self.assertIsNone(way.step(59.0))
-        self.assertEqual(way.step(60.0), WayStep.CUT)
-        way.suspect()
-        self.assertTrue(way.is_cut)
+        path = ZonePath("z1")
+        path.suspect()
+        self.assertEqual(path.step(0.0), PathAction.PROBE)
+        path.record_probed(2, 0.0)
+        self.assertIsNone(path.step(59.0))
+        self.assertEqual(path.step(60.0), PathAction.CUT)
+        path.suspect()
+        self.assertTrue(path.is_partitioned)
 
     def test_sound_zone_that_is_suspected_stays_open(self):
-        way = ZoneWay("z1")
-        way.suspect()
-        way.step(0.0)
-        way.note_probed(2, 0.0)
-        way.note_life()
-        self.assertIsNone(way.step(60.0))
-        self.assertFalse(way.is_cut)
+        path = ZonePath("z1")
+        path.suspect()
+        path.step(0.0)
+        path.record_probed(2, 0.0)
+        path.record_liveness()
+        self.assertIsNone(path.step(60.0))
+        self.assertFalse(path.is_partitioned)
 
     def test_cut_stays_until_life_is_shown_and_is_probed_meanwhile(self):
-        way = asked_way(3)
-        way.step(50.0)
-        way.note_probed(3, 50.0)
-        way.step(110.0)
-        steps = [way.step(110.0 + number * 25.0) for number in range(80)]
-        self.assertEqual(steps.count(WayStep.PROBE), 14)
-        self.assertTrue(way.is_cut)
-        way.note_life()
-        self.assertFalse(way.is_cut)
-        self.assertEqual(way.step(2_200.0), WayStep.OPENED)
-        self.assertIsNone(way.step(2_225.0))
-
-
-class ZoneWatchTest(unittest.TestCase):
-    """What is done about the ways."""
+        path = asked_path(3)
+        path.step(50.0)
+        path.record_probed(3, 50.0)
+        path.step(110.0)
+        steps = [path.step(110.0 + number * 25.0) for number in range(80)]
+        self.assertEqual(steps.count(PathAction.PROBE), 14)
+        self.assertTrue(path.is_partitioned)
+        path.record_liveness()
+        self.assertFalse(path.is_partitioned)
+        self.assertEqual(path.step(2_200.0), PathAction.OPENED)
+        self.assertIsNone(path.step(2_225.0))
+
+
+class ZonePathMonitorTest(unittest.TestCase):
+    """What is done about the paths."""
 
     @trio_test
     async def test_cut_of_one_zone_has_all_others_probed(self):
@@ -130,7 +130,7 @@
         other, and stay in rotation meanwhile.
         """
         clock = Clock()
-        ways = ZoneWays("z0")
+        paths = ZonePaths("z0")
         opened = []
 
         async def open_connection(address):
@@ -138,7 +138,7 @@
             await trio.sleep_forever()
 
         async with trio.open_nursery() as nursery:
-            peers = ServerBook(
+            peers = ServerRegistry(
                 clock=clock,
                 make_pool=lambda server: ServerPool(
                     server,
@@ -148,13 +148,13 @@
                     maximum=2,
                 ),
                 zone="z0",
-                ways=ways,
+                paths=paths,
             )
             for zone in ("z1", "z2", "z3"):
                 peers.put(ServerEntry(f"i-{zone}", zone, f"i-{zone}", zone))
-            servers = ServerBook(clock=clock, make_pool=lambda _: None, zone="z0")
-            watch = ZoneWatch(
-                ways=ways,
+            servers = ServerRegistry(clock=clock, make_pool=lambda _: None, zone="z0")
+            watch = ZonePathMonitor(
+                paths=paths,
                 servers=servers,
                 peers=peers,
                 counters=Observer().counters,
@@ -163,9 +163,9 @@
             )
             nursery.start_soon(watch.run)
             for number in range(3):
-                ways.to("z1").note_asked(f"e{number}", clock.now_ms(), late_ms=30.0)
+                paths.to("z1").record_asked(f"e{number}", clock.now_ms(), late_ms=30.0)
             await trio.sleep(0.3)
-            cut = [way.zone for way in ways.all() if way.is_cut]
+            cut = [path.zone for path in paths.all() if path.is_partitioned]
             nursery.cancel_scope.cancel()
         self.assertEqual(sorted(cut), ["z1", "z2", "z3"])
 
@@ -175,8 +175,8 @@
 
     def test_callers_come_back_when_the_balancer_has_moved(self):
         rotation = Rotation()
-        rotation.note(is_ready=False, now_ms=1_000.0)
-        rotation.note(is_ready=False, now_ms=1_500.0)
+        rotation.record(is_ready=False, now_ms=1_000.0)
+        rotation.record(is_ready=False, now_ms=1_500.0)
         self.assertGreaterEqual(rotation.wait_ms(1_000.0), 2_200.0)
         self.assertLessEqual(rotation.wait_ms(1_000.0), 2_400.0)
         self.assertGreaterEqual(rotation.wait_ms(3_100.0), 100.0)
@@ -184,9 +184,9 @@
 
     def test_second_cut_is_counted_from_its_own_start(self):
         rotation = Rotation()
-        rotation.note(is_ready=False, now_ms=1_000.0)
-        rotation.note(is_ready=True, now_ms=5_000.0)
-        rotation.note(is_ready=False, now_ms=20_000.0)
+        rotation.record(is_ready=False, now_ms=1_000.0)
+        rotation.record(is_ready=True, now_ms=5_000.0)
+        rotation.record(is_ready=False, now_ms=20_000.0)
         self.assertGreaterEqual(rotation.wait_ms(20_000.0), 2_200.0)
 
 
@@ -205,12 +205,12 @@
         return [item for item in self.all_servers() if item.entry.zone == "z1"]
 
     def cut(self):
-        self._usual = [server.latency_ms for server in self.far_servers()]
+        self._baseline = [server.latency_ms for server in self.far_servers()]
         for server in self.far_servers():
             server.latency_ms, server.accepts = math.inf, False
 
     def heal(self):
-        for server, latency_ms in zip(self.far_servers(), self._usual, strict=True):
+        for server, latency_ms in zip(self.far_servers(), self._baseline, strict=True):
             server.latency_ms, server.accepts = latency_ms, True
 
 
@@ -254,7 +254,7 @@
     async def test_instance_knows_its_zone_is_cut_off_and_stays_out(self):
         """A whole zone's callers are refused, kept waiting and failed by turns.
 
-        The way to the other zones is cut. Each server is found silent by
+        The path to the other zones is cut. Each server is found silent by
         itself; once all are, nothing is under way, and they seem reachable
         again. The instance goes in and out of rotation until the cut heals.
         With one belief for the zone it was out of rotation after 175 ms and no
@@ -322,7 +322,7 @@
     async def test_reply_to_non_idempotent_work_is_waited_for(self):
         """An envelope that was printed is reported as failed.
 
-        The way to the server is cut and heals within the caller's time. The
+        The path to the server is cut and heals within the caller's time. The
         reply is on its way; ending the request at the cut would lose it.
         """
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -12,7 +12,7 @@
 
 from ibisfront.cli.exits import CommandError
 from ibisfront.cli.lab import seeds_of
-from ibisfront.gateway.queries.gathering import GatherRun
+from ibisfront.gateway.queries.gather_run import GatherRun
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.lab import PatternError, RunResult, compare, read_pattern, run_pattern
 from ibisfront.lab.agenda import Agenda
--- a/ibisfront/tests/test_platform_store.py
+++ b/ibisfront/tests/test_platform_store.py
@@ -8,29 +8,29 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.gateway.instances.directory import InstanceEntry
-from ibisfront.gateway.state.feed import FeedTarget, follow
+from ibisfront.gateway.state.kind_watch import WatchTarget, watch_kind
 from ibisfront.gateway.state.route_cache import RouteCache
 from ibisfront.gateway.state.store import StoreError, StoreErrorKind
 from ibisfront.platform.documents import configuration_from, server_entry_from
-from ibisfront.platform.store import PlatformDirectory, PlatformKindFeed
+from ibisfront.platform.store import PlatformDirectory, PlatformKindClient
 from ibisfront.testing.object_store import StandInStore
 from ibisfront.tests import trio_test_real_clock
 
 
-def feed_of(store, kind="servers", wait_ms=300.0):
-    """Return a feed on a stand-in."""
-    return PlatformKindFeed(store.address, kind, watch_wait_ms=wait_ms)
+def client_of(store, kind="servers", wait_ms=300.0):
+    """Return a client of a stand-in."""
+    return PlatformKindClient(store.address, kind, watch_wait_ms=wait_ms)
 
 
 class Follower:
-    """What a feed told of a kind."""
+    """What a watch told of a kind."""
 
     def __init__(self):
         self.names = set()
         self.lists = []
 
     def target(self):
-        return FeedTarget("things", self.replace, self.change)
+        return WatchTarget("things", self.replace, self.change)
 
     def replace(self, listing, after_outage):
         self.names = {item.name for item in listing.objects}
@@ -49,7 +49,7 @@
                 await trio.sleep(0.005)
 
 
-class KindFeedTest(unittest.TestCase):
+class KindClientTest(unittest.TestCase):
     """Lists, watches and what a watch may miss."""
 
     @trio_test_real_clock
@@ -59,7 +59,7 @@
         for number in range(8):
             store.put("servers", f"s/{number}", {"n": number})
         async with store.running():
-            listing = await feed_of(store).list_all()
+            listing = await client_of(store).list_all()
         self.assertEqual(len({item.name for item in listing.objects}), 8)
 
     @trio_test_real_clock
@@ -67,12 +67,12 @@
         store = StandInStore()
         store.put("servers", "a", 1)
         async with store.running():
-            feed = feed_of(store)
-            listing = await feed.list_all()
+            client = client_of(store)
+            listing = await client.list_all()
             store.put("servers", "b", 2)
             store.remove("servers", "a")
-            answer = await feed.watch(listing.revision)
-            idle = await feed.watch(answer.revision)
+            answer = await client.watch(listing.revision)
+            idle = await client.watch(answer.revision)
         told = [(item.object.name, item.is_removed) for item in answer.changes]
         self.assertEqual(told, [("b", False), ("a", True)])
         self.assertEqual(idle.changes, [])
@@ -90,11 +90,11 @@
         for number, value in enumerate((float("nan"), "\udc00", "\ud800")):
             store.put("servers", f"odd-{number}", {"n": value})
         async with store.running():
-            feed = feed_of(store)
-            listing = await feed.list_all()
+            client = client_of(store)
+            listing = await client.list_all()
             store.put("servers", "odd-3", {"n": float("nan")})
             store.put("servers", "b", {"n": 2})
-            answer = await feed.watch(listing.revision)
+            answer = await client.watch(listing.revision)
         specs = {item.name: item.spec for item in listing.objects}
         self.assertEqual(specs.pop("a"), b'{"n": 1}')
         unreadable = '{"n": "\ufffd"}'.encode()
@@ -109,16 +109,16 @@
         store = StandInStore()
         store.put("servers", "a", 1)
         async with store.running():
-            feed = feed_of(store)
-            listing = await feed.list_all()
+            client = client_of(store)
+            listing = await client.list_all()
             store.put("servers", "b", 1)
             store.forget_history()
             with self.assertRaises(StoreError) as caught:
-                await feed.watch(listing.revision - 1)
+                await client.watch(listing.revision - 1)
         self.assertIs(caught.exception.kind, StoreErrorKind.HISTORY_GONE)
 
 
-class FollowTest(unittest.TestCase):
+class WatchKindTest(unittest.TestCase):
     """Keeping up through what befalls the store."""
 
     @trio_test_real_clock
@@ -133,8 +133,10 @@
         store.put("servers", "a", 1)
         store.put("servers", "b", 1)
         async with store.running(), trio.open_nursery() as nursery:
-            feed = feed_of(store)
-            nursery.start_soon(lambda: follow(feed, follower.target(), clock=Clock()))
+            client = client_of(store)
+            nursery.start_soon(
+                lambda: watch_kind(client, follower.target(), clock=Clock())
+            )
             await follower.until({"a", "b"})
             store._objects["servers"].pop("b")
             store._revision += 1
@@ -148,8 +150,10 @@
         store, follower = StandInStore(), Follower()
         store.put("servers", "a", 1)
         async with store.running(), trio.open_nursery() as nursery:
-            feed = feed_of(store)
-            nursery.start_soon(lambda: follow(feed, follower.target(), clock=Clock()))
+            client = client_of(store)
+            nursery.start_soon(
+                lambda: watch_kind(client, follower.target(), clock=Clock())
+            )
             await follower.until({"a"})
             store.refuses_with = 503
             await trio.sleep(0.5)
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -11,10 +11,10 @@
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.gateway.settings import Bounds
 from ibisfront.gateway.state.configuration import CallerLimits, Configuration
-from ibisfront.gateway.state.feed import FeedTarget, StoreOutage, follow
-from ibisfront.gateway.state.relays import Relays
-from ibisfront.gateway.state.state_feed import StateFeed
-from ibisfront.gateway.state.state_relay import KnownState, StateSource
+from ibisfront.gateway.state.kind_watch import StoreOutage, WatchTarget, watch_kind
+from ibisfront.gateway.state.relay_topology import RelayTopology
+from ibisfront.gateway.state.state_relay import LocalState, StateSource
+from ibisfront.gateway.state.state_sync import StateSync
 from ibisfront.gateway.state.store import Changes, Listing, StoreError, StoreErrorKind
 from ibisfront.tests import trio_test
 
@@ -32,7 +32,7 @@
     def __init__(self, zone, number):
         self.zone = zone
         self.entry = InstanceEntry(f"i{number}", "z0", f"i{number}", 100.0 - number)
-        self.relays = Relays(self.entry)
+        self.topology = RelayTopology(self.entry)
         self.version = 0
         self.calls = 0
         self.is_turned_away = False
@@ -40,14 +40,14 @@
         self.reaches_servers = False
         self.is_down = False
         self.cut_off_at_s = -1e9
-        self.is_told_cut_off = False
+        self.is_reported_cut_off = False
         self.lists_after_outage = []
-        self.feed = StateFeed(
-            relays=self.relays,
+        self.state_sync = StateSync(
+            topology=self.topology,
             connect=self.zone.client,
             watch=self.watch,
             take=self.take,
-            on_cut_off=self.note_cut_off,
+            on_cut_off=self.record_cut_off,
             on_lost=lambda name: None,
             known_version=lambda: self.version,
             seeds=("i1",),
@@ -55,8 +55,8 @@
         )
         self.source = StateSource(
             state=self.state,
-            is_fresh=lambda: self.feed.is_fresh,
-            may_become_fresh=lambda: self.feed.may_become_fresh,
+            is_fresh=lambda: self.state_sync.is_fresh,
+            may_become_fresh=lambda: self.state_sync.may_become_fresh,
             is_cut_off=lambda: self.is_turned_away and not self.reaches_servers,
             clock=zone.clock,
         )
@@ -66,26 +66,26 @@
         self.entry = InstanceEntry(
             self.entry.name, zone, self.entry.address, self.entry.capacity
         )
-        self.relays = self.feed._relays = Relays(self.entry)
+        self.topology = self.state_sync._topology = RelayTopology(self.entry)
 
     def state(self):
         configuration = Configuration(self.version, (), {}, CallerLimits())
         servers = self.zone.servers if self.version else []
-        return KnownState(configuration if self.version else None, servers, [])
+        return LocalState(configuration if self.version else None, servers, [])
 
     def take(self, state):
         for told in (state.configuration, state.configuration_change):
             if told is not None:
                 self.version = max(self.version, told.version)
 
-    def note_cut_off(self, name, is_cut_off):
-        self.is_told_cut_off = is_cut_off
+    def record_cut_off(self, name, is_cut_off):
+        self.is_reported_cut_off = is_cut_off
         if is_cut_off:
             self.cut_off_at_s = trio.current_time()
 
     def watch(self, nursery, options):
         run = functools.partial(
-            follow,
+            watch_kind,
             clock=self.zone.clock,
             options=options,
             outage=StoreOutage(options.after_outage_ms),
@@ -95,22 +95,22 @@
 
     def target(self, kind):
         """Return what takes in a kind, as the front process does."""
-        self.feed.away.add(kind)
+        self.state_sync.away.add(kind)
 
         def replace(listing, after_outage):
-            self.feed.away.discard(kind)
+            self.state_sync.away.discard(kind)
             self.lists_after_outage.append(after_outage)
             self.change(())
 
         def away():
-            self.feed.away.add(kind)
+            self.state_sync.away.add(kind)
             self.source.wake_askers()
 
-        return FeedTarget(kind, replace, self.change, away)
+        return WatchTarget(kind, replace, self.change, away)
 
     def change(self, changes):
         self.version = self.zone.version
-        self.source.note_change()
+        self.source.record_change()
 
 
 class Feed:
@@ -192,9 +192,9 @@
             if instance is but:
                 continue
             if is_listed:
-                instance.relays.update([item.entry for item in self.instances])
-            instance.feed.note_listed()
-            nursery.start_soon(instance.feed.run)
+                instance.topology.update([item.entry for item in self.instances])
+            instance.state_sync.record_listed()
+            nursery.start_soon(instance.state_sync.run)
 
     def put(self, version):
         """Put a version in force; who watches the store hears of it."""
--- a/properties/test_cold_limit_properties.py
+++ b/properties/test_cold_start_limit_properties.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ibisfront.gateway.load.cold_limit import cold_share
+from ibisfront.gateway.load.cold_start_limit import cold_share
 
 bounds_per_s = st.floats(0.0, 500.0)
 instance_counts = st.integers(1, 300)
--- a/properties/test_entry_properties.py
+++ b/properties/test_entry_properties.py
@@ -14,8 +14,8 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.front.targets import servers_target
-from ibisfront.gateway.observing import Observer
-from ibisfront.gateway.servers.server_book import ServerBook
+from ibisfront.gateway.observability import Observer
+from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.store import Listing, ObjectChange, StoredObject
 
 IDS = ("i-1", "i-2", "i-3")
@@ -112,8 +112,10 @@
         trio.run(self._play, history, clock=MockClock())
 
     async def _play(self, history):
-        book = ServerBook(clock=Clock(), make_pool=lambda server: None, zone="z")
-        target = servers_target(_process_of(book))
+        registry = ServerRegistry(
+            clock=Clock(), make_pool=lambda server: None, zone="z"
+        )
+        target = servers_target(_process_of(registry))
         oracle, objects = Oracle(), {}
         for revision, ((server_id, written), as_list) in enumerate(history, 1):
             oracle.write(server_id, written)
@@ -128,7 +130,7 @@
                 target.change([change])
             asked = {
                 (server.entry.server_id, server.entry.born_ms)
-                for server in book.of_service("s")
+                for server in registry.of_service("s")
                 if server.is_usable
             }
             self.assertEqual(asked, oracle.expected())
@@ -141,13 +143,13 @@
     return ObjectChange(StoredObject(server_id, revision, spec), False)
 
 
-def _process_of(book):
+def _process_of(registry):
     """Return what taking entries in needs of a process."""
     return SimpleNamespace(
-        book=book,
+        registry=registry,
         observer=Observer(),
-        connections=SimpleNamespace(warm_up=lambda book: None),
-        replace_servers=book.replace,
-        feed=SimpleNamespace(away=set()),
-        source=SimpleNamespace(note_change=lambda: None, wake_askers=lambda: None),
+        connections=SimpleNamespace(warm_up=lambda registry: None),
+        replace_servers=registry.replace,
+        state_sync=SimpleNamespace(away=set()),
+        source=SimpleNamespace(record_change=lambda: None, wake_askers=lambda: None),
     )
--- a/properties/test_state_properties.py
+++ b/properties/test_state_properties.py
@@ -24,9 +24,9 @@
 )
 from ibisfront.gateway.state.state_codec import decode_state
 from ibisfront.gateway.state.state_relay import (
-    AskedState,
-    KnownState,
+    LocalState,
     RelayedState,
+    StateRequest,
     StateSource,
 )
 
@@ -78,11 +78,11 @@
 
     @property
     def servers(self):
-        return {server.entry for server in self.process.book.servers()}
+        return {server.entry for server in self.process.registry.servers()}
 
     def asked(self):
         known = self.configuration
-        return AskedState(self.revision, 0 if known is None else known.version)
+        return StateRequest(self.revision, 0 if known is None else known.version)
 
     def take(self, state):
         self.process.take_state(state)
@@ -106,7 +106,7 @@
     def restart(self):
         """Replace the source by one that has only just started."""
         self.source = StateSource(
-            state=lambda: KnownState(
+            state=lambda: LocalState(
                 self.configuration, list(self.servers.values()), []
             ),
             is_fresh=lambda: True,
@@ -114,12 +114,12 @@
             is_cut_off=lambda: False,
             clock=self.clock,
         )
-        self.source.note_change()
+        self.source.record_change()
 
     def put_version(self, names, more):
         version = self.configuration.version + more
         self.versions.append(configuration_of(version, names))
-        self.source.note_change()
+        self.source.record_change()
 
     def put_server(self, server_id, port):
         """Write a server's entry; port 0 removes it."""
@@ -127,7 +127,7 @@
         self.servers[server_id] = ServerEntry(server_id, "elsewhere", address, "z")
         if not port:
             del self.servers[server_id]
-        self.source.note_change()
+        self.source.record_change()
 
     async def ask(self, follower):
         data = await self.source.answer(follower.asked())
