--- a/benchmarks/ledger_throughput.py
+++ b/benchmarks/ledger_throughput.py
@@ -92,7 +92,7 @@
             raise WriteConflict(name) from refused
 
 
-async def run_at_once(run: ClaimedRun) -> SubReply:
+async def reply_immediately(run: ClaimedRun) -> SubReply:
     """Take the place of a backend server that needs no time."""
     run.start_send()
     return SubReply(b'{"result":1}')
@@ -124,7 +124,7 @@
         ledgers = [
             Ledger(
                 instance=f"i{number}",
-                run_once=run_at_once,
+                send_once=reply_immediately,
                 clock=self.clock,
                 counters=self.counters,
                 process=f"p{number}",
--- a/benchmarks/state_sizes.py
+++ b/benchmarks/state_sizes.py
@@ -22,7 +22,7 @@
 from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState
 from ibisfront.core.heartbeat import Heartbeat
 from ibisfront.core.latency import LatencyHistogram
-from ibisfront.core.ledger_bucket import FULL_BYTES, Bucket
+from ibisfront.core.ledger_bucket import OBJECT_CLAIM_LIMIT_BYTES, Bucket
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
 from ibisfront.core.service import BackendServer, Service
 from ibisfront.core.service_state import RecentLatency, ServiceState
@@ -214,7 +214,7 @@
         Item("edit of one row, JSON", len(msgspec.json.encode(_edit()))),
         Item("ledger record, claimed", _record_bytes(ClaimState.CLAIMED)),
         Item("ledger record, ran", _record_bytes(ClaimState.RAN, '{"result":1}')),
-        Item("ledger object at most", FULL_BYTES),
+        Item("ledger object at most", OBJECT_CLAIM_LIMIT_BYTES),
     ]
 
 
--- a/ibisfront/adapters/peer_codec.py
+++ b/ibisfront/adapters/peer_codec.py
@@ -11,7 +11,7 @@
 
 from ibisfront.core.heartbeat import Heartbeat
 from ibisfront.core.hello import Hello
-from ibisfront.core.ledger_messages import AttemptAnswer, AttemptQuestion
+from ibisfront.core.ledger_messages import AttemptStatusReply, AttemptStatusRequest
 from ibisfront.core.membership import MemberNews, ViewsCompared
 from ibisfront.core.peers import PeerMessage
 from ibisfront.core.quarantine import CrashSeen
@@ -42,8 +42,8 @@
     | ShareGrants
     | StatusRequest
     | StatusReply
-    | AttemptQuestion
-    | AttemptAnswer
+    | AttemptStatusRequest
+    | AttemptStatusReply
 )
 
 
--- a/ibisfront/core/attempts.py
+++ b/ibisfront/core/attempts.py
@@ -9,14 +9,14 @@
 
 import trio
 
-from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState, kept_record
+from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState, stored_record
 
 if TYPE_CHECKING:
     from ibisfront.core.idempotency_key import IdempotencyKey
 
 __all__ = ["Attempt", "AttemptRegistry", "AttemptState"]
 
-_REMEMBERED_ATTEMPTS = 10_000
+_MAXIMUM_RETAINED_ATTEMPTS = 10_000
 
 
 class AttemptState(StrEnum):
@@ -131,12 +131,12 @@
             self.outcome = outcome
             self.ended.set()
 
-    def forget_large_result(self) -> None:
+    def discard_large_result(self) -> None:
         """Keep no more of the outcome than the ledger does."""
         if self.outcome is not None:
-            self.outcome = kept_record(self.outcome)
+            self.outcome = stored_record(self.outcome)
 
-    def record(
+    def claim_record(
         self, state: ClaimState = ClaimState.CLAIMED, reason: str = ""
     ) -> ClaimRecord:
         """Return a record of it for the ledger."""
@@ -178,7 +178,7 @@
         )
         self._attempts[attempt_id] = attempt
         self._active[key.text] = attempt
-        self._forget_oldest()
+        self._evict_oldest()
         return attempt
 
     def active(self, key: IdempotencyKey) -> Attempt | None:
@@ -193,8 +193,8 @@
         """Return an attempt of this process; None if it is not remembered."""
         return self._attempts.get(attempt_id)
 
-    def _forget_oldest(self) -> None:
-        while len(self._attempts) > _REMEMBERED_ATTEMPTS:
+    def _evict_oldest(self) -> None:
+        while len(self._attempts) > _MAXIMUM_RETAINED_ATTEMPTS:
             oldest_id, oldest = next(iter(self._attempts.items()))
             if oldest.is_active:
                 return
--- a/ibisfront/core/claim.py
+++ b/ibisfront/core/claim.py
@@ -15,12 +15,12 @@
     "AttemptId",
     "ClaimRecord",
     "ClaimState",
-    "kept_record",
     "request_fingerprint",
+    "stored_record",
 ]
 
 _FINGERPRINT_BYTES = 12
-_KEPT_RESULT_BYTES = 1_024
+_MAXIMUM_STORED_RESULT_BYTES = 1_024
 
 
 class AttemptId(msgspec.Struct, frozen=True, array_like=True):
@@ -84,10 +84,10 @@
         return self.state not in (ClaimState.CLAIMED, ClaimState.NOT_RUN)
 
 
-def kept_record(record: ClaimRecord) -> ClaimRecord:
+def stored_record(record: ClaimRecord) -> ClaimRecord:
     """Return a record as it is kept: without a result that is too large."""
     result = record.result_json
-    if result is None or len(result.encode()) <= _KEPT_RESULT_BYTES:
+    if result is None or len(result.encode()) <= _MAXIMUM_STORED_RESULT_BYTES:
         return record
     return msgspec.structs.replace(record, result_json=None)
 
--- a/ibisfront/core/claim_answers.py
+++ b/ibisfront/core/claim_answers.py
@@ -9,7 +9,7 @@
 from ibisfront.core.errors import ErrorKind, IbisfrontError, Ran
 from ibisfront.core.query import PerformAnswer
 
-__all__ = ["answer_of", "not_run_error", "outcome_unknown"]
+__all__ = ["answer_from_record", "not_run_error", "outcome_unknown_error"]
 
 _NO_SERVER_REASONS = (
     MissingReason.NO_SERVER.value,
@@ -17,7 +17,7 @@
 )
 
 
-def answer_of(
+def answer_from_record(
     record: ClaimRecord, *, request_id: str, key: str, repeated: bool
 ) -> PerformAnswer:
     """Return the answer of a request that ran.
@@ -36,10 +36,10 @@
             repeated=repeated,
             result_kept=result is not None,
         )
-    raise _error_of(record, key)
+    raise _error_from_record(record, key)
 
 
-def outcome_unknown(key: str, detail: str) -> IbisfrontError:
+def outcome_unknown_error(key: str, detail: str) -> IbisfrontError:
     """Return the error of a request that may have run."""
     return IbisfrontError(ErrorKind.OUTCOME_UNKNOWN, f"{key}: {detail}")
 
@@ -62,7 +62,7 @@
     return IbisfrontError(kind, f"{key} was not run: {record.reason}")
 
 
-def _error_of(record: ClaimRecord, key: str) -> IbisfrontError:
+def _error_from_record(record: ClaimRecord, key: str) -> IbisfrontError:
     match record.state:
         case ClaimState.FAILED:
             return IbisfrontError(
@@ -73,6 +73,6 @@
         case ClaimState.NOT_RUN:
             return not_run_error(record, key)
         case ClaimState.UNKNOWN:
-            return outcome_unknown(key, f"its answer was lost: {record.reason}")
+            return outcome_unknown_error(key, f"its answer was lost: {record.reason}")
         case _:
-            return outcome_unknown(key, "another copy holds the claim")
+            return outcome_unknown_error(key, "another copy holds the claim")
--- a/ibisfront/core/claimed_run.py
+++ b/ibisfront/core/claimed_run.py
@@ -19,13 +19,13 @@
     from ibisfront.core.query import CallerRequest, SubReply
     from ibisfront.core.table import Purpose
 
-__all__ = ["ClaimedRun", "RunOnce", "run_claimed"]
+__all__ = ["ClaimedRun", "SendOnce", "run_claimed"]
 
 _LOG = part_logger(LogPart.LEDGER)
 
 _MAXIMUM_TRIES = 3
 _ANSWER_GRACE_MS = 2_000.0
-_NO_OTHER_SERVER_HELPS = (
+_NON_RETRYABLE_REASONS = (
     MissingReason.NO_SERVER,
     MissingReason.QUARANTINED,
     MissingReason.REFUSED,
@@ -81,7 +81,7 @@
             raise SubRequestError(MissingReason.TIMED_OUT, not_run=True)
 
 
-RunOnce: TypeAlias = Callable[[ClaimedRun], Awaitable["SubReply"]]
+SendOnce: TypeAlias = Callable[[ClaimedRun], Awaitable["SubReply"]]
 """Sends a claimed request to one backend server, once.
 
 Calls ``start_send`` with no ``await`` before the first byte, and adds the
@@ -96,7 +96,9 @@
     result: msgspec.Raw
 
 
-async def run_claimed(run: ClaimedRun, run_once: RunOnce, clock: Clock) -> ClaimRecord:
+async def run_claimed(
+    run: ClaimedRun, send_once: SendOnce, clock: Clock
+) -> ClaimRecord:
     """Send a claimed request and return what became of it.
 
     Another server is tried only while no byte was sent, or after a server
@@ -106,41 +108,41 @@
     attempt = run.attempt
     left_ms = attempt.deadline_at_ms - clock.now_ms() + _ANSWER_GRACE_MS
     with clock.timeout_ms(left_ms):
-        return await _try_servers(run, run_once)
-    return _ended(attempt, MissingReason.TIMED_OUT)
+        return await _try_servers(run, send_once)
+    return _record_without_reply(attempt, MissingReason.TIMED_OUT)
 
 
-async def _try_servers(run: ClaimedRun, run_once: RunOnce) -> ClaimRecord:
+async def _try_servers(run: ClaimedRun, send_once: SendOnce) -> ClaimRecord:
     reason = MissingReason.NO_SERVER
     for _ in range(_MAXIMUM_TRIES):
         try:
-            return _ran(run.attempt, await run_once(run))
+            return _record_from_reply(run.attempt, await send_once(run))
         except SubRequestError as error:
             if error.ran:
-                return run.attempt.record(ClaimState.FAILED, error.reason.value)
+                return run.attempt.claim_record(ClaimState.FAILED, error.reason.value)
             if not error.not_run:
-                return _ended(run.attempt, error.reason)
+                return _record_without_reply(run.attempt, error.reason)
             if error.reason is not MissingReason.NO_SERVER or not run.tried:
                 reason = error.reason
             run.attempt.reopen()
-            if error.reason in _NO_OTHER_SERVER_HELPS:
+            if error.reason in _NON_RETRYABLE_REASONS:
                 break
         except Exception as error:
             _LOG.error("A send met a fault of the tier.", exc_info=error)
-            return _ended(run.attempt, MissingReason.WRONG_REPLY)
-    return run.attempt.record(ClaimState.NOT_RUN, reason.value)
+            return _record_without_reply(run.attempt, MissingReason.WRONG_REPLY)
+    return run.attempt.claim_record(ClaimState.NOT_RUN, reason.value)
 
 
-def _ended(attempt: Attempt, reason: MissingReason) -> ClaimRecord:
+def _record_without_reply(attempt: Attempt, reason: MissingReason) -> ClaimRecord:
     if attempt.state is not AttemptState.SENT:
-        return attempt.record(ClaimState.NOT_RUN, reason.value)
-    return attempt.record(ClaimState.UNKNOWN, reason.value)
+        return attempt.claim_record(ClaimState.NOT_RUN, reason.value)
+    return attempt.claim_record(ClaimState.UNKNOWN, reason.value)
 
 
-def _ran(attempt: Attempt, reply: SubReply) -> ClaimRecord:
+def _record_from_reply(attempt: Attempt, reply: SubReply) -> ClaimRecord:
     try:
         result = msgspec.json.decode(reply.body_json, type=_PerformReply).result
     except msgspec.MsgspecError:
-        return attempt.record(ClaimState.FAILED, MissingReason.WRONG_REPLY.value)
-    record = attempt.record(ClaimState.RAN)
+        return attempt.claim_record(ClaimState.FAILED, MissingReason.WRONG_REPLY.value)
+    record = attempt.claim_record(ClaimState.RAN)
     return msgspec.structs.replace(record, result_json=bytes(result).decode())
--- a/ibisfront/core/claiming.py
+++ b/ibisfront/core/claimer.py
@@ -7,15 +7,15 @@
 import trio
 
 from ibisfront.core.claim import ClaimRecord, ClaimState
-from ibisfront.core.claim_answers import outcome_unknown
+from ibisfront.core.claim_answers import outcome_unknown_error
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.errors import ErrorKind, IbisfrontError
-from ibisfront.core.idempotency_key import IdempotencyKey, key_expired
+from ibisfront.core.idempotency_key import IdempotencyKey, key_expired_error
 from ibisfront.core.ledger_bucket import SLOT_MS, Change, ChangeResult
 from ibisfront.core.ledger_messages import (
-    AttemptAnswer,
-    AttemptQuestion,
-    attempt_answer,
+    AttemptStatusReply,
+    AttemptStatusRequest,
+    attempt_status,
 )
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 __all__ = ["Claimer"]
 
 _CLAIM_TIMEOUT_MS = 3_000.0
-_ASK_TIMEOUT_MS = 250.0
+_STATUS_TIMEOUT_MS = 250.0
 _FIRST_POLL_MS = 50.0
 _MAXIMUM_POLL_MS = 1_000.0
 
@@ -70,7 +70,7 @@
         """Return a cancel scope that ends when a caller stops waiting."""
         return self._clock.timeout_ms(waiting.deadline_at_ms - self._clock.now_ms())
 
-    async def until_held(self, attempt: Attempt) -> ClaimRecord:
+    async def acquire(self, attempt: Attempt) -> ClaimRecord:
         """Return the record of this attempt, or the final one of another copy.
 
         A claim of another attempt is replaced only once that one is proved
@@ -81,14 +81,14 @@
         poll_ms = _FIRST_POLL_MS
         found = await self._claim(attempt, dead=None, fresh=False)
         while found.attempt != attempt.attempt_id and not found.is_final:
-            told = await self.ask(found.attempt)
+            told = await self.query_attempt(found.attempt)
             if told.is_dead:
                 self._counters.add(CounterKind.CLAIMS, "taken_over")
                 dead = found
             elif told.outcome is not None:
                 return told.outcome
             else:
-                await self._wait_for_other(attempt, poll_ms)
+                await self._wait_for_other_copy(attempt, poll_ms)
                 poll_ms = min(2 * poll_ms, _MAXIMUM_POLL_MS)
             found = await self._claim_again(attempt, dead)
         return found
@@ -100,16 +100,16 @@
             return await self._claim(attempt, dead=dead, fresh=True)
         except IbisfrontError as error:
             if error.kind is ErrorKind.CLAIM_UNAVAILABLE:
-                raise outcome_unknown(
+                raise outcome_unknown_error(
                     attempt.key.text, "another copy holds the claim"
                 ) from error
             raise
 
-    async def _wait_for_other(self, attempt: Attempt, wait_ms: float) -> None:
+    async def _wait_for_other_copy(self, attempt: Attempt, wait_ms: float) -> None:
         left_ms = attempt.deadline_at_ms - self._clock.now_ms()
         if left_ms <= wait_ms:
             await self._clock.sleep_ms(left_ms)
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 attempt.key.text, "another copy holds the claim and has no outcome yet"
             )
         await self._clock.sleep_ms(wait_ms)
@@ -135,21 +135,21 @@
         IbisfrontError
             If it is not known in time which record is in force.
         """
-        writer = self._serving_writer(attempt.key)
+        writer = self._available_writer(attempt.key)
         results: list[ChangeResult] = []
         done = trio.Event()
 
-        def decide(found: ClaimRecord | None) -> ClaimRecord | None:
+        def update(found: ClaimRecord | None) -> ClaimRecord | None:
             if not attempt.is_active:
                 return found
-            return _claimed_by(attempt, found, dead)
+            return _record_after_claim(attempt, found, dead)
 
         def resolve(result: ChangeResult) -> None:
             results.append(result)
             done.set()
 
         attempt.submitted = True
-        change = Change(attempt.key, decide, resolve, lambda: not attempt.is_active)
+        change = Change(attempt.key, update, resolve, lambda: not attempt.is_active)
         writer.submit(change, fresh=fresh)
         with self._clock.timeout_ms(_CLAIM_TIMEOUT_MS), self.until_deadline(attempt):
             await done.wait()
@@ -168,7 +168,7 @@
             )
         if results[0].expired:
             self._counters.add(CounterKind.CLAIMS, "expired")
-            raise key_expired(attempt.key)
+            raise key_expired_error(attempt.key)
         record = results[0].record
         if record is None:
             self._counters.add(CounterKind.CLAIMS, "full")
@@ -179,31 +179,35 @@
             )
         attempt.submitted = record.attempt == attempt.attempt_id
         if record.fingerprint != attempt.fingerprint:
-            raise self.key_reused(attempt.key)
+            raise self.key_reused_error(attempt.key)
         return record
 
-    async def ask(self, attempt_id: AttemptId) -> AttemptAnswer:
+    async def query_attempt(self, attempt_id: AttemptId) -> AttemptStatusReply:
         """Return what the process of an attempt says of it."""
         if attempt_id.process == self._attempts.process:
-            return attempt_answer(self._attempts.get(attempt_id))
+            return attempt_status(self._attempts.get(attempt_id))
         if self.peers is None:
-            return AttemptAnswer()
+            return AttemptStatusReply()
         told = await self.peers.ask(
             attempt_id.instance,
-            AttemptQuestion(attempt_id),
-            timeout_ms=_ASK_TIMEOUT_MS,
+            AttemptStatusRequest(attempt_id),
+            timeout_ms=_STATUS_TIMEOUT_MS,
         )
-        return told if isinstance(told, AttemptAnswer) else AttemptAnswer()
+        return told if isinstance(told, AttemptStatusReply) else AttemptStatusReply()
 
-    def tell(self, asker: str, question: AttemptQuestion) -> AttemptAnswer:
+    def report_attempt(
+        self, asker: str, question: AttemptStatusRequest
+    ) -> AttemptStatusReply:
         """Return what this process says of one of its attempts."""
-        return attempt_answer(self._attempts.get(question.attempt))
+        return attempt_status(self._attempts.get(question.attempt))
 
-    def record(self, attempt: Attempt, record: ClaimRecord, *, for_ms: float) -> None:
+    def record_outcome(
+        self, attempt: Attempt, record: ClaimRecord, *, timeout_ms: float
+    ) -> None:
         """Write what became of an attempt, as soon as that can be done."""
-        until_ms = self._clock.now_ms() + for_ms
+        until_ms = self._clock.now_ms() + timeout_ms
 
-        def decide(found: ClaimRecord | None) -> ClaimRecord | None:
+        def update(found: ClaimRecord | None) -> ClaimRecord | None:
             # With no record in sight, a claim of this attempt may still land.
             # This write then is what keeps it out: its condition fails.
             if found is None or found.attempt == attempt.attempt_id:
@@ -214,14 +218,14 @@
             self.writer.submit(
                 Change(
                     attempt.key,
-                    decide,
+                    update,
                     lambda result: None,
                     lambda: self._clock.now_ms() > until_ms,
                     is_urgent=False,
                 )
             )
 
-    def key_reused(self, key: IdempotencyKey) -> IbisfrontError:
+    def key_reused_error(self, key: IdempotencyKey) -> IbisfrontError:
         """Count and return the refusal of another body under a known key."""
         self._counters.add(CounterKind.CLAIMS, "reused")
         return IbisfrontError(
@@ -230,9 +234,9 @@
             " new key for new work",
         )
 
-    def _serving_writer(self, key: IdempotencyKey) -> LedgerWriter:
+    def _available_writer(self, key: IdempotencyKey) -> LedgerWriter:
         writer = self.writer
-        if writer is None or writer.is_platform_out:
+        if writer is None or writer.is_platform_unavailable:
             self._counters.add(CounterKind.CLAIMS, "platform_out")
             raise IbisfrontError(
                 ErrorKind.CLAIM_UNAVAILABLE,
@@ -241,13 +245,13 @@
         return writer
 
 
-def _claimed_by(
+def _record_after_claim(
     attempt: Attempt, found: ClaimRecord | None, dead: ClaimRecord | None
 ) -> ClaimRecord:
     """Return the record of a key after an attempt asked for it."""
     if found is None or found == dead:
-        return attempt.record()
+        return attempt.claim_record()
     is_free = found.state is ClaimState.NOT_RUN
     if is_free and found.fingerprint == attempt.fingerprint:
-        return attempt.record()
+        return attempt.claim_record()
     return found
--- a/ibisfront/core/idempotency_key.py
+++ b/ibisfront/core/idempotency_key.py
@@ -10,19 +10,19 @@
 from ibisfront.core.errors import ErrorKind, IbisfrontError, Ran
 
 __all__ = [
-    "KEY_LIFE_MS",
-    "KEY_SKEW_MS",
+    "KEY_LIFETIME_MS",
+    "MAXIMUM_KEY_SKEW_MS",
     "IdempotencyKey",
     "check_key_time",
-    "key_expired",
+    "key_expired_error",
     "make_key",
     "parse_key",
 ]
 
-KEY_LIFE_MS = 3_600_000
+KEY_LIFETIME_MS = 3_600_000
 """How long after its own time a key is accepted and its outcome kept."""
 
-KEY_SKEW_MS = 60_000
+MAXIMUM_KEY_SKEW_MS = 60_000
 """How far a key's time may be ahead of this instance's clock."""
 
 _FORM = re.compile(r"[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}")
@@ -74,19 +74,19 @@
     Raises
     ------
     IbisfrontError
-        ``key_expired`` or ``key_invalid``.
+        ``key_expired_error`` or ``key_invalid``.
     """
-    if key.time_ms > wall_ms + KEY_SKEW_MS:
+    if key.time_ms > wall_ms + MAXIMUM_KEY_SKEW_MS:
         raise IbisfrontError(
             ErrorKind.KEY_INVALID,
             f"the time in {key.text} is {key.time_ms - wall_ms:.0f} ms ahead:"
             " correct the caller's clock",
         )
-    if key.time_ms < wall_ms - KEY_LIFE_MS:
-        raise key_expired(key)
+    if key.time_ms < wall_ms - KEY_LIFETIME_MS:
+        raise key_expired_error(key)
 
 
-def key_expired(key: IdempotencyKey) -> IbisfrontError:
+def key_expired_error(key: IdempotencyKey) -> IbisfrontError:
     """Return the error for a key older than the ledger's memory.
 
     This copy does not run. Whether an earlier one did can no longer be told,
@@ -95,7 +95,7 @@
     """
     return IbisfrontError(
         ErrorKind.KEY_EXPIRED,
-        f"{key.text} is older than {KEY_LIFE_MS} ms; this copy does not run, and"
+        f"{key.text} is older than {KEY_LIFETIME_MS} ms; this copy does not run, and"
         " the outcome of an earlier one is no longer kept",
         ran=Ran.MAYBE,
     )
--- a/ibisfront/core/ledger.py
+++ b/ibisfront/core/ledger.py
@@ -11,25 +11,29 @@
 from ibisfront.core.claim import (
     ClaimRecord,
     ClaimState,
-    kept_record,
     request_fingerprint,
+    stored_record,
 )
-from ibisfront.core.claim_answers import answer_of, not_run_error, outcome_unknown
-from ibisfront.core.claimed_run import ClaimedRun, RunOnce, run_claimed
-from ibisfront.core.claiming import Claimer
+from ibisfront.core.claim_answers import (
+    answer_from_record,
+    not_run_error,
+    outcome_unknown_error,
+)
+from ibisfront.core.claimed_run import ClaimedRun, SendOnce, run_claimed
+from ibisfront.core.claimer import Claimer
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.errors import ErrorKind, IbisfrontError, Ran
 from ibisfront.core.idempotency_key import (
     IdempotencyKey,
     check_key_time,
-    key_expired,
+    key_expired_error,
     parse_key,
 )
 from ibisfront.core.ledger_bucket import (
     bucket_name,
     key_slot,
 )
-from ibisfront.core.ledger_messages import AttemptQuestion
+from ibisfront.core.ledger_messages import AttemptStatusRequest
 from ibisfront.core.ledger_writer import LedgerWriter, read_bucket
 
 if TYPE_CHECKING:
@@ -44,8 +48,8 @@
 __all__ = ["Ledger"]
 
 _PROCESS_NAME_BYTES = 8
-_WITHDRAW_FOR_MS = 60_000.0
-_SETTLE_FOR_MS = 600_000.0
+_WITHDRAWAL_WRITE_TIMEOUT_MS = 60_000.0
+_OUTCOME_WRITE_TIMEOUT_MS = 600_000.0
 
 
 class Ledger:
@@ -60,7 +64,7 @@
     ----------
     instance : str
         This instance's name.
-    run_once : callable
+    send_once : callable
         Sends one claimed request.
     clock : Clock
         The tier's clock.
@@ -85,14 +89,14 @@
         self,
         *,
         instance: str,
-        run_once: RunOnce,
+        send_once: SendOnce,
         clock: Clock,
         counters: Counters,
         process: str = "",
     ) -> None:
         self._process = process or secrets.token_hex(_PROCESS_NAME_BYTES)
         self._attempts = AttemptRegistry(instance=instance, process=self._process)
-        self._run_once = run_once
+        self._run_once = send_once
         self._clock = clock
         self._counters = counters
         self._platform: ConditionalPlatform | None = None
@@ -102,7 +106,7 @@
     def use_peers(self, peers: Peers) -> None:
         """Answer the other instances' questions, and ask them."""
         self._claimer.peers = peers
-        peers.answer(AttemptQuestion, self._claimer.tell)
+        peers.answer(AttemptStatusRequest, self._claimer.report_attempt)
 
     async def run(
         self,
@@ -130,10 +134,10 @@
                 self._claimer.writer = None
                 self._nursery = None
 
-    async def finish(self) -> None:
+    async def flush(self) -> None:
         """Wait until every outcome known here is written."""
         if self._claimer.writer is not None:
-            await self._claimer.writer.wait_written()
+            await self._claimer.writer.flush()
 
     async def perform(
         self, request: CallerRequest, purpose: Purpose, key: str
@@ -152,16 +156,16 @@
         check_key_time(parsed, wall_ms=self._clock.wall_ms())
         fingerprint = request_fingerprint(request)
         while (earlier := self._attempts.active(parsed)) is not None:
-            outcome = await self._follow_local(earlier, request, fingerprint)
+            outcome = await self._await_local_attempt(earlier, request, fingerprint)
             if outcome is not None and outcome.is_final:
-                return self._repeat(outcome, request, parsed)
+                return self._repeated_answer(outcome, request, parsed)
         attempt = self._attempts.open(
             parsed, fingerprint=fingerprint, deadline_at_ms=request.deadline_at_ms
         )
         try:
             return await self._claim_and_run(attempt, request, purpose)
         finally:
-            self._let_go(attempt)
+            self._release_attempt(attempt)
 
     async def outcome(self, key: str) -> PerformAnswer:
         """Return the outcome of an earlier request.
@@ -182,19 +186,19 @@
                 ran=Ran.MAYBE,
             )
         if record.state is ClaimState.NOT_RUN:
-            raise outcome_unknown(
+            raise outcome_unknown_error(
                 key,
                 "the last claimed copy did not run, but another may be on its way;"
                 " send the request again with the same key",
             )
-        return answer_of(record, request_id="", key=parsed.text, repeated=True)
+        return answer_from_record(record, request_id="", key=parsed.text, repeated=True)
 
     async def _claim_and_run(
         self, attempt: Attempt, request: CallerRequest, purpose: Purpose
     ) -> PerformAnswer:
-        held = await self._claimer.until_held(attempt)
+        held = await self._claimer.acquire(attempt)
         if held.attempt != attempt.attempt_id:
-            return self._repeat(held, request, attempt.key)
+            return self._repeated_answer(held, request, attempt.key)
         self._counters.add(CounterKind.CLAIMS, "claimed")
         run = ClaimedRun(request, purpose, attempt=attempt, clock=self._clock)
         self._start(run)
@@ -205,11 +209,13 @@
     def _answer(self, attempt: Attempt, request: CallerRequest) -> PerformAnswer:
         key = attempt.key.text
         if attempt.drop():
-            raise not_run_error(attempt.record(ClaimState.NOT_RUN, "timed_out"), key)
+            raise not_run_error(
+                attempt.claim_record(ClaimState.NOT_RUN, "timed_out"), key
+            )
         outcome = attempt.outcome
         if outcome is None:
-            raise outcome_unknown(key, "no answer came before the deadline")
-        return answer_of(
+            raise outcome_unknown_error(key, "no answer came before the deadline")
+        return answer_from_record(
             outcome, request_id=request.request_id, key=key, repeated=False
         )
 
@@ -224,24 +230,28 @@
         attempt.settle(outcome)
         self._counters.add(CounterKind.CLAIMS, f"ended_{outcome.state.value}")
         if attempt.outcome is not None:
-            self._claimer.record(attempt, kept_record(outcome), for_ms=_SETTLE_FOR_MS)
+            self._claimer.record_outcome(
+                attempt, stored_record(outcome), timeout_ms=_OUTCOME_WRITE_TIMEOUT_MS
+            )
 
-    async def _follow_local(
+    async def _await_local_attempt(
         self, earlier: Attempt, request: CallerRequest, fingerprint: str
     ) -> ClaimRecord | None:
         """Wait for the attempt of another copy that arrived here."""
         if earlier.fingerprint != fingerprint:
-            raise self._claimer.key_reused(earlier.key)
+            raise self._claimer.key_reused_error(earlier.key)
         with self._claimer.until_deadline(request):
             await earlier.ended.wait()
         if earlier.is_active:
-            raise outcome_unknown(earlier.key.text, "another copy is under way here")
+            raise outcome_unknown_error(
+                earlier.key.text, "another copy is under way here"
+            )
         return earlier.outcome
 
     async def _find_record(self, key: IdempotencyKey) -> ClaimRecord | None:
         under_way = self._attempts.active(key)
         if under_way is not None:
-            return under_way.record()
+            return under_way.claim_record()
         if self._platform is None:
             raise IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "not started yet")
         try:
@@ -249,26 +259,28 @@
         except IbisfrontError as error:
             raise IbisfrontError(error.kind, error.detail, ran=Ran.MAYBE) from error
         if view.bucket.slot > key_slot(key):
-            raise key_expired(key)
+            raise key_expired_error(key)
         record = view.bucket.records.get(key.text)
         if record is None or record.state is not ClaimState.CLAIMED:
             return record
-        return (await self._claimer.ask(record.attempt)).outcome or record
+        return (await self._claimer.query_attempt(record.attempt)).outcome or record
 
-    def _let_go(self, attempt: Attempt) -> None:
+    def _release_attempt(self, attempt: Attempt) -> None:
         """End an attempt whose caller was answered or is gone."""
         attempt.caller_answered = True
         if attempt.drop() and attempt.submitted:
             self._counters.add(CounterKind.CLAIMS, "withdrawn")
-            withdrawn = attempt.record(ClaimState.NOT_RUN, "withdrawn")
-            self._claimer.record(attempt, withdrawn, for_ms=_WITHDRAW_FOR_MS)
-        attempt.forget_large_result()
+            withdrawn = attempt.claim_record(ClaimState.NOT_RUN, "withdrawn")
+            self._claimer.record_outcome(
+                attempt, withdrawn, timeout_ms=_WITHDRAWAL_WRITE_TIMEOUT_MS
+            )
+        attempt.discard_large_result()
 
-    def _repeat(
+    def _repeated_answer(
         self, record: ClaimRecord, request: CallerRequest, key: IdempotencyKey
     ) -> PerformAnswer:
         self._counters.add(CounterKind.CLAIMS, "repeated")
-        return answer_of(
+        return answer_from_record(
             record, request_id=request.request_id, key=key.text, repeated=True
         )
 
--- a/ibisfront/core/ledger_bucket.py
+++ b/ibisfront/core/ledger_bucket.py
@@ -17,24 +17,24 @@
 import msgspec
 
 from ibisfront.core.claim import ClaimRecord
-from ibisfront.core.idempotency_key import KEY_LIFE_MS, KEY_SKEW_MS
+from ibisfront.core.idempotency_key import KEY_LIFETIME_MS, MAXIMUM_KEY_SKEW_MS
 
 if TYPE_CHECKING:
     from ibisfront.core.idempotency_key import IdempotencyKey
     from ibisfront.core.types import JsonBytes
 
 __all__ = [
-    "BATCH_LIMIT",
     "BUCKETS",
-    "FULL_BYTES",
-    "LARGE_BYTES",
+    "MAXIMUM_BATCH_CHANGES",
+    "OBJECT_CLAIM_LIMIT_BYTES",
+    "OBJECT_RESULT_LIMIT_BYTES",
     "RING_SLOTS",
     "SLOT_MS",
     "Bucket",
     "BucketPlan",
     "Change",
     "ChangeResult",
-    "Decide",
+    "RecordUpdate",
     "bucket_name",
     "key_slot",
     "plan_changes",
@@ -45,21 +45,21 @@
 BUCKETS = 32
 SLOT_MS = 30_000
 RING_SLOTS = 128
-assert RING_SLOTS * SLOT_MS >= KEY_LIFE_MS + 2 * KEY_SKEW_MS + 2 * SLOT_MS
+assert RING_SLOTS * SLOT_MS >= KEY_LIFETIME_MS + 2 * MAXIMUM_KEY_SKEW_MS + 2 * SLOT_MS
 
 # The platform takes values of at most 1 MB. A write adds at most
 # BATCH_LIMIT records or results, and an outcome adds some 25 bytes to each
 # claim, so that an object below FULL_BYTES stays below 1 MB to its end.
-FULL_BYTES = 800_000
+OBJECT_CLAIM_LIMIT_BYTES = 800_000
 """An object this large takes no more claims."""
 
-LARGE_BYTES = 600_000
+OBJECT_RESULT_LIMIT_BYTES = 600_000
 """An object this large keeps no more results."""
 
-BATCH_LIMIT = 100
+MAXIMUM_BATCH_CHANGES = 100
 """How many changes go into one write."""
 
-Decide: TypeAlias = Callable[[ClaimRecord | None], ClaimRecord | None]
+RecordUpdate: TypeAlias = Callable[[ClaimRecord | None], ClaimRecord | None]
 """Returns a key's next record, given the one there is; the same for no change."""
 
 
@@ -107,7 +107,7 @@
     ----------
     key : IdempotencyKey
         The key.
-    decide : callable
+    update : callable
         Gives the next record.
     resolve : callable
         Called with the result once it is in force.
@@ -118,7 +118,7 @@
     """
 
     key: IdempotencyKey
-    decide: Decide
+    update: RecordUpdate
     resolve: Callable[[ChangeResult], None]
     is_abandoned: Callable[[], bool]
     is_urgent: bool = True
@@ -187,11 +187,11 @@
     if key_slot(change.key) < bucket.slot:
         return ChangeResult(expired=True)
     known = bucket.records.get(change.key.text)
-    if known is None and size_bytes >= FULL_BYTES:
+    if known is None and size_bytes >= OBJECT_CLAIM_LIMIT_BYTES:
         return ChangeResult(full=True)
-    decided = change.decide(known)
-    if decided is not None and decided is not known:
-        if size_bytes >= LARGE_BYTES:
-            decided = msgspec.structs.replace(decided, result_json=None)
-        bucket.records[change.key.text] = decided
-    return ChangeResult(decided)
+    updated = change.update(known)
+    if updated is not None and updated is not known:
+        if size_bytes >= OBJECT_RESULT_LIMIT_BYTES:
+            updated = msgspec.structs.replace(updated, result_json=None)
+        bucket.records[change.key.text] = updated
+    return ChangeResult(updated)
--- a/ibisfront/core/ledger_messages.py
+++ b/ibisfront/core/ledger_messages.py
@@ -5,20 +5,20 @@
 import msgspec
 
 from ibisfront.core.attempts import Attempt, AttemptState
-from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState, kept_record
+from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState, stored_record
 from ibisfront.core.peers import PeerMessage
 from ibisfront.core.types import JsonBytes
 
-__all__ = ["AttemptAnswer", "AttemptQuestion", "attempt_answer"]
+__all__ = ["AttemptStatusReply", "AttemptStatusRequest", "attempt_status"]
 
 
-class AttemptQuestion(PeerMessage, frozen=True, tag="attempt_question"):
+class AttemptStatusRequest(PeerMessage, frozen=True, tag="attempt_question"):
     """Asks the instance of an attempt what became of it."""
 
     attempt: AttemptId
 
 
-class AttemptAnswer(PeerMessage, frozen=True, tag="attempt_answer"):
+class AttemptStatusReply(PeerMessage, frozen=True, tag="attempt_answer"):
     """The reply of the instance.
 
     Attributes
@@ -49,11 +49,11 @@
         return outcome is not None and outcome.state is ClaimState.NOT_RUN
 
 
-def attempt_answer(attempt: Attempt | None) -> AttemptAnswer:
+def attempt_status(attempt: Attempt | None) -> AttemptStatusReply:
     """Return what this process says of one of its attempts."""
     if attempt is None:
-        return AttemptAnswer()
+        return AttemptStatusReply()
     if attempt.outcome is None:
-        return AttemptAnswer(attempt.state)
-    kept = kept_record(attempt.outcome)
-    return AttemptAnswer(attempt.state, msgspec.json.encode(kept))
+        return AttemptStatusReply(attempt.state)
+    kept = stored_record(attempt.outcome)
+    return AttemptStatusReply(attempt.state, msgspec.json.encode(kept))
--- a/ibisfront/core/ledger_writer.py
+++ b/ibisfront/core/ledger_writer.py
@@ -13,7 +13,7 @@
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.ledger_bucket import (
-    BATCH_LIMIT,
+    MAXIMUM_BATCH_CHANGES,
     Bucket,
     bucket_name,
     plan_changes,
@@ -31,18 +31,18 @@
 
 _LOG = part_logger(LogPart.LEDGER)
 
-_KEPT_LANES = 64
+_MAXIMUM_CACHED_QUEUES = 64
 _FIRST_BACKOFF_MS = 20.0
 _MAXIMUM_BACKOFF_MS = 2_000.0
-_MAXIMUM_GAP_MS = 400.0
-_GAP_STEP_MS = 5.0
-_GAP_EASE_MS = 0.5
-_RIDE_WAIT_MS = 400.0
-_FAILURES_OF_AN_OUTAGE = 3
-_SILENCE_OF_AN_OUTAGE_MS = 1_000.0
-_FIRST_PROBE_MS = 500.0
-_MAXIMUM_PROBE_MS = 5_000.0
-_PROBED_NAME = "000-00"
+_MAXIMUM_WRITE_DELAY_MS = 400.0
+_WRITE_DELAY_STEP_MS = 5.0
+_SHARED_WRITE_DELAY_STEP_MS = 0.5
+_OUTCOME_WRITE_DELAY_MS = 400.0
+_OUTAGE_FAILURES = 3
+_OUTAGE_SILENCE_MS = 1_000.0
+_FIRST_PROBE_DELAY_MS = 500.0
+_MAXIMUM_PROBE_DELAY_MS = 5_000.0
+_PROBE_BUCKET_NAME = "000-00"
 
 
 class BucketView(msgspec.Struct, frozen=True):
@@ -63,10 +63,10 @@
     size_bytes: int
 
 
-class _Lane:
+class _BucketQueue:
     """The changes of one object that wait, and what is known of the object."""
 
-    __slots__ = ("gap_ms", "is_running", "name", "pending", "urgent_came", "view")
+    __slots__ = ("gap_ms", "is_running", "name", "pending", "urgent_arrived", "view")
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -74,17 +74,17 @@
         self.view: BucketView | None = None
         self.is_running = False
         self.gap_ms = 0.0
-        self.urgent_came = trio.Event()
+        self.urgent_arrived = trio.Event()
 
     def add(self, change: Change) -> None:
         """Queue a change."""
         self.pending.append(change)
         if change.is_urgent:
-            self.urgent_came.set()
+            self.urgent_arrived.set()
 
     def has_urgent(self) -> bool:
         """Return whether somebody waits for a change."""
-        self.urgent_came = trio.Event()
+        self.urgent_arrived = trio.Event()
         return any(change.is_urgent for change in self.pending)
 
     def drop_abandoned(self) -> bool:
@@ -111,23 +111,23 @@
 
     Attributes
     ----------
-    is_platform_out : bool
+    is_platform_unavailable : bool
         Whether the platform failed several calls in a row, so that a new
         claim had better be refused at once than wait for its deadline.
     """
 
     __slots__ = (
-        "_answered_at_ms",
         "_clock",
         "_counters",
         "_failures",
-        "_gap_ms",
-        "_lane_ended",
-        "_lanes",
+        "_last_response_at_ms",
         "_nursery",
         "_platform",
+        "_queue_stopped",
+        "_queues",
         "_random",
-        "is_platform_out",
+        "_shared_write_delay_ms",
+        "is_platform_unavailable",
     )
 
     def __init__(
@@ -144,12 +144,12 @@
         self._clock = clock
         self._counters = counters
         self._random = random.Random(seed)
-        self._lanes: OrderedDict[str, _Lane] = OrderedDict()
+        self._queues: OrderedDict[str, _BucketQueue] = OrderedDict()
         self._failures = 0
-        self._answered_at_ms = clock.now_ms()
-        self._gap_ms = 0.0
-        self._lane_ended = trio.Event()
-        self.is_platform_out = False
+        self._last_response_at_ms = clock.now_ms()
+        self._shared_write_delay_ms = 0.0
+        self._queue_stopped = trio.Event()
+        self.is_platform_unavailable = False
 
     def submit(self, change: Change, *, fresh: bool = False) -> None:
         """Queue a change; it joins the next write of its object.
@@ -161,75 +161,75 @@
         fresh : bool
             Whether to read the object anew first.
         """
-        lane = self._lane(bucket_name(change.key))
+        queue = self._queue(bucket_name(change.key))
         if fresh:
-            lane.view = None
-        lane.add(change)
-        if not lane.is_running:
-            lane.is_running = True
-            self._nursery.start_soon(self._run_lane, lane)
+            queue.view = None
+        queue.add(change)
+        if not queue.is_running:
+            queue.is_running = True
+            self._nursery.start_soon(self._run_queue, queue)
 
-    async def wait_written(self) -> None:
+    async def flush(self) -> None:
         """Wait until no change waits; outcomes no longer wait for company."""
-        for lane in self._lanes.values():
-            lane.urgent_came.set()
-        while any(lane.is_running for lane in self._lanes.values()):
-            await self._lane_ended.wait()
-
-    def _lane(self, name: str) -> _Lane:
-        lane = self._lanes.setdefault(name, _Lane(name))
-        self._lanes.move_to_end(name)
-        if len(self._lanes) > _KEPT_LANES:
-            idle = [item for item in self._lanes.values() if not item.is_running]
-            for item in idle[: len(self._lanes) - _KEPT_LANES]:
-                if item is not lane:
-                    del self._lanes[item.name]
-        return lane
-
-    async def _run_lane(self, lane: _Lane) -> None:
+        for queue in self._queues.values():
+            queue.urgent_arrived.set()
+        while any(queue.is_running for queue in self._queues.values()):
+            await self._queue_stopped.wait()
+
+    def _queue(self, name: str) -> _BucketQueue:
+        queue = self._queues.setdefault(name, _BucketQueue(name))
+        self._queues.move_to_end(name)
+        if len(self._queues) > _MAXIMUM_CACHED_QUEUES:
+            idle = [item for item in self._queues.values() if not item.is_running]
+            for item in idle[: len(self._queues) - _MAXIMUM_CACHED_QUEUES]:
+                if item is not queue:
+                    del self._queues[item.name]
+        return queue
+
+    async def _run_queue(self, queue: _BucketQueue) -> None:
         backoff_ms = _FIRST_BACKOFF_MS
         try:
-            while lane.drop_abandoned():
-                if await self._commit(lane):
+            while queue.drop_abandoned():
+                if await self._commit(queue):
                     backoff_ms = _FIRST_BACKOFF_MS
                     continue
                 await self._clock.sleep_ms(self._jittered(backoff_ms))
                 backoff_ms = min(2 * backoff_ms, _MAXIMUM_BACKOFF_MS)
         finally:
-            lane.is_running = False
-            self._lane_ended.set()
-            self._lane_ended = trio.Event()
+            queue.is_running = False
+            self._queue_stopped.set()
+            self._queue_stopped = trio.Event()
 
-    async def _commit(self, lane: _Lane) -> bool:
+    async def _commit(self, queue: _BucketQueue) -> bool:
         """Bring one batch into force; return False if the platform failed."""
         try:
-            await self._wait_for_company(lane)
-            view = lane.view or await read_bucket(self._platform, lane.name)
-            await self._write_batch(lane, view)
+            await self._wait_for_batch(queue)
+            view = queue.view or await read_bucket(self._platform, queue.name)
+            await self._write_batch(queue, view)
         except WriteConflict:
-            self._note_conflict(lane)
+            self._record_conflict(queue)
         except IbisfrontError as error:
-            self._note_failure(lane, error)
+            self._record_failure(queue, error)
             return False
         return True
 
-    async def _wait_for_company(self, lane: _Lane) -> None:
+    async def _wait_for_batch(self, queue: _BucketQueue) -> None:
         """Let more changes join the next write.
 
         An outcome is in no hurry: its instance tells it to whoever asks. It
         rides with the next claim, or is written alone after a while, so that
         under load a request costs less than two writes.
         """
-        if not lane.has_urgent():
-            with self._clock.timeout_ms(self._jittered(_RIDE_WAIT_MS)):
-                await lane.urgent_came.wait()
-        gap_ms = lane.gap_ms + self._gap_ms
+        if not queue.has_urgent():
+            with self._clock.timeout_ms(self._jittered(_OUTCOME_WRITE_DELAY_MS)):
+                await queue.urgent_arrived.wait()
+        gap_ms = queue.gap_ms + self._shared_write_delay_ms
         if gap_ms > 0:
             await self._clock.sleep_ms(self._jittered(gap_ms))
 
-    async def _write_batch(self, lane: _Lane, view: BucketView) -> None:
-        lane.view = view
-        batch = lane.pending[:BATCH_LIMIT]
+    async def _write_batch(self, queue: _BucketQueue, view: BucketView) -> None:
+        queue.view = view
+        batch = queue.pending[:MAXIMUM_BATCH_CHANGES]
         plan = plan_changes(view.bucket, batch, size_bytes=view.size_bytes)
         if plan.value_json is not None:
             # A write whose answer is lost leaves this function by an error and
@@ -240,62 +240,66 @@
             # that one was conditional on an older version.
             version = await self._platform.put(
                 ObjectKind.LEDGER,
-                lane.name,
+                queue.name,
                 plan.value_json,
                 if_version=view.version,
             )
-            self._note_success()
-            lane.view = BucketView(version, plan.bucket, len(plan.value_json))
-            lane.gap_ms = max(0.0, lane.gap_ms - _GAP_STEP_MS)
-            self._gap_ms = max(0.0, self._gap_ms - _GAP_EASE_MS)
+            self._record_success()
+            queue.view = BucketView(version, plan.bucket, len(plan.value_json))
+            queue.gap_ms = max(0.0, queue.gap_ms - _WRITE_DELAY_STEP_MS)
+            self._shared_write_delay_ms = max(
+                0.0, self._shared_write_delay_ms - _SHARED_WRITE_DELAY_STEP_MS
+            )
             self._counters.add(CounterKind.CLAIMS, "group_writes")
             self._counters.add(CounterKind.CLAIMS, "changes_written", len(batch))
-        del lane.pending[: len(batch)]
+        del queue.pending[: len(batch)]
         for change, result in zip(batch, plan.results, strict=True):
             change.resolve(result)
 
-    def _note_conflict(self, lane: _Lane) -> None:
+    def _record_conflict(self, queue: _BucketQueue) -> None:
         # Another instance writes the same object. To write less often lets
         # more changes join each write, so that two instances that share an
         # object do not keep failing each other's writes.
-        self._note_success()
-        lane.view = None
-        lane.gap_ms = min(max(2 * lane.gap_ms, _GAP_STEP_MS), _MAXIMUM_GAP_MS)
+        self._record_success()
+        queue.view = None
+        queue.gap_ms = min(
+            max(2 * queue.gap_ms, _WRITE_DELAY_STEP_MS), _MAXIMUM_WRITE_DELAY_MS
+        )
         self._counters.add(CounterKind.CLAIMS, "write_conflicts")
 
-    def _note_failure(self, lane: _Lane, error: IbisfrontError) -> None:
-        lane.view = None
+    def _record_failure(self, queue: _BucketQueue, error: IbisfrontError) -> None:
+        queue.view = None
         self._failures += 1
         # A platform over its rate refuses some writes and takes others. Fewer,
         # larger writes are the cure; to refuse claims would not be one.
-        self._gap_ms = min(max(2 * self._gap_ms, _GAP_STEP_MS), _MAXIMUM_GAP_MS)
-        self._counters.add(CounterKind.CLAIMS, f"failed_{error.kind.value}")
-        silent_ms = self._clock.now_ms() - self._answered_at_ms
-        is_out = (
-            self._failures >= _FAILURES_OF_AN_OUTAGE
-            and silent_ms >= _SILENCE_OF_AN_OUTAGE_MS
+        self._shared_write_delay_ms = min(
+            max(2 * self._shared_write_delay_ms, _WRITE_DELAY_STEP_MS),
+            _MAXIMUM_WRITE_DELAY_MS,
         )
-        if is_out and not self.is_platform_out:
-            self.is_platform_out = True
+        self._counters.add(CounterKind.CLAIMS, f"failed_{error.kind.value}")
+        silent_ms = self._clock.now_ms() - self._last_response_at_ms
+        is_out = self._failures >= _OUTAGE_FAILURES and silent_ms >= _OUTAGE_SILENCE_MS
+        if is_out and not self.is_platform_unavailable:
+            self.is_platform_unavailable = True
             _LOG.warning("The platform does not answer; new claims are refused.")
             self._nursery.start_soon(self._probe)
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         self._failures = 0
-        self._answered_at_ms = self._clock.now_ms()
-        if self.is_platform_out:
-            self.is_platform_out = False
+        self._last_response_at_ms = self._clock.now_ms()
+        if self.is_platform_unavailable:
+            self.is_platform_unavailable = False
             _LOG.info("The platform answers again; claims are taken.")
 
     async def _probe(self) -> None:
         """Find out when the platform answers again."""
-        wait_ms = _FIRST_PROBE_MS
-        while self.is_platform_out:
+        wait_ms = _FIRST_PROBE_DELAY_MS
+        while self.is_platform_unavailable:
             await self._clock.sleep_ms(self._jittered(wait_ms))
-            wait_ms = min(2 * wait_ms, _MAXIMUM_PROBE_MS)
+            wait_ms = min(2 * wait_ms, _MAXIMUM_PROBE_DELAY_MS)
             with suppress(IbisfrontError):
-                await read_bucket(self._platform, _PROBED_NAME)
-                self._note_success()
+                await read_bucket(self._platform, _PROBE_BUCKET_NAME)
+                self._record_success()
 
     def _jittered(self, duration_ms: float) -> float:
         return duration_ms * (0.5 + self._random.random())
--- a/ibisfront/core/perform_sender.py
+++ b/ibisfront/core/perform_sender.py
@@ -108,7 +108,7 @@
         self._quarantine = quarantine
 
     async def send(self, run: ClaimedRun) -> SubReply:
-        """Send a claimed request to one backend server; see ``RunOnce``."""
+        """Send a claimed request to one backend server; see ``SendOnce``."""
         server = self._choose(run)
         run.tried.add(server.name)
         async with self._use(server).places:
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -133,12 +133,12 @@
         )
         self.ledger = Ledger(
             instance=settings.instance.name,
-            run_once=sender.send,
+            send_once=sender.send,
             clock=clock,
             counters=self.counters,
         )
         self.ledger.use_peers(self.peers)
-        self.stopping.on_leaving(self.ledger.finish)
+        self.stopping.on_leaving(self.ledger.flush)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
--- a/ibisfront/testing/ledger_world.py
+++ b/ibisfront/testing/ledger_simulation.py
@@ -50,7 +50,7 @@
     from ibisfront.core.query import SubRequest
     from ibisfront.core.types import Address, JsonBytes, Version
 
-__all__ = ["CopyAnswer", "LedgerNode", "LedgerWorld", "key_of_first_bucket"]
+__all__ = ["CopyAnswer", "LedgerNode", "LedgerSimulation", "first_bucket_key"]
 
 WALL_START_MS = 1_764_700_000_000
 PURPOSE = Purpose("print-envelopes", "perform", service="print-queue")
@@ -94,7 +94,7 @@
     ----------
     name : str
         The instance.
-    world : LedgerWorld
+    simulation : LedgerWorld
         What is around it.
 
     Attributes
@@ -107,9 +107,9 @@
         Whether the platform is out of its reach.
     """
 
-    def __init__(self, name: str, world: LedgerWorld) -> None:
+    def __init__(self, name: str, simulation: LedgerSimulation) -> None:
         self.name = name
-        self.world = world
+        self.simulation = simulation
         self.skew_ms = 0.0
         self.is_dead = False
         self.is_cut_off = False
@@ -119,7 +119,7 @@
         self._resumed = trio.Event()
         self._resumed.set()
         self.ledger = self._make_ledger()
-        self._peers = world.network.join(name)
+        self._peers = simulation.network.join(name)
         self.ledger.use_peers(self._peers)
 
     async def run(self) -> None:
@@ -130,7 +130,7 @@
     def kill(self) -> None:
         """End the process: it takes no further effect."""
         self.is_dead = True
-        self.world.network.leave(self.name)
+        self.simulation.network.leave(self.name)
         self._resumed.set()
         self._scope.cancel()
 
@@ -138,20 +138,20 @@
         """Stop the process, without a word."""
         if self._resumed.is_set() and not self.is_dead:
             self._resumed = trio.Event()
-            self.world.network.leave(self.name)
+            self.simulation.network.leave(self.name)
 
     def resume(self) -> None:
         """Let the process go on."""
         if not self._resumed.is_set() and not self.is_dead:
             self._resumed.set()
-            self.world.network.peers[self.name] = self._peers
+            self.simulation.network.peers[self.name] = self._peers
 
     async def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
         """Return an object of the platform."""
 
         async def call() -> VersionedObject | None:
             try:
-                found = await self.world.platform.get(kind, name)
+                found = await self.simulation.platform.get(kind, name)
             except PlatformRefused:
                 return None
             value_json = msgspec.json.encode(found.value)
@@ -171,7 +171,7 @@
         value = msgspec.json.decode(value_json)
 
         async def call() -> int:
-            return await self.world.platform.put(
+            return await self.simulation.platform.put(
                 kind, name, value, if_version=if_version
             )
 
@@ -182,15 +182,18 @@
 
     async def open_connection(self, address: Address) -> FakeConnection:
         """Connect to a backend server."""
-        await self.clock.sleep_ms(self.world.connect_ms)
+        await self.clock.sleep_ms(self.simulation.connect_ms)
         await self.step()
-        if self.world.random.random() < self.world.refused_connections_fraction:
+        if (
+            self.simulation.random.random()
+            < self.simulation.refused_connections_fraction
+        ):
             raise SubRequestError(MissingReason.CONNECT_FAILED, not_run=True)
-        return FakeConnection(self, self.world.backends[address])
+        return FakeConnection(self, self.simulation.backends[address])
 
     async def step(self) -> None:
         """Take some time between two steps, and wait while paused or dead."""
-        await self.clock.sleep_ms(self.world.delay_ms())
+        await self.clock.sleep_ms(self.simulation.delay_ms())
         await self.wait_alive()
 
     async def wait_alive(self) -> None:
@@ -200,11 +203,16 @@
             await trio.sleep_forever()
 
     def _wall_ms(self) -> float:
-        return WALL_START_MS + self.clock.now_ms() - self.world.start_ms + self.skew_ms
+        return (
+            WALL_START_MS
+            + self.clock.now_ms()
+            - self.simulation.start_ms
+            + self.skew_ms
+        )
 
     def _make_ledger(self) -> Ledger:
         sender = PerformSender(
-            catalogue=self.world.catalogue,
+            catalogue=self.simulation.catalogue,
             open_connection=self.open_connection,
             clock=self.clock,
             counters=self.counters,
@@ -213,10 +221,10 @@
         )
         return Ledger(
             instance=self.name,
-            run_once=sender.send,
+            send_once=sender.send,
             clock=self.clock,
             counters=self.counters,
-            process=self.world.next_process_name(),
+            process=self.simulation.next_process_name(),
         )
 
     async def _call(
@@ -228,7 +236,7 @@
             with self.clock.timeout_ms(_CALL_TIMEOUT_MS):
                 if self.is_cut_off:
                     await trio.sleep_forever()
-                returned = await self.world.carry_out(call)
+                returned = await self.simulation.run_detached(call)
                 await self.step()
                 return returned
         except AnswerLost:
@@ -259,11 +267,11 @@
         await node.step()  # the process may be stopped right before the bytes
 
         async def call() -> BackendReply:
-            await node.clock.sleep_ms(node.world.delay_ms())
+            await node.clock.sleep_ms(node.simulation.delay_ms())
             return await self._backend.perform(asked)
 
         try:
-            reply = await node.world.carry_out(call)
+            reply = await node.simulation.run_detached(call)
         except ConnectionLost as error:
             await node.step()
             raise SubRequestError(
@@ -284,7 +292,7 @@
         """Close it."""
 
 
-class LedgerWorld:
+class LedgerSimulation:
     """The platform, the backend servers, the peers and the entry instances.
 
     Parameters
@@ -361,7 +369,7 @@
         if scope is not None:
             scope.cancel()
 
-    async def carry_out(self, call: Callable[[], Awaitable[_Returned]]) -> _Returned:
+    async def run_detached(self, call: Callable[[], Awaitable[_Returned]]) -> _Returned:
         """Make a call that lands even if its caller is killed meanwhile."""
         done = trio.Event()
         returned: list[_Returned] = []
@@ -418,7 +426,7 @@
 
 
 @functools.cache
-def key_of_first_bucket(number: int, *, wall_ms: float) -> str:
+def first_bucket_key(number: int, *, wall_ms: float) -> str:
     """Return one of the keys whose object is the first bucket of its slot."""
     random_bits = random.Random(number)
     while True:
--- a/ibisfront/tests/test_idempotency_key.py
+++ b/ibisfront/tests/test_idempotency_key.py
@@ -6,8 +6,8 @@
 
 from ibisfront.core.errors import ErrorKind, IbisfrontError, Ran
 from ibisfront.core.idempotency_key import (
-    KEY_LIFE_MS,
-    KEY_SKEW_MS,
+    KEY_LIFETIME_MS,
+    MAXIMUM_KEY_SKEW_MS,
     check_key_time,
     make_key,
     parse_key,
@@ -39,10 +39,10 @@
 
     def test_the_window_has_two_ends(self):
         key = parse_key(make_key(wall_ms=WALL_MS, random_bits=7))
-        check_key_time(key, wall_ms=WALL_MS + KEY_LIFE_MS)
-        check_key_time(key, wall_ms=WALL_MS - KEY_SKEW_MS)
+        check_key_time(key, wall_ms=WALL_MS + KEY_LIFETIME_MS)
+        check_key_time(key, wall_ms=WALL_MS - MAXIMUM_KEY_SKEW_MS)
         with self.assertRaises(IbisfrontError) as caught:
-            check_key_time(key, wall_ms=WALL_MS - KEY_SKEW_MS - 1)
+            check_key_time(key, wall_ms=WALL_MS - MAXIMUM_KEY_SKEW_MS - 1)
         self.assertEqual(caught.exception.kind, ErrorKind.KEY_INVALID)
 
     def test_an_expired_key_is_never_called_not_run(self):
@@ -54,6 +54,6 @@
         """
         key = parse_key(make_key(wall_ms=WALL_MS, random_bits=7))
         with self.assertRaises(IbisfrontError) as caught:
-            check_key_time(key, wall_ms=WALL_MS + KEY_LIFE_MS + 1)
+            check_key_time(key, wall_ms=WALL_MS + KEY_LIFETIME_MS + 1)
         self.assertEqual(caught.exception.kind, ErrorKind.KEY_EXPIRED)
         self.assertEqual(caught.exception.ran, Ran.MAYBE)
--- a/ibisfront/tests/test_ledger.py
+++ b/ibisfront/tests/test_ledger.py
@@ -16,8 +16,8 @@
 from ibisfront.core.errors import IbisfrontError, Ran
 from ibisfront.core.idempotency_key import make_key, parse_key
 from ibisfront.core.ledger_bucket import (
-    FULL_BYTES,
-    LARGE_BYTES,
+    OBJECT_CLAIM_LIMIT_BYTES,
+    OBJECT_RESULT_LIMIT_BYTES,
     RING_SLOTS,
     SLOT_MS,
     Bucket,
@@ -26,27 +26,27 @@
 )
 from ibisfront.core.query import SubRequestError
 from ibisfront.testing.backend_types import BackendFaults
-from ibisfront.testing.ledger_world import (
+from ibisfront.testing.ledger_simulation import (
     WALL_START_MS,
-    LedgerWorld,
-    key_of_first_bucket,
+    LedgerSimulation,
+    first_bucket_key,
 )
 from ibisfront.testing.platform_types import Outage, PlatformFaults
 
-KEY = key_of_first_bucket(0, wall_ms=WALL_START_MS)
+KEY = first_bucket_key(0, wall_ms=WALL_START_MS)
 PLENTY_MS = 5_000.0
 
 
-def world_test(test):
-    """Run a test with a world of three instances, under the mock clock."""
+def simulation_test(test):
+    """Run a test with a simulation of three instances, under the mock clock."""
 
     @functools.wraps(test)
     def run(self):
         async def main():
             async with trio.open_nursery() as nursery:
-                world = LedgerWorld(nursery, seed=6)
-                await world.clock.sleep_ms(1.0)
-                await test(self, world)
+                simulation = LedgerSimulation(nursery, seed=6)
+                await simulation.clock.sleep_ms(1.0)
+                await test(self, simulation)
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.0))
@@ -57,184 +57,186 @@
 class LedgerTest(unittest.TestCase):
     """Claims, copies and refusals."""
 
-    @world_test
-    async def test_one_write_claims_all_that_arrived_meanwhile(self, world):
-        world.platform.set_faults(PlatformFaults(slow_ms=40.0))
+    @simulation_test
+    async def test_one_write_claims_all_that_arrived_meanwhile(self, simulation):
+        simulation.platform.set_faults(PlatformFaults(slow_ms=40.0))
         for number in range(50):
-            key = key_of_first_bucket(number, wall_ms=WALL_START_MS)
-            world.send_copy(0, key, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
-        told = {copy.ran for copy in world.copies}
+            key = first_bucket_key(number, wall_ms=WALL_START_MS)
+            simulation.send_copy(0, key, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
+        told = {copy.ran for copy in simulation.copies}
         self.assertEqual(told, {Ran.YES})
-        self.assertLess(world.platform.state().writes.total, 20)
+        self.assertLess(simulation.platform.state().writes.total, 20)
 
-    @world_test
-    async def test_a_copy_elsewhere_waits_for_the_first_ones_answer(self, world):
-        for backend in world.backends.values():
+    @simulation_test
+    async def test_a_copy_elsewhere_waits_for_the_first_ones_answer(self, simulation):
+        for backend in simulation.backends.values():
             backend.set_faults(
                 BackendFaults(straggle_fraction=1.0, straggle_factor=200.0)
             )
-        first = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(300.0)
-        second = world.send_copy(1, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(300.0)
+        second = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual((first.ran, second.ran), (Ran.YES, Ran.YES))
         self.assertEqual(first.result, second.result)
-        self.assertEqual(world.runs_of_key(KEY), 1)
+        self.assertEqual(simulation.runs_of_key(KEY), 1)
 
-    @world_test
-    async def test_the_same_key_with_another_body_is_refused(self, world):
-        world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+    @simulation_test
+    async def test_the_same_key_with_another_body_is_refused(self, simulation):
+        simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         body = {"key": KEY, "other": 1}
         for number in (0, 1):
-            copy = world.send_copy(number, KEY, deadline_ms=PLENTY_MS, body=body)
-            await world.clock.sleep_ms(PLENTY_MS)
+            copy = simulation.send_copy(number, KEY, deadline_ms=PLENTY_MS, body=body)
+            await simulation.clock.sleep_ms(PLENTY_MS)
             self.assertEqual((copy.code, copy.ran), ("key_reused", Ran.NO))
 
-    @world_test
-    async def test_an_outage_is_answered_at_once(self, world):
+    @simulation_test
+    async def test_an_outage_is_answered_at_once(self, simulation):
         """Every request of a cut-off zone waits for its whole deadline.
 
         The platform is out, so that no claim can be written. Each caller
         waits seconds for a refusal that could have been given at once.
         """
-        world.platform.set_faults(PlatformFaults(outage=Outage.REFUSE))
-        world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
-        copy = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(1.0)
+        simulation.platform.set_faults(PlatformFaults(outage=Outage.REFUSE))
+        simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
+        copy = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(1.0)
         self.assertEqual((copy.code, copy.ran), ("claim_unavailable", Ran.NO))
-        world.platform.set_faults(PlatformFaults())
-        await world.clock.sleep_ms(20_000.0)
-        copy = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        simulation.platform.set_faults(PlatformFaults())
+        await simulation.clock.sleep_ms(20_000.0)
+        copy = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual(copy.ran, Ran.YES)
 
-    @world_test
-    async def test_a_caller_that_goes_away_before_the_send_runs_nothing(self, world):
-        world.connect_ms = 300.0
-        first = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(200.0)
-        world.disconnect(first)
-        await world.clock.sleep_ms(PLENTY_MS)
-        self.assertEqual(world.runs_of_key(KEY), 0)
-        world.connect_ms = 0.0
-        second = world.send_copy(1, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+    @simulation_test
+    async def test_a_caller_that_goes_away_before_the_send_runs_nothing(
+        self, simulation
+    ):
+        simulation.connect_ms = 300.0
+        first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(200.0)
+        simulation.disconnect(first)
+        await simulation.clock.sleep_ms(PLENTY_MS)
+        self.assertEqual(simulation.runs_of_key(KEY), 0)
+        simulation.connect_ms = 0.0
+        second = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual(second.ran, Ran.YES)
 
-    @world_test
+    @simulation_test
     async def test_a_caller_that_goes_away_after_the_send_leaves_the_answer(
-        self, world
+        self, simulation
     ):
-        for backend in world.backends.values():
+        for backend in simulation.backends.values():
             backend.set_faults(
                 BackendFaults(late_answer_fraction=1.0, late_answer_ms=1_500.0)
             )
-        first = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(1_000.0)
-        self.assertEqual(world.runs_of_key(KEY), 1)
-        world.disconnect(first)
-        second = world.send_copy(2, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(1_000.0)
+        self.assertEqual(simulation.runs_of_key(KEY), 1)
+        simulation.disconnect(first)
+        second = simulation.send_copy(2, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual(second.ran, Ran.YES)
-        self.assertEqual(world.runs_of_key(KEY), 1)
+        self.assertEqual(simulation.runs_of_key(KEY), 1)
 
-    @world_test
-    async def test_what_every_server_refused_may_run_later(self, world):
-        for backend in world.backends.values():
+    @simulation_test
+    async def test_what_every_server_refused_may_run_later(self, simulation):
+        for backend in simulation.backends.values():
             backend.set_faults(BackendFaults(shedding=True))
-        first = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual((first.code, first.ran), ("backend_refused", Ran.NO))
-        for backend in world.backends.values():
+        for backend in simulation.backends.values():
             backend.set_faults(BackendFaults())
-        second = world.send_copy(1, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        second = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual(second.ran, Ran.YES)
-        self.assertEqual(world.runs_of_copy(first), 0)
+        self.assertEqual(simulation.runs_of_copy(first), 0)
 
-    @world_test
-    async def test_a_server_error_is_yes_only_if_the_server_said_so(self, world):
+    @simulation_test
+    async def test_a_server_error_is_yes_only_if_the_server_said_so(self, simulation):
         """A caller is told "ran and failed" of an envelope that never was.
 
         Something in front of the print queue answers 502 in its place. Only
         the 500 of the server itself says that it ran the request.
         """
-        for backend in world.backends.values():
+        for backend in simulation.backends.values():
             backend.set_faults(BackendFaults(fail_fraction=1.0))
-        failed = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        failed = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual((failed.code, failed.ran), ("backend_failed", Ran.YES))
-        copy = world.send_copy(1, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        copy = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual((copy.code, copy.ran), ("backend_failed", Ran.YES))
-        self.assertEqual(world.runs_of_key(KEY), 1)
-        attempt = PlanTest().attempt(5, 1)
+        self.assertEqual(simulation.runs_of_key(KEY), 1)
+        attempt = PlanChangesTest().attempt(5, 1)
 
         async def answer_502(run):
             run.start_send()
             raise SubRequestError(MissingReason.SERVER_ERROR, not_run=False)
 
-        attempt.deadline_at_ms = world.clock.now_ms() + PLENTY_MS
-        run = ClaimedRun(None, None, attempt=attempt, clock=world.clock)
-        record = await run_claimed(run, answer_502, world.clock)
+        attempt.deadline_at_ms = simulation.clock.now_ms() + PLENTY_MS
+        run = ClaimedRun(None, None, attempt=attempt, clock=simulation.clock)
+        record = await run_claimed(run, answer_502, simulation.clock)
         self.assertEqual(record.state, ClaimState.UNKNOWN)
 
-    @world_test
-    async def test_a_claim_of_a_dead_process_is_maybe(self, world):
+    @simulation_test
+    async def test_a_claim_of_a_dead_process_is_maybe(self, simulation):
         """An envelope is printed twice after an instance was replaced.
 
         The instance was killed after its claim, perhaps after its send. The
         process that took its name answers for it, and knows of no such send.
         """
-        world.connect_ms = 450.0
-        world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(250.0)
-        world.restart(0)
-        world.connect_ms = 0.0
+        simulation.connect_ms = 450.0
+        simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(250.0)
+        simulation.restart(0)
+        simulation.connect_ms = 0.0
         copies = [
-            world.send_copy(number, KEY, deadline_ms=1_000.0) for number in (0, 1)
+            simulation.send_copy(number, KEY, deadline_ms=1_000.0) for number in (0, 1)
         ]
-        await world.clock.sleep_ms(PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         for copy in copies:
             self.assertEqual((copy.code, copy.ran), ("outcome_unknown", Ran.MAYBE))
-        self.assertEqual(world.runs_of_key(KEY), 0)
+        self.assertEqual(simulation.runs_of_key(KEY), 0)
 
-    @world_test
-    async def test_the_status_of_an_unknown_key_is_no_promise(self, world):
+    @simulation_test
+    async def test_the_status_of_an_unknown_key_is_no_promise(self, simulation):
         """A status of "not run" is followed by the envelope.
 
         A caller gave up and asks for the status of its key. The copy that it
         sent is still on its way to another instance and runs a moment later.
         """
         with self.assertRaises(IbisfrontError) as caught:
-            await world.nodes[0].ledger.outcome(KEY)
+            await simulation.nodes[0].ledger.outcome(KEY)
         self.assertEqual(caught.exception.ran, Ran.MAYBE)
-        copy = world.send_copy(1, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+        copy = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual(copy.ran, Ran.YES)
-        told = await world.nodes[2].ledger.outcome(KEY)
+        told = await simulation.nodes[2].ledger.outcome(KEY)
         self.assertEqual(bytes(told.result_json).decode(), copy.result)
 
-    @world_test
-    async def test_a_leaving_instance_writes_its_outcomes_first(self, world):
+    @simulation_test
+    async def test_a_leaving_instance_writes_its_outcomes_first(self, simulation):
         """After a planned stop a request that ran is told as "maybe".
 
         Its outcome waited for a claim to ride with when the instance left.
         """
-        first = world.send_copy(0, KEY, deadline_ms=PLENTY_MS)
+        first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
         while first.ran is None:
-            await world.clock.sleep_ms(1.0)
-        await world.nodes[0].ledger.finish()
-        world.restart(0)
-        second = world.send_copy(1, KEY, deadline_ms=PLENTY_MS)
-        await world.clock.sleep_ms(PLENTY_MS)
+            await simulation.clock.sleep_ms(1.0)
+        await simulation.nodes[0].ledger.flush()
+        simulation.restart(0)
+        second = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
+        await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual((second.ran, second.result), (Ran.YES, first.result))
 
-    @world_test
-    async def test_a_repeated_claim_meets_the_gap_before_a_write(self, world):
+    @simulation_test
+    async def test_a_repeated_claim_meets_the_gap_before_a_write(self, simulation):
         """An instance ends with AttributeError under contention.
 
         Two instances conflict on an object, so that writes wait for a gap. In
@@ -242,14 +244,14 @@
         the object that the waiting write was about to use.
         """
         for number in range(12):
-            key = key_of_first_bucket(number % 4, wall_ms=WALL_START_MS)
-            world.send_copy(number % 3, key, deadline_ms=PLENTY_MS)
-            await world.clock.sleep_ms(20.0)
-        await world.clock.sleep_ms(PLENTY_MS)
-        self.assertEqual({copy.ran for copy in world.copies}, {Ran.YES})
+            key = first_bucket_key(number % 4, wall_ms=WALL_START_MS)
+            simulation.send_copy(number % 3, key, deadline_ms=PLENTY_MS)
+            await simulation.clock.sleep_ms(20.0)
+        await simulation.clock.sleep_ms(PLENTY_MS)
+        self.assertEqual({copy.ran for copy in simulation.copies}, {Ran.YES})
 
 
-class PlanTest(unittest.TestCase):
+class PlanChangesTest(unittest.TestCase):
     """Changes of one object of the ledger."""
 
     def attempt(self, slot, number):
@@ -260,7 +262,7 @@
     def claim(self, attempt):
         return Change(
             attempt.key,
-            lambda found: found or attempt.record(),
+            lambda found: found or attempt.claim_record(),
             lambda result: None,
             lambda: False,
         )
@@ -282,17 +284,17 @@
 
     def test_a_full_object_takes_outcomes_but_no_claims(self):
         known, new = self.attempt(5, 1), self.attempt(5, 2)
-        bucket = Bucket(5, {known.key.text: known.record()})
-        ran = known.record(ClaimState.RAN)
+        bucket = Bucket(5, {known.key.text: known.claim_record()})
+        ran = known.claim_record(ClaimState.RAN)
         ran = msgspec.structs.replace(ran, result_json="1")
         outcome = Change(
             known.key, lambda found: ran, lambda result: None, lambda: False
         )
         changes = [self.claim(new), outcome]
-        full = plan_changes(bucket, changes, size_bytes=FULL_BYTES)
+        full = plan_changes(bucket, changes, size_bytes=OBJECT_CLAIM_LIMIT_BYTES)
         self.assertTrue(full.results[0].full)
         self.assertEqual(full.bucket.records[known.key.text].state, ClaimState.RAN)
-        large = plan_changes(bucket, [outcome], size_bytes=LARGE_BYTES)
+        large = plan_changes(bucket, [outcome], size_bytes=OBJECT_RESULT_LIMIT_BYTES)
         self.assertIsNone(large.bucket.records[known.key.text].result_json)
 
     def test_a_record_comes_back_as_it_was_written(self):
--- a/ibisfront/tests/test_ledger_processes.py
+++ b/ibisfront/tests/test_ledger_processes.py
@@ -57,7 +57,7 @@
     return runs
 
 
-class WholePathTest(unittest.TestCase):
+class EndToEndTest(unittest.TestCase):
     """One non-idempotent request, from end to end."""
 
     @trio_test_real_clock
@@ -171,7 +171,7 @@
     await trio.sleep(1.0)
 
 
-class UpsetTest(unittest.TestCase):
+class FaultInjectionTest(unittest.TestCase):
     """Envelopes are counted while everything around them fails."""
 
     @trio_test_real_clock
--- a/properties/ledger_histories.py
+++ b/properties/ledger_histories.py
@@ -12,10 +12,10 @@
 from ibisfront.core.errors import Ran
 from ibisfront.core.ledger_bucket import RING_SLOTS, SLOT_MS
 from ibisfront.testing.backend_types import BackendFaults, CrashPoint
-from ibisfront.testing.ledger_world import (
+from ibisfront.testing.ledger_simulation import (
     WALL_START_MS,
-    LedgerWorld,
-    key_of_first_bucket,
+    LedgerSimulation,
+    first_bucket_key,
 )
 from ibisfront.testing.platform_types import Outage, PlatformFaults
 
@@ -23,9 +23,9 @@
     "BackendRules",
     "ClockRules",
     "CopyRules",
-    "CutRules",
     "History",
     "LedgerHistory",
+    "PartitionRules",
     "PlatformRules",
     "ProcessRules",
     "run_history",
@@ -33,8 +33,8 @@
 
 INSTANCES = 3
 KEYS = 2
-QUIET_MS = 30_000.0
-PROBED_MS = 15_000.0  # by then each instance has noticed that the platform serves
+SETTLE_MS = 30_000.0
+PROBE_WAIT_MS = 15_000.0  # by then each instance has noticed that the platform serves
 MARKER = "crash"
 RING_MS = float(RING_SLOTS * SLOT_MS)
 
@@ -62,72 +62,72 @@
     ),
 }
 
-Step = Callable[["Scene"], None]
+Step = Callable[["HistoryExecution"], None]
 
 _instances = st.integers(0, INSTANCES - 1)
 _keys = st.integers(0, KEYS - 1)
 _deadlines_ms = st.sampled_from([8.0, 25.0, 80.0, 400.0, 2_000.0, 8_000.0])
-_whiles_ms = st.sampled_from([20.0, 200.0, 3_000.0, 20_000.0])
+_durations_ms = st.sampled_from([20.0, 200.0, 3_000.0, 20_000.0])
 
 
-class Scene:
+class HistoryExecution:
     """One history as it runs."""
 
     def __init__(self, nursery, seed):
-        self.world = LedgerWorld(nursery, seed=seed, instances=INSTANCES)
+        self.simulation = LedgerSimulation(nursery, seed=seed, instances=INSTANCES)
         self.keys = [
-            key_of_first_bucket(number, wall_ms=WALL_START_MS) for number in range(KEYS)
+            first_bucket_key(number, wall_ms=WALL_START_MS) for number in range(KEYS)
         ]
 
     def new_key(self, after_ms):
         """Return a key of the first bucket that no step has used yet."""
         wall_ms = WALL_START_MS + after_ms
-        return key_of_first_bucket(len(self.world.copies) + KEYS, wall_ms=wall_ms)
+        return first_bucket_key(len(self.simulation.copies) + KEYS, wall_ms=wall_ms)
 
     def later(self, wait_ms, undo):
         """Call a function after a while."""
 
         async def run():
-            await self.world.clock.sleep_ms(wait_ms)
+            await self.simulation.clock.sleep_ms(wait_ms)
             undo()
 
-        self.world.nursery.start_soon(run)
+        self.simulation.nursery.start_soon(run)
 
     def send(self, instance, key, *, deadline_ms, body=None):
         """Send a copy."""
-        self.world.send_copy(instance, key, deadline_ms=deadline_ms, body=body)
+        self.simulation.send_copy(instance, key, deadline_ms=deadline_ms, body=body)
 
     def send_new(self):
         """Send the first copy of a new key to the first instance."""
-        world = self.world
-        world.nodes[0].skew_ms = 0.0
-        key = self.new_key(world.clock.now_ms() - world.start_ms)
-        return world.send_copy(0, key, deadline_ms=5_000.0)
+        simulation = self.simulation
+        simulation.nodes[0].skew_ms = 0.0
+        key = self.new_key(simulation.clock.now_ms() - simulation.start_ms)
+        return simulation.send_copy(0, key, deadline_ms=5_000.0)
 
-    def heal(self):
+    def clear_faults(self):
         """End every fault."""
-        world = self.world
-        world.network.mend()
-        world.refused_connections_fraction = 0.0
-        world.connect_ms = 0.0
-        world.platform.set_faults(PlatformFaults())
-        for backend in world.backends.values():
+        simulation = self.simulation
+        simulation.network.mend()
+        simulation.refused_connections_fraction = 0.0
+        simulation.connect_ms = 0.0
+        simulation.platform.set_faults(PlatformFaults())
+        for backend in simulation.backends.values():
             backend.set_faults(BackendFaults())
-        for node in world.nodes:
+        for node in simulation.nodes:
             node.is_cut_off = False
             node.resume()
 
     def check(self):
         """Check that the history broke no promise."""
-        world = self.world
-        for key in {copy.key for copy in world.copies}:
-            runs = world.runs_of_key(key)
+        simulation = self.simulation
+        for key in {copy.key for copy in simulation.copies}:
+            runs = simulation.runs_of_key(key)
             assert runs <= 1, f"{key} ran {runs} times"
-        for copy in world.copies:
+        for copy in simulation.copies:
             if copy.ran is Ran.NO:
-                assert world.runs_of_copy(copy) == 0, f"{copy} ran after all"
+                assert simulation.runs_of_copy(copy) == 0, f"{copy} ran after all"
             if copy.ran is Ran.YES:
-                assert world.runs_of_key(copy.key) == 1, f"{copy} did not run"
+                assert simulation.runs_of_key(copy.key) == 1, f"{copy} did not run"
 
 
 def run_history(seed, steps):
@@ -135,18 +135,18 @@
 
     async def run():
         async with trio.open_nursery() as nursery:
-            scene = Scene(nursery, seed)
+            execution = HistoryExecution(nursery, seed)
             for wait_ms, step in steps:
-                step(scene)
-                await scene.world.clock.sleep_ms(wait_ms)
-            await scene.world.clock.sleep_ms(QUIET_MS)
-            scene.heal()
-            await scene.world.clock.sleep_ms(PROBED_MS)
-            for instance, key in enumerate([*scene.keys, scene.keys[0]]):
-                scene.send(instance, key, deadline_ms=5_000.0)
-            last = scene.send_new()
-            await scene.world.clock.sleep_ms(QUIET_MS)
-            scene.check()
+                step(execution)
+                await execution.simulation.clock.sleep_ms(wait_ms)
+            await execution.simulation.clock.sleep_ms(SETTLE_MS)
+            execution.clear_faults()
+            await execution.simulation.clock.sleep_ms(PROBE_WAIT_MS)
+            for instance, key in enumerate([*execution.keys, execution.keys[0]]):
+                execution.send(instance, key, deadline_ms=5_000.0)
+            last = execution.send_new()
+            await execution.simulation.clock.sleep_ms(SETTLE_MS)
+            execution.check()
             assert last.ran is Ran.YES, f"{last} did not run with all faults healed"
             nursery.cancel_scope.cancel()
 
@@ -195,8 +195,8 @@
     )
     def copy(self, instance, key, deadline_ms, wait_ms):
         self.add(
-            lambda scene: scene.send(
-                instance, scene.keys[key], deadline_ms=deadline_ms
+            lambda execution: execution.send(
+                instance, execution.keys[key], deadline_ms=deadline_ms
             ),
             wait_ms,
         )
@@ -212,9 +212,9 @@
 
     @rule(instance=_instances, key=_keys)
     def other_body(self, instance, key):
-        def step(scene):
-            name = scene.keys[key]
-            scene.send(
+        def step(execution):
+            name = execution.keys[key]
+            execution.send(
                 instance, name, deadline_ms=400.0, body={"key": name, "other": 1}
             )
 
@@ -222,14 +222,14 @@
 
     @rule(wait_ms=st.sampled_from([2.0, 50.0, 500.0, 5_000.0]))
     def wait(self, wait_ms):
-        self.add(lambda scene: None, wait_ms)
+        self.add(lambda execution: None, wait_ms)
 
     @rule(number=st.integers(0, 5))
     def disconnect(self, number):
-        def step(scene):
-            copies = scene.world.copies
+        def step(execution):
+            copies = execution.simulation.copies
             if number < len(copies):
-                scene.world.disconnect(copies[-1 - number])
+                execution.simulation.disconnect(copies[-1 - number])
 
         self.add(step)
 
@@ -239,36 +239,36 @@
 
     @rule(instance=_instances)
     def kill(self, instance):
-        self.add(lambda scene: scene.world.restart(instance))
+        self.add(lambda execution: execution.simulation.restart(instance))
 
-    @rule(instance=_instances, while_ms=_whiles_ms)
-    def pause(self, instance, while_ms):
-        def step(scene):
-            node = scene.world.nodes[instance]
+    @rule(instance=_instances, duration_ms=_durations_ms)
+    def pause(self, instance, duration_ms):
+        def step(execution):
+            node = execution.simulation.nodes[instance]
             node.pause()
-            scene.later(while_ms, node.resume)
+            execution.later(duration_ms, node.resume)
 
         self.add(step)
 
 
-class CutRules:
+class PartitionRules:
     """Instances are cut off from the platform and from each other."""
 
-    @rule(instance=_instances, while_ms=_whiles_ms)
-    def cut_off_platform(self, instance, while_ms):
-        def step(scene):
-            node = scene.world.nodes[instance]
+    @rule(instance=_instances, duration_ms=_durations_ms)
+    def partition_platform(self, instance, duration_ms):
+        def step(execution):
+            node = execution.simulation.nodes[instance]
             node.is_cut_off = True
-            scene.later(while_ms, lambda: setattr(node, "is_cut_off", False))
+            execution.later(duration_ms, lambda: setattr(node, "is_cut_off", False))
 
         self.add(step)
 
-    @rule(instance=_instances, while_ms=_whiles_ms)
-    def cut_off_peers(self, instance, while_ms):
-        def step(scene):
+    @rule(instance=_instances, duration_ms=_durations_ms)
+    def partition_peers(self, instance, duration_ms):
+        def step(execution):
             for other in range(INSTANCES):
-                scene.world.network.cut(f"i{instance + 1}", f"i{other + 1}")
-            scene.later(while_ms, scene.world.network.mend)
+                execution.simulation.network.cut(f"i{instance + 1}", f"i{other + 1}")
+            execution.later(duration_ms, execution.simulation.network.mend)
 
         self.add(step)
 
@@ -276,12 +276,12 @@
 class PlatformRules:
     """The platform loses calls, answers late, or is out."""
 
-    @rule(fault=st.sampled_from(sorted(_PLATFORM_FAULTS)), while_ms=_whiles_ms)
-    def platform_fault(self, fault, while_ms):
-        def step(scene):
-            platform = scene.world.platform
+    @rule(fault=st.sampled_from(sorted(_PLATFORM_FAULTS)), duration_ms=_durations_ms)
+    def platform_fault(self, fault, duration_ms):
+        def step(execution):
+            platform = execution.simulation.platform
             platform.set_faults(_PLATFORM_FAULTS[fault])
-            scene.later(while_ms, lambda: platform.set_faults(PlatformFaults()))
+            execution.later(duration_ms, lambda: platform.set_faults(PlatformFaults()))
 
         self.add(step)
 
@@ -289,13 +289,13 @@
 class BackendRules:
     """Backend servers refuse, fail, crash and lose answers."""
 
-    @rule(fault=st.sampled_from(sorted(_BACKEND_FAULTS)), while_ms=_whiles_ms)
-    def backend_fault(self, fault, while_ms):
-        def step(scene):
-            for backend in scene.world.backends.values():
+    @rule(fault=st.sampled_from(sorted(_BACKEND_FAULTS)), duration_ms=_durations_ms)
+    def backend_fault(self, fault, duration_ms):
+        def step(execution):
+            for backend in execution.simulation.backends.values():
                 backend.set_faults(_BACKEND_FAULTS[fault])
-                scene.later(
-                    while_ms, lambda item=backend: item.set_faults(BackendFaults())
+                execution.later(
+                    duration_ms, lambda item=backend: item.set_faults(BackendFaults())
                 )
 
         self.add(step)
@@ -307,9 +307,9 @@
     def connections(self, fraction, connect_ms):
         """Let connections be refused, or take long to open."""
 
-        def step(scene):
-            scene.world.refused_connections_fraction = fraction
-            scene.world.connect_ms = connect_ms
+        def step(execution):
+            execution.simulation.refused_connections_fraction = fraction
+            execution.simulation.connect_ms = connect_ms
 
         self.add(step)
 
@@ -318,22 +318,22 @@
     """The ledger's ring comes round, and clocks differ."""
 
     @rule(instance=_instances, slow=_instances, key=_keys)
-    def ring_comes_round(self, instance, slow, key):
+    def ring_wraps_around(self, instance, slow, key):
         """Let the ledger's ring come round; one instance's clock is slow.
 
         The slow instance still accepts an old key.
         """
 
-        def step(scene):
-            world = scene.world
-            after_ms = world.clock.now_ms() - world.start_ms
-            world.nodes[slow].skew_ms = -after_ms
+        def step(execution):
+            simulation = execution.simulation
+            after_ms = simulation.clock.now_ms() - simulation.start_ms
+            simulation.nodes[slow].skew_ms = -after_ms
             if instance != slow:
-                world.nodes[instance].skew_ms = 0.0
-                newer = scene.new_key(RING_MS)
-                scene.send(instance, newer, deadline_ms=2_000.0)
+                simulation.nodes[instance].skew_ms = 0.0
+                newer = execution.new_key(RING_MS)
+                execution.send(instance, newer, deadline_ms=2_000.0)
 
-        self.add(lambda scene: None, RING_MS)
+        self.add(lambda execution: None, RING_MS)
         self.add(step, 500.0)
         self.copy(slow, key, 2_000.0, 0.0)
 
@@ -341,7 +341,7 @@
 class LedgerHistory(
     CopyRules,
     ProcessRules,
-    CutRules,
+    PartitionRules,
     PlatformRules,
     BackendRules,
     ClockRules,
--- a/properties/ledger_variants.py
+++ b/properties/ledger_variants.py
@@ -10,20 +10,20 @@
 import msgspec
 import trio
 
-from ibisfront.core import claimed_run, claiming, ledger, ledger_bucket, ledger_messages
+from ibisfront.core import claimed_run, claimer, ledger, ledger_bucket, ledger_messages
 from ibisfront.core.attempts import Attempt, AttemptRegistry, AttemptState
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.ledger_bucket import ChangeResult
-from ibisfront.core.ledger_messages import AttemptAnswer
+from ibisfront.core.ledger_messages import AttemptStatusReply
 from ibisfront.core.ledger_writer import LedgerWriter
 from ibisfront.core.query import SubRequestError
-from ibisfront.testing import ledger_world
+from ibisfront.testing import ledger_simulation
 from properties.ledger_histories import (
     BackendRules,
     ClockRules,
     CopyRules,
-    CutRules,
     History,
+    PartitionRules,
     PlatformRules,
     ProcessRules,
 )
@@ -34,58 +34,58 @@
 def claim_after_send():
     """Send first, and claim once it has run."""
 
-    async def until_held(self, attempt):
+    async def acquire(self, attempt):
         attempt.submitted = True
-        return attempt.record()
+        return attempt.claim_record()
 
-    return patch.object(claiming.Claimer, "until_held", until_held)
+    return patch.object(claimer.Claimer, "acquire", acquire)
 
 
-def trust_lost_write_as_failed():
+def treat_lost_write_as_failed():
     """Tell others that a claim failed when only the write's answer was lost."""
     lost = set()
-    note_failure = LedgerWriter._note_failure
-    attempt_answer = ledger_messages.attempt_answer
+    record_failure = LedgerWriter._record_failure
+    attempt_status = ledger_messages.attempt_status
 
-    def note(self, lane, error):
+    def note(self, queue, error):
         if error.kind is ErrorKind.WRITE_UNKNOWN:
-            lost.update(change.key.text for change in lane.pending)
-        note_failure(self, lane, error)
+            lost.update(change.key.text for change in queue.pending)
+        record_failure(self, queue, error)
 
     def answer(attempt):
         is_open = attempt is not None and attempt.state is AttemptState.OPEN
         if is_open and attempt.key.text in lost:
-            return AttemptAnswer(AttemptState.DROPPED)
-        return attempt_answer(attempt)
+            return AttemptStatusReply(AttemptState.DROPPED)
+        return attempt_status(attempt)
 
     return _patches(
-        patch.object(LedgerWriter, "_note_failure", note),
-        patch.object(claiming, "attempt_answer", answer),
+        patch.object(LedgerWriter, "_record_failure", note),
+        patch.object(claimer, "attempt_status", answer),
     )
 
 
-def trust_lost_write_as_done():
+def treat_lost_write_as_done():
     """Send when the claim's write has no answer."""
-    note_failure = LedgerWriter._note_failure
+    record_failure = LedgerWriter._record_failure
 
-    def note(self, lane, error):
-        note_failure(self, lane, error)
+    def note(self, queue, error):
+        record_failure(self, queue, error)
         if error.kind is ErrorKind.WRITE_UNKNOWN:
-            pending, lane.pending = lane.pending, []
+            pending, queue.pending = queue.pending, []
             for change in pending:
-                change.resolve(ChangeResult(change.decide(None)))
+                change.resolve(ChangeResult(change.update(None)))
 
-    return patch.object(LedgerWriter, "_note_failure", note)
+    return patch.object(LedgerWriter, "_record_failure", note)
 
 
 def recreate_after_expiry():
     """Take a key older than the object's slot for a new one."""
 
     def apply(bucket, change, size_bytes):
-        decided = change.decide(bucket.records.get(change.key.text))
-        if decided is not None:
-            bucket.records[change.key.text] = decided
-        return ChangeResult(decided)
+        updated = change.update(bucket.records.get(change.key.text))
+        if updated is not None:
+            bucket.records[change.key.text] = updated
+        return ChangeResult(updated)
 
     return patch.object(ledger_bucket, "_apply", apply)
 
@@ -118,13 +118,13 @@
 
     return _patches(
         patch.object(ledger.Ledger, "_claim_and_run", refuse_when_slow),
-        patch.object(ledger.Ledger, "_let_go", lambda self, attempt: None),
+        patch.object(ledger.Ledger, "_release_attempt", lambda self, attempt: None),
     )
 
 
 def send_late():
     """Send after the deadline, with the budget that was left before it."""
-    exchange = ledger_world.FakeConnection.exchange
+    exchange = ledger_simulation.FakeConnection.exchange
 
     def start_send(self, *, now_ms):
         self.state = AttemptState.SENT
@@ -136,7 +136,7 @@
 
     return _patches(
         patch.object(Attempt, "start_send", start_send),
-        patch.object(ledger_world.FakeConnection, "exchange", exchange_late),
+        patch.object(ledger_simulation.FakeConnection, "exchange", exchange_late),
     )
 
 
@@ -144,10 +144,10 @@
     """Try another server when the connection breaks after the send."""
     try_servers = claimed_run._try_servers
 
-    async def try_again(run, run_once):
+    async def try_again(run, send_once):
         async def run_once_or_again(asked):
             try:
-                return await run_once(asked)
+                return await send_once(asked)
             except SubRequestError as error:
                 raise SubRequestError(error.reason, not_run=True) from error
 
@@ -156,16 +156,16 @@
     return patch.object(claimed_run, "_try_servers", try_again)
 
 
-def take_over_from_the_silent():
+def take_over_from_unresponsive():
     """Take over the claim of an instance that does not answer."""
 
     def is_dead(self):
         return self.state is None or self.state is AttemptState.DROPPED
 
-    return patch.object(AttemptAnswer, "is_dead", property(is_dead))
+    return patch.object(AttemptStatusReply, "is_dead", property(is_dead))
 
 
-def forget_the_process():
+def ignore_process_name():
     """Let a restarted instance speak for the process before it."""
 
     def init(self, *, instance, process):
@@ -191,10 +191,10 @@
             version = None if found is None else found.version
             return await self._platform.put(kind, name, value_json, if_version=version)
 
-    async def write(self, lane, view):
+    async def write(self, queue, view):
         if not isinstance(self._platform, Unconditional):
             self._platform = Unconditional(self._platform)
-        await write_batch(self, lane, view)
+        await write_batch(self, queue, view)
 
     return patch.object(LedgerWriter, "_write_batch", write)
 
@@ -212,7 +212,7 @@
     The other rules only make the search longer; the whole machine has them.
     """
 
-    breaks: Callable[[], AbstractContextManager[object]]
+    inject: Callable[[], AbstractContextManager[object]]
     rules: tuple[type, ...]
 
     @property
@@ -223,13 +223,13 @@
 
 VARIANTS = (
     Variant(claim_after_send, ()),
-    Variant(trust_lost_write_as_failed, (PlatformRules,)),
-    Variant(trust_lost_write_as_done, (PlatformRules,)),
+    Variant(treat_lost_write_as_failed, (PlatformRules,)),
+    Variant(treat_lost_write_as_done, (PlatformRules,)),
     Variant(recreate_after_expiry, (ClockRules,)),
     Variant(send_after_refusal, ()),
     Variant(retry_on_reset, (BackendRules,)),
-    Variant(take_over_from_the_silent, (CutRules,)),
-    Variant(forget_the_process, (ProcessRules,)),
+    Variant(take_over_from_unresponsive, (PartitionRules,)),
+    Variant(ignore_process_name, (ProcessRules,)),
     Variant(write_without_condition, ()),
     Variant(send_late, (BackendRules, ProcessRules)),
 )
--- a/properties/test_ledger_machine.py
+++ b/properties/test_ledger_machine.py
@@ -45,7 +45,7 @@
 
     def test_the_machine_finds_the_fault_of_each_broken_variant(self):
         for variant in VARIANTS:
-            with self.subTest(variant.breaks.__name__):
+            with self.subTest(variant.inject.__name__):
                 self.assertRegex(_found_fault(variant), r"ran \d+ times|ran after all")
 
 
@@ -53,7 +53,7 @@
     """Return what the machine found in a variant; empty if nothing."""
     quick = machine_settings(histories=VARIANT_HISTORIES, shrink=False)
     try:
-        with variant.breaks():
+        with variant.inject():
             run_state_machine_as_test(variant.machine, settings=quick)
     except ExceptionGroup as group:
         return "; ".join(str(error) for error in group.exceptions)
