--- a/ibisfront/core/attempts.py
+++ b/ibisfront/core/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of this process: whether each may still be sent."""
+"""Attempts of this process, and whether each may still be sent."""
 
 from __future__ import annotations
 
@@ -31,32 +31,32 @@
 class Attempt:
     """One copy of a request at this instance.
 
-    All steps are synchronous. The step to ``sent`` and the step to
-    ``dropped`` exclude each other, so that whoever was told "not run" after
-    :meth:`drop` can rely on it, however late the claim's write lands and
-    however long the process was paused.
+    All transitions are synchronous. The states ``sent`` and ``dropped``
+    exclude each other, so that a "not run" reported after :meth:`drop` holds,
+    however late the claim's write takes effect and however long the process
+    was paused.
 
     Parameters
     ----------
     attempt_id : AttemptId
-        Its name.
+        Its identifier.
     key : IdempotencyKey
         The key of its request.
     fingerprint : str
-        Of its request.
+        Digest of its request.
     deadline_at_ms : float
         When its caller stops waiting, by the tier's clock.
 
     Attributes
     ----------
     state : AttemptState
-        How far it is.
+        Its current state.
     submitted : bool
-        Whether a claim of it may be in the ledger, or get there yet.
+        Whether its claim may be in the ledger, or may still reach it.
     caller_answered : bool
-        Whether its caller was told something or is gone.
+        Whether its caller was answered or has disconnected.
     outcome : ClaimRecord or None
-        What became of it, once it is settled.
+        Its outcome, once it is settled.
     ended : trio.Event
         Set when it is dropped or settled.
     """
@@ -93,15 +93,15 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it may be sent yet, or was sent and has no outcome."""
+        """Whether it may still be sent, or was sent and has no outcome."""
         return self.state in (AttemptState.OPEN, AttemptState.SENT)
 
     def start_send(self, *, now_ms: float) -> bool:
-        """Take the step to ``sent``; return whether it may be sent.
+        """Enter the state ``sent`` if allowed; return whether it may be sent.
 
         Called with no ``await`` before the first byte. A process that was
-        paused finds its deadline passed here; a caller that was answered
-        meanwhile does not get its work run behind its back.
+        paused detects the passed deadline here; a request whose caller was
+        answered in the meantime is not run.
         """
         may_send = (
             self.state is AttemptState.OPEN
@@ -113,38 +113,38 @@
         return may_send
 
     def reopen(self) -> None:
-        """Go back to ``open``: the backend server said that it did not run it."""
+        """Return to ``open``: the backend server reported that it did not run it."""
         if self.state is AttemptState.SENT:
             self.state = AttemptState.OPEN
 
     def drop(self) -> bool:
-        """Give it up unless it was sent; return whether it can never run."""
+        """Drop it unless it was sent; return whether it can never run."""
         if self.state is AttemptState.OPEN:
             self.state = AttemptState.DROPPED
             self.ended.set()
         return self.state is AttemptState.DROPPED
 
     def settle(self, outcome: ClaimRecord) -> None:
-        """Note what became of it."""
+        """Record its outcome."""
         if self.is_active:
             self.state = AttemptState.SETTLED
             self.outcome = outcome
             self.ended.set()
 
     def discard_large_result(self) -> None:
-        """Keep no more of the outcome than the ledger does."""
+        """Keep no more of the outcome than the ledger stores."""
         if self.outcome is not None:
             self.outcome = stored_record(self.outcome)
 
     def claim_record(
         self, state: ClaimState = ClaimState.CLAIMED, reason: str = ""
     ) -> ClaimRecord:
-        """Return a record of it for the ledger."""
+        """Return a ledger record of this attempt."""
         return ClaimRecord(self.fingerprint, self.attempt_id, state, reason)
 
 
 class AttemptRegistry:
-    """Every recent attempt of this process.
+    """The recent attempts of this process.
 
     Parameters
     ----------
@@ -156,7 +156,7 @@
     Attributes
     ----------
     process : str
-        The same.
+        Same as the parameter.
     """
 
     __slots__ = ("_active", "_attempts", "_instance", "_numbers", "process")
@@ -171,7 +171,7 @@
     def open(
         self, key: IdempotencyKey, *, fingerprint: str, deadline_at_ms: float
     ) -> Attempt:
-        """Return a new attempt."""
+        """Create and return an attempt."""
         attempt_id = AttemptId(self._instance, self.process, next(self._numbers))
         attempt = Attempt(
             attempt_id, key, fingerprint=fingerprint, deadline_at_ms=deadline_at_ms
@@ -182,7 +182,7 @@
         return attempt
 
     def active(self, key: IdempotencyKey) -> Attempt | None:
-        """Return the attempt of a key that is under way here, if any."""
+        """Return the active attempt of a key in this process, if any."""
         found = self._active.get(key.text)
         if found is not None and not found.is_active:
             del self._active[key.text]
@@ -190,7 +190,7 @@
         return found
 
     def get(self, attempt_id: AttemptId) -> Attempt | None:
-        """Return an attempt of this process; None if it is not remembered."""
+        """Return an attempt of this process; None if it is not retained."""
         return self._attempts.get(attempt_id)
 
     def _evict_oldest(self) -> None:
--- a/ibisfront/core/claim.py
+++ b/ibisfront/core/claim.py
@@ -1,4 +1,4 @@
-"""Claims: what the ledger records of one idempotency key."""
+"""Claims: the ledger's record of one idempotency key."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 class AttemptId(msgspec.Struct, frozen=True, array_like=True):
-    """Names one copy of a request at one instance; never used twice.
+    """Identifies one copy of a request at one instance; never reused.
 
     Attributes
     ----------
     instance : str
-        The instance that the copy arrived at.
+        The instance that received the copy.
     process : str
         A random name of that instance's process, so that a restarted instance
-        never speaks for the attempts of the process before it.
+        never answers for attempts of the previous process.
     number : int
-        Counts the attempts of that process.
+        Sequence number of the attempt in that process.
     """
 
     instance: str
@@ -43,7 +43,7 @@
 
 
 class ClaimState(StrEnum):
-    """What became of the attempt that holds a key."""
+    """State of the attempt that holds a key."""
 
     CLAIMED = "claimed"
     NOT_RUN = "not_run"
@@ -59,12 +59,12 @@
     Attributes
     ----------
     fingerprint : str
-        Of the branch, the purpose and the body.
+        Digest of the branch, the purpose and the body.
     attempt : AttemptId
         The only attempt that may send the request, or the one that did.
     state : ClaimState
-        ``not_run`` leaves the key to another attempt; ``claimed`` is its
-        attempt's alone; the other states are final.
+        ``not_run`` frees the key for another attempt; ``claimed`` reserves it
+        for this attempt; the other states are final.
     reason : str
         Why it did not run or failed.
     result_json : str or None
@@ -85,7 +85,7 @@
 
 
 def stored_record(record: ClaimRecord) -> ClaimRecord:
-    """Return a record as it is kept: without a result that is too large."""
+    """Return a record as it is stored: without a result that is too large."""
     result = record.result_json
     if result is None or len(result.encode()) <= _MAXIMUM_STORED_RESULT_BYTES:
         return record
@@ -93,10 +93,10 @@
 
 
 def request_fingerprint(request: CallerRequest) -> str:
-    """Return a digest that two copies of a request share.
+    """Return a digest that is the same for all copies of a request.
 
-    The spelling of the JSON body does not matter: a caller that encodes its
-    request anew for a resend may order the members differently.
+    The formatting of the JSON body does not matter: a caller that encodes its
+    request again for a resend may order the members differently.
     """
     body = msgspec.json.encode(
         msgspec.json.decode(request.body_json), order="deterministic"
--- a/ibisfront/core/claim_answers.py
+++ b/ibisfront/core/claim_answers.py
@@ -1,4 +1,4 @@
-"""What a caller is told of the record of its key."""
+"""Answers and errors for callers, made from claim records."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 def answer_from_record(
     record: ClaimRecord, *, request_id: str, key: str, repeated: bool
 ) -> PerformAnswer:
-    """Return the answer of a request that ran.
+    """Return the answer to a request that ran.
 
     Raises
     ------
     IbisfrontError
-        If it did not run to a result, with what is known.
+        If there is no result; its ``ran`` states whether the request ran.
     """
     if record.state is ClaimState.RAN:
         result = record.result_json
@@ -40,12 +40,12 @@
 
 
 def outcome_unknown_error(key: str, detail: str) -> IbisfrontError:
-    """Return the error of a request that may have run."""
+    """Return the error for a request that may have run."""
     return IbisfrontError(ErrorKind.OUTCOME_UNKNOWN, f"{key}: {detail}")
 
 
 def not_run_error(record: ClaimRecord, key: str) -> IbisfrontError:
-    """Return the error of a copy that was claimed and did not run."""
+    """Return the error for a copy that was claimed and did not run."""
     if record.reason == MissingReason.TIMED_OUT:
         return IbisfrontError(
             ErrorKind.DEADLINE_TOO_SHORT, f"{key} was not sent before its deadline"
@@ -53,7 +53,7 @@
     if record.reason == MissingReason.QUARANTINED:
         return IbisfrontError(
             ErrorKind.QUARANTINED,
-            f"{key} was not run: its body crashed backend servers before",
+            f"{key} was not run: its body has crashed backend servers",
             ran=Ran.NO,
         )
     kind = ErrorKind.BACKEND_REFUSED
@@ -73,6 +73,6 @@
         case ClaimState.NOT_RUN:
             return not_run_error(record, key)
         case ClaimState.UNKNOWN:
-            return outcome_unknown_error(key, f"its answer was lost: {record.reason}")
+            return outcome_unknown_error(key, f"its reply was lost: {record.reason}")
         case _:
             return outcome_unknown_error(key, "another copy holds the claim")
--- a/ibisfront/core/claimed_run.py
+++ b/ibisfront/core/claimed_run.py
@@ -1,4 +1,4 @@
-"""Sending a claimed request: the only place where its bytes leave."""
+"""Sending of claimed requests; nothing else sends their bytes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class ClaimedRun:
-    """One claimed request and what its sender needs.
+    """One claimed request and the state needed to send it.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
         self._clock = clock
 
     def start_send(self) -> None:
-        """Take leave to send; called right before the first byte.
+        """Start sending, if allowed; called right before the first byte.
 
         Raises
         ------
@@ -99,11 +99,11 @@
 async def run_claimed(
     run: ClaimedRun, send_once: SendOnce, clock: Clock
 ) -> ClaimRecord:
-    """Send a claimed request and return what became of it.
+    """Send a claimed request and return its outcome.
 
     Another server is tried only while no byte was sent, or after a server
-    said itself that it did not run the request. After any other end of a
-    send, such as a reset, nothing is sent again: the request may have run.
+    itself reported that it did not run the request. After any other failure,
+    such as a reset, nothing is sent again: the request may have run.
     """
     attempt = run.attempt
     left_ms = attempt.deadline_at_ms - clock.now_ms() + _ANSWER_GRACE_MS
@@ -128,7 +128,10 @@
             if error.reason in _NON_RETRYABLE_REASONS:
                 break
         except Exception as error:
-            _LOG.error("A send met a fault of the tier.", exc_info=error)
+            _LOG.error(
+                "Sending a claimed request failed with an internal error.",
+                exc_info=error,
+            )
             return _record_without_reply(run.attempt, MissingReason.WRONG_REPLY)
     return run.attempt.claim_record(ClaimState.NOT_RUN, reason.value)
 
--- a/ibisfront/core/claimer.py
+++ b/ibisfront/core/claimer.py
@@ -1,4 +1,4 @@
-"""Claiming a key for an attempt, against the other copies of its request."""
+"""Claims keys for attempts, in competition with other copies of a request."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
     Parameters
     ----------
     attempts : AttemptRegistry
-        The attempts.
+        The attempts of this process.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where claims are counted.
+        Counts claims.
 
     Attributes
     ----------
@@ -67,26 +67,26 @@
         self.writer: LedgerWriter | None = None
 
     def until_deadline(self, waiting: Attempt | CallerRequest) -> trio.CancelScope:
-        """Return a cancel scope that ends when a caller stops waiting."""
+        """Return a cancel scope that ends at the caller's deadline."""
         return self._clock.timeout_ms(waiting.deadline_at_ms - self._clock.now_ms())
 
     async def acquire(self, attempt: Attempt) -> ClaimRecord:
-        """Return the record of this attempt, or the final one of another copy.
+        """Claim the key; return this attempt's record or another copy's final one.
 
-        A claim of another attempt is replaced only once that one is proved
-        dead. That time has passed is no proof: its instance may be paused
-        right before the send.
+        A claim of another attempt is replaced only once that attempt is proved
+        dead. Elapsed time is no proof: its instance may be paused right before
+        the send.
         """
         dead: ClaimRecord | None = None
         poll_ms = _FIRST_POLL_MS
         found = await self._claim(attempt, dead=None, fresh=False)
         while found.attempt != attempt.attempt_id and not found.is_final:
-            told = await self.query_attempt(found.attempt)
-            if told.is_dead:
+            status = await self.query_attempt(found.attempt)
+            if status.is_dead:
                 self._counters.add(CounterKind.CLAIMS, "taken_over")
                 dead = found
-            elif told.outcome is not None:
-                return told.outcome
+            elif status.outcome is not None:
+                return status.outcome
             else:
                 await self._wait_for_other_copy(attempt, poll_ms)
                 poll_ms = min(2 * poll_ms, _MAXIMUM_POLL_MS)
@@ -124,16 +124,16 @@
         attempt : Attempt
             The attempt.
         dead : ClaimRecord or None
-            A record whose attempt is proved dead, which may be replaced.
+            A record that may be replaced, since its attempt is proved dead.
         fresh : bool
-            Whether to read the object anew. A first claim may go by an old
-            copy of it, whose version its write then does not meet; a repeated
-            one waits for news that an old copy would never show.
+            Whether to read the object again. A first claim may use a stale
+            view, since its write then fails on the version; a repeated one
+            waits for a change that a stale view would never show.
 
         Raises
         ------
         IbisfrontError
-            If it is not known in time which record is in force.
+            If the record in force is not known in time.
         """
         writer = self._available_writer(attempt.key)
         results: list[ChangeResult] = []
@@ -163,7 +163,7 @@
             self._counters.add(CounterKind.CLAIMS, "not_in_time")
             raise IbisfrontError(
                 ErrorKind.CLAIM_UNAVAILABLE,
-                f"the claim of {key} was not known to be in force in time; this copy"
+                f"the claim of {key} was not confirmed in time; this copy"
                 " will not run: send it again with the same key",
             )
         if results[0].expired:
@@ -183,33 +183,33 @@
         return record
 
     async def query_attempt(self, attempt_id: AttemptId) -> AttemptStatusReply:
-        """Return what the process of an attempt says of it."""
+        """Return the status of an attempt from the process that made it."""
         if attempt_id.process == self._attempts.process:
             return attempt_status(self._attempts.get(attempt_id))
         if self.peers is None:
             return AttemptStatusReply()
-        told = await self.peers.ask(
+        reply = await self.peers.ask(
             attempt_id.instance,
             AttemptStatusRequest(attempt_id),
             timeout_ms=_STATUS_TIMEOUT_MS,
         )
-        return told if isinstance(told, AttemptStatusReply) else AttemptStatusReply()
+        return reply if isinstance(reply, AttemptStatusReply) else AttemptStatusReply()
 
     def report_attempt(
-        self, asker: str, question: AttemptStatusRequest
+        self, sender: str, request: AttemptStatusRequest
     ) -> AttemptStatusReply:
-        """Return what this process says of one of its attempts."""
-        return attempt_status(self._attempts.get(question.attempt))
+        """Return the status of an attempt of this process."""
+        return attempt_status(self._attempts.get(request.attempt))
 
     def record_outcome(
         self, attempt: Attempt, record: ClaimRecord, *, timeout_ms: float
     ) -> None:
-        """Write what became of an attempt, as soon as that can be done."""
-        until_ms = self._clock.now_ms() + timeout_ms
+        """Write the outcome of an attempt as soon as possible."""
+        give_up_at_ms = self._clock.now_ms() + timeout_ms
 
         def update(found: ClaimRecord | None) -> ClaimRecord | None:
-            # With no record in sight, a claim of this attempt may still land.
-            # This write then is what keeps it out: its condition fails.
+            # Without a record, a claim of this attempt may still be in transit.
+            # This write makes the condition of that claim fail.
             if found is None or found.attempt == attempt.attempt_id:
                 return record
             return found
@@ -220,17 +220,17 @@
                     attempt.key,
                     update,
                     lambda result: None,
-                    lambda: self._clock.now_ms() > until_ms,
+                    lambda: self._clock.now_ms() > give_up_at_ms,
                     is_urgent=False,
                 )
             )
 
     def key_reused_error(self, key: IdempotencyKey) -> IbisfrontError:
-        """Count and return the refusal of another body under a known key."""
+        """Count a key reused for another request; return the error for it."""
         self._counters.add(CounterKind.CLAIMS, "reused")
         return IbisfrontError(
             ErrorKind.KEY_REUSED,
-            f"{key.text} came before with another branch, purpose or body: use a"
+            f"{key.text} was used before with another branch, purpose or body: use a"
             " new key for new work",
         )
 
@@ -248,7 +248,7 @@
 def _record_after_claim(
     attempt: Attempt, found: ClaimRecord | None, dead: ClaimRecord | None
 ) -> ClaimRecord:
-    """Return the record of a key after an attempt asked for it."""
+    """Return the record of a key after an attempt claims it."""
     if found is None or found == dead:
         return attempt.claim_record()
     is_free = found.state is ClaimState.NOT_RUN
--- a/ibisfront/core/conditional_platform.py
+++ b/ibisfront/core/conditional_platform.py
@@ -1,4 +1,4 @@
-"""The platform's conditional calls, as edits and claims use them."""
+"""Conditional reads and writes of the platform, for edits and claims."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ConditionalPlatform(Protocol):
-    """Reads an object, and writes it only over a known version."""
+    """Reads objects, and writes them conditionally on their version."""
 
     async def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
-        """Return an object, perhaps an older version of it."""
+        """Return an object, possibly a stale version."""
         ...
 
     async def put(
@@ -31,8 +31,8 @@
         Raises
         ------
         WriteConflict
-            If another version is there; nothing was written.
+            If the object has another version; nothing was written.
         IbisfrontError
-            If the write may take effect, now or later.
+            If the write may take effect now or later.
         """
         ...
--- a/ibisfront/core/idempotency_key.py
+++ b/ibisfront/core/idempotency_key.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: UUIDs of version 7, whose first bits are a time."""
+"""Idempotency keys: UUIDs of version 7, which start with a timestamp."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 ]
 
 KEY_LIFETIME_MS = 3_600_000
-"""How long after its own time a key is accepted and its outcome kept."""
+"""How long after its timestamp a key is accepted and its outcome stored."""
 
 MAXIMUM_KEY_SKEW_MS = 60_000
-"""How far a key's time may be ahead of this instance's clock."""
+"""How far a key's timestamp may be ahead of this instance's clock."""
 
-_FORM = re.compile(r"[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}")
+_PATTERN = re.compile(r"[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}")
 _VERSION = 7
 _TIME_SHIFT = 80
 _RANDOM_BITS = 74
@@ -33,14 +33,14 @@
 
 
 class IdempotencyKey(msgspec.Struct, frozen=True):
-    """A checked key.
+    """A validated key.
 
     Attributes
     ----------
     text : str
         Its canonical form, in lower case.
     time_ms : int
-        The time within it, in milliseconds since 1970.
+        Its timestamp, in milliseconds since 1970.
     """
 
     text: str
@@ -56,20 +56,21 @@
         ``key_invalid``.
     """
     canonical = text.strip().lower()
-    if _FORM.fullmatch(canonical):
+    if _PATTERN.fullmatch(canonical):
         parsed = uuid.UUID(canonical)
         if parsed.version == _VERSION:
             return IdempotencyKey(canonical, parsed.int >> _TIME_SHIFT)
     raise IbisfrontError(
-        ErrorKind.KEY_INVALID, f"{text!r} is no UUID of version 7: make a new one"
+        ErrorKind.KEY_INVALID,
+        f"{text!r} is not a UUID of version 7: generate a new one",
     )
 
 
 def check_key_time(key: IdempotencyKey, *, wall_ms: float) -> None:
-    """Refuse a key that is too old, or ahead of this instance's clock.
+    """Reject a key that is too old, or ahead of this instance's clock.
 
-    The at-most-once rule does not rest on this check, since clocks differ:
-    the ledger itself refuses a key that is older than its memory.
+    The at-most-once guarantee does not rest on this check, since clocks differ:
+    the ledger itself rejects a key that is older than its records.
 
     Raises
     ------
@@ -79,7 +80,7 @@
     if key.time_ms > wall_ms + MAXIMUM_KEY_SKEW_MS:
         raise IbisfrontError(
             ErrorKind.KEY_INVALID,
-            f"the time in {key.text} is {key.time_ms - wall_ms:.0f} ms ahead:"
+            f"the timestamp in {key.text} is {key.time_ms - wall_ms:.0f} ms ahead:"
             " correct the caller's clock",
         )
     if key.time_ms < wall_ms - KEY_LIFETIME_MS:
@@ -87,16 +88,16 @@
 
 
 def key_expired_error(key: IdempotencyKey) -> IbisfrontError:
-    """Return the error for a key older than the ledger's memory.
+    """Return the error for a key older than the ledger's records.
 
-    This copy does not run. Whether an earlier one did can no longer be told,
-    and a caller who took "no" for the whole key would send the work again
+    This copy does not run. Whether an earlier one did is no longer known, and
+    a caller that read "no" as valid for the whole key would send the work again
     under a new one; so the answer is "maybe".
     """
     return IbisfrontError(
         ErrorKind.KEY_EXPIRED,
         f"{key.text} is older than {KEY_LIFETIME_MS} ms; this copy does not run, and"
-        " the outcome of an earlier one is no longer kept",
+        " the outcome of an earlier one is no longer stored",
         ran=Ran.MAYBE,
     )
 
@@ -107,9 +108,9 @@
     Parameters
     ----------
     wall_ms : float
-        Its time, in milliseconds since 1970.
+        Its timestamp, in milliseconds since 1970.
     random_bits : int
-        74 random bits, as of ``secrets.randbits(74)``.
+        74 random bits, such as ``secrets.randbits(74)``.
     """
     bits = random_bits & ((1 << _RANDOM_BITS) - 1)
     high, low = bits >> _LOW_BITS, bits & ((1 << _LOW_BITS) - 1)
--- a/ibisfront/core/ledger.py
+++ b/ibisfront/core/ledger.py
@@ -1,4 +1,4 @@
-"""Claims of non-idempotent requests, so that each runs at most once."""
+"""At-most-once execution of non-idempotent requests, based on claims."""
 
 from __future__ import annotations
 
@@ -55,10 +55,11 @@
 class Ledger:
     """Runs non-idempotent requests at most once.
 
-    The rule rests on two facts. In the platform, a key's record names one
-    attempt, and it is replaced only by a conditional write, after its attempt
-    was proved dead by the process that made it. In that process, an attempt
-    is either sent or dropped, never both (see ``Attempt``).
+    The guarantee rests on two invariants. On the platform, the record of a key
+    names one attempt and is replaced only by a conditional write, after the
+    process that made the attempt has proved that it will never run. Within
+    that process, an attempt is either sent or dropped, never both (see
+    ``Attempt``).
 
     Parameters
     ----------
@@ -69,9 +70,9 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where claims are counted.
+        Counts claims.
     process : str, optional
-        The name of this process, never used before; random if left out.
+        Unique name of this process; random if omitted.
     """
 
     __slots__ = (
@@ -104,7 +105,7 @@
         self._claimer = Claimer(self._attempts, clock=clock, counters=counters)
 
     def use_peers(self, peers: Peers) -> None:
-        """Answer the other instances' questions, and ask them."""
+        """Exchange the status of attempts with the other instances."""
         self._claimer.peers = peers
         peers.answer(AttemptStatusRequest, self._claimer.report_attempt)
 
@@ -129,28 +130,28 @@
             try:
                 await trio.sleep_forever()
             finally:
-                # A caller's task may end later than this one. It must find
-                # the ledger closed, not a nursery that takes no more tasks.
+                # A caller's task may outlive this one. It must find the
+                # ledger closed, not a nursery that accepts no more tasks.
                 self._claimer.writer = None
                 self._nursery = None
 
     async def flush(self) -> None:
-        """Wait until every outcome known here is written."""
+        """Wait until all outcomes known to this process are written."""
         if self._claimer.writer is not None:
             await self._claimer.writer.flush()
 
     async def perform(
         self, request: CallerRequest, purpose: Purpose, key: str
     ) -> PerformAnswer:
-        """Claim a request and run it, or return its kept outcome.
+        """Claim a request and run it, or return its stored outcome.
 
-        "Not run" is said of this copy, for good: nothing sends it afterwards.
-        The same key runs again only if the caller sends another copy.
+        "Not run" is final for this copy: it is never sent afterwards. The same
+        key runs again only if the caller sends another copy.
 
         Raises
         ------
         IbisfrontError
-            With what is known about its having run.
+            If there is no result; its ``ran`` states whether the request ran.
         """
         parsed = parse_key(key)
         check_key_time(parsed, wall_ms=self._clock.wall_ms())
@@ -173,22 +174,22 @@
         Raises
         ------
         IbisfrontError
-            With what is known. An unknown key is "maybe", since a copy of it
-            may be on its way. No call revokes a key yet; "no" is kept for
-            that state.
+            If there is no result. An unknown key is "maybe", since a copy of
+            it may be in transit. No call revokes a key yet; "no" is reserved
+            for that state.
         """
         parsed = parse_key(key)
         record = await self._find_record(parsed)
         if record is None:
             raise IbisfrontError(
                 ErrorKind.NOT_FOUND,
-                f"no claim of {key} is recorded; a copy may be on its way",
+                f"no claim of {key} is recorded; a copy may be in transit",
                 ran=Ran.MAYBE,
             )
         if record.state is ClaimState.NOT_RUN:
             raise outcome_unknown_error(
                 key,
-                "the last claimed copy did not run, but another may be on its way;"
+                "the last claimed copy did not run, but another may be in transit;"
                 " send the request again with the same key",
             )
         return answer_from_record(record, request_id="", key=parsed.text, repeated=True)
@@ -196,9 +197,9 @@
     async def _claim_and_run(
         self, attempt: Attempt, request: CallerRequest, purpose: Purpose
     ) -> PerformAnswer:
-        held = await self._claimer.acquire(attempt)
-        if held.attempt != attempt.attempt_id:
-            return self._repeated_answer(held, request, attempt.key)
+        record = await self._claimer.acquire(attempt)
+        if record.attempt != attempt.attempt_id:
+            return self._repeated_answer(record, request, attempt.key)
         self._counters.add(CounterKind.CLAIMS, "claimed")
         run = ClaimedRun(request, purpose, attempt=attempt, clock=self._clock)
         self._start(run)
@@ -214,16 +215,17 @@
             )
         outcome = attempt.outcome
         if outcome is None:
-            raise outcome_unknown_error(key, "no answer came before the deadline")
+            raise outcome_unknown_error(key, "no reply arrived before the deadline")
         return answer_from_record(
             outcome, request_id=request.request_id, key=key, repeated=False
         )
 
     async def _execute(self, run: ClaimedRun) -> None:
-        """Send a claimed request, and record what became of it.
+        """Send a claimed request and record its outcome.
 
-        Runs apart from the caller's task: once the request is sent, a caller
-        that goes away changes nothing, and another copy gets the outcome.
+        Runs independently of the caller's task: once the request is sent, a
+        caller that disconnects changes nothing, and another copy gets the
+        outcome.
         """
         attempt = run.attempt
         outcome = await run_claimed(run, self._run_once, self._clock)
@@ -237,23 +239,25 @@
     async def _await_local_attempt(
         self, earlier: Attempt, request: CallerRequest, fingerprint: str
     ) -> ClaimRecord | None:
-        """Wait for the attempt of another copy that arrived here."""
+        """Wait for the attempt of another copy received by this instance."""
         if earlier.fingerprint != fingerprint:
             raise self._claimer.key_reused_error(earlier.key)
         with self._claimer.until_deadline(request):
             await earlier.ended.wait()
         if earlier.is_active:
             raise outcome_unknown_error(
-                earlier.key.text, "another copy is under way here"
+                earlier.key.text, "another copy is in progress here"
             )
         return earlier.outcome
 
     async def _find_record(self, key: IdempotencyKey) -> ClaimRecord | None:
-        under_way = self._attempts.active(key)
-        if under_way is not None:
-            return under_way.claim_record()
+        active = self._attempts.active(key)
+        if active is not None:
+            return active.claim_record()
         if self._platform is None:
-            raise IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "not started yet")
+            raise IbisfrontError(
+                ErrorKind.PLATFORM_UNAVAILABLE, "the ledger has not started yet"
+            )
         try:
             view = await read_bucket(self._platform, bucket_name(key))
         except IbisfrontError as error:
@@ -266,7 +270,7 @@
         return (await self._claimer.query_attempt(record.attempt)).outcome or record
 
     def _release_attempt(self, attempt: Attempt) -> None:
-        """End an attempt whose caller was answered or is gone."""
+        """End an attempt whose caller was answered or has disconnected."""
         attempt.caller_answered = True
         if attempt.drop() and attempt.submitted:
             self._counters.add(CounterKind.CLAIMS, "withdrawn")
@@ -288,6 +292,6 @@
         if self._nursery is None:
             raise IbisfrontError(
                 ErrorKind.CLAIM_UNAVAILABLE,
-                f"this instance has stopped before {run.attempt.key.text} was sent",
+                f"this instance stopped before {run.attempt.key.text} was sent",
             )
         self._nursery.start_soon(self._execute, run)
--- a/ibisfront/core/ledger_bucket.py
+++ b/ibisfront/core/ledger_bucket.py
@@ -1,11 +1,11 @@
 """The ledger's objects: which one holds a key, and how each is changed.
 
-The ledger is a ring of :data:`RING_SLOTS` slots of time, each with
-:data:`BUCKETS` buckets. A key's time gives its slot, its hash its bucket. When
-the ring has come round, an object is taken over by the newer slot: its old
-records go in the same conditional write that raises its slot number. A key of
-an older slot is refused by the object itself from then on, so that no clock
-decides whether an expired key may run.
+The ledger is a ring of :data:`RING_SLOTS` time slots, each with :data:`BUCKETS`
+buckets. A key's timestamp selects the slot, its hash the bucket. When the ring
+wraps around, an object is reused for the newer slot: the conditional write that
+raises its slot number also removes its old records. From then on the object
+itself rejects keys of older slots, so that no clock decides whether an expired
+key may run.
 """
 
 from __future__ import annotations
@@ -40,27 +40,27 @@
     "plan_changes",
 ]
 
-# All instances must agree on these three, or two of them would look for one
-# key in two objects; so they are no settings.
+# Not settings: instances that disagree on these three would look for one key in
+# different objects.
 BUCKETS = 32
 SLOT_MS = 30_000
 RING_SLOTS = 128
 assert RING_SLOTS * SLOT_MS >= KEY_LIFETIME_MS + 2 * MAXIMUM_KEY_SKEW_MS + 2 * SLOT_MS
 
-# The platform takes values of at most 1 MB. A write adds at most
-# BATCH_LIMIT records or results, and an outcome adds some 25 bytes to each
-# claim, so that an object below FULL_BYTES stays below 1 MB to its end.
+# The platform accepts values of at most 1 MB. A write adds at most
+# MAXIMUM_BATCH_CHANGES records or results, and an outcome adds about 25 bytes to
+# each claim, so that an object below OBJECT_CLAIM_LIMIT_BYTES never reaches 1 MB.
 OBJECT_CLAIM_LIMIT_BYTES = 800_000
-"""An object this large takes no more claims."""
+"""Object size from which new claims are rejected."""
 
 OBJECT_RESULT_LIMIT_BYTES = 600_000
-"""An object this large keeps no more results."""
+"""Object size from which results are no longer stored."""
 
 MAXIMUM_BATCH_CHANGES = 100
-"""How many changes go into one write."""
+"""Maximum number of changes in one write."""
 
 RecordUpdate: TypeAlias = Callable[[ClaimRecord | None], ClaimRecord | None]
-"""Returns a key's next record, given the one there is; the same for no change."""
+"""Returns a key's next record, given the current one; the same for no change."""
 
 
 class Bucket(msgspec.Struct, omit_defaults=True):
@@ -69,7 +69,7 @@
     Attributes
     ----------
     slot : int
-        The slot of time whose keys it holds; it only rises.
+        The time slot of its keys; it never decreases.
     records : dict of str to ClaimRecord
         The record of each key.
     """
@@ -83,16 +83,16 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """What became of a change.
+    """Result of a change.
 
     Attributes
     ----------
     record : ClaimRecord or None
-        The key's record afterwards, known to be in force.
+        The key's record after the change, known to be in force.
     expired : bool
-        Whether the key is older than the object's memory.
+        Whether the key is older than the object's time slot.
     full : bool
-        Whether the object had no room.
+        Whether the object had no room for a new record.
     """
 
     record: ClaimRecord | None = None
@@ -101,20 +101,20 @@
 
 
 class Change(msgspec.Struct, frozen=True, eq=False):
-    """A change of one key's record that waits for a write.
+    """A pending change of one key's record.
 
     Attributes
     ----------
     key : IdempotencyKey
         The key.
     update : callable
-        Gives the next record.
+        Returns the next record.
     resolve : callable
         Called with the result once it is in force.
     is_abandoned : callable
-        Returns whether nobody needs it any more.
+        Returns whether it is no longer needed.
     is_urgent : bool
-        Whether a caller waits for it.
+        Whether a caller is waiting for it.
     """
 
     key: IdempotencyKey
@@ -125,16 +125,16 @@
 
 
 class BucketPlan(msgspec.Struct, frozen=True):
-    """A bucket after some changes, not yet written.
+    """A bucket with changes applied, not yet written.
 
     Attributes
     ----------
     bucket : Bucket
         The new value.
     value_json : bytes or None
-        The same, encoded; None if nothing changes.
+        The encoded value; None if nothing changes.
     results : list of ChangeResult
-        Of each change, in the order given.
+        One per change, in the order given.
     """
 
     bucket: Bucket
@@ -143,7 +143,7 @@
 
 
 def key_slot(key: IdempotencyKey) -> int:
-    """Return the number of the slot of time that a key belongs to."""
+    """Return the number of the time slot that a key belongs to."""
     return key.time_ms // SLOT_MS
 
 
@@ -170,9 +170,9 @@
     """
     ordered = list(changes)
     planned = found.copy()
-    # A change of a newer slot clears the records of the older one. It goes
-    # first: were an older key claimed before it in the same write, its claim
-    # would be reported as in force, yet be gone, and the key could run again.
+    # A change of a newer slot clears the records of the older one. Clearing
+    # comes first: an older key claimed before it in the same write would be
+    # reported as in force although its claim is gone, and could run again.
     planned.slot = max([found.slot, *(key_slot(change.key) for change in ordered)])
     if planned.slot > found.slot:
         planned.records.clear()
@@ -186,11 +186,11 @@
 def _apply(bucket: Bucket, change: Change, size_bytes: int) -> ChangeResult:
     if key_slot(change.key) < bucket.slot:
         return ChangeResult(expired=True)
-    known = bucket.records.get(change.key.text)
-    if known is None and size_bytes >= OBJECT_CLAIM_LIMIT_BYTES:
+    existing = bucket.records.get(change.key.text)
+    if existing is None and size_bytes >= OBJECT_CLAIM_LIMIT_BYTES:
         return ChangeResult(full=True)
-    updated = change.update(known)
-    if updated is not None and updated is not known:
+    updated = change.update(existing)
+    if updated is not None and updated is not existing:
         if size_bytes >= OBJECT_RESULT_LIMIT_BYTES:
             updated = msgspec.structs.replace(updated, result_json=None)
         bucket.records[change.key.text] = updated
--- a/ibisfront/core/ledger_messages.py
+++ b/ibisfront/core/ledger_messages.py
@@ -1,4 +1,4 @@
-"""What instances ask each other about attempts."""
+"""Messages between instances about the status of attempts."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class AttemptStatusRequest(PeerMessage, frozen=True, tag="attempt_question"):
-    """Asks the instance of an attempt what became of it."""
+    """Asks the instance of an attempt for its status."""
 
     attempt: AttemptId
 
 
 class AttemptStatusReply(PeerMessage, frozen=True, tag="attempt_answer"):
-    """The reply of the instance.
+    """Status of an attempt, as reported by its instance.
 
     Attributes
     ----------
     state : AttemptState or None
-        Its state; None if this process does not know the attempt, which then
-        may have run.
+        Its state; None if this process does not have the attempt, which may
+        then have run.
     outcome_json : bytes
-        The ``ClaimRecord`` of what became of it; empty if it is not settled.
+        The encoded ``ClaimRecord`` of its outcome; empty if it is not settled.
     """
 
     state: AttemptState | None = None
@@ -35,7 +35,7 @@
 
     @property
     def outcome(self) -> ClaimRecord | None:
-        """What became of the attempt, if it is settled."""
+        """Outcome of the attempt, if it is settled."""
         if not self.outcome_json:
             return None
         return msgspec.json.decode(self.outcome_json, type=ClaimRecord)
@@ -50,10 +50,10 @@
 
 
 def attempt_status(attempt: Attempt | None) -> AttemptStatusReply:
-    """Return what this process says of one of its attempts."""
+    """Return the status of an attempt of this process."""
     if attempt is None:
         return AttemptStatusReply()
     if attempt.outcome is None:
         return AttemptStatusReply(attempt.state)
-    kept = stored_record(attempt.outcome)
-    return AttemptStatusReply(attempt.state, msgspec.json.encode(kept))
+    stored = stored_record(attempt.outcome)
+    return AttemptStatusReply(attempt.state, msgspec.json.encode(stored))
--- a/ibisfront/core/ledger_writer.py
+++ b/ibisfront/core/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Group commit: one conditional write carries all changes that wait."""
+"""Group commit: one conditional write carries all pending changes."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 
 
 class BucketView(msgspec.Struct, frozen=True):
-    """An object as last read or written here; it may be out of date.
+    """An object as last read or written by this process; it may be stale.
 
     Attributes
     ----------
     version : int or None
-        Its version; None if there is none.
+        Its version; None if the object does not exist.
     bucket : Bucket
         Its value.
     size_bytes : int
@@ -64,16 +64,23 @@
 
 
 class _BucketQueue:
-    """The changes of one object that wait, and what is known of the object."""
+    """Pending changes of one object, and the object as last seen."""
 
-    __slots__ = ("gap_ms", "is_running", "name", "pending", "urgent_arrived", "view")
+    __slots__ = (
+        "is_running",
+        "name",
+        "pending",
+        "urgent_arrived",
+        "view",
+        "write_delay_ms",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.pending: list[Change] = []
         self.view: BucketView | None = None
         self.is_running = False
-        self.gap_ms = 0.0
+        self.write_delay_ms = 0.0
         self.urgent_arrived = trio.Event()
 
     def add(self, change: Change) -> None:
@@ -83,37 +90,37 @@
             self.urgent_arrived.set()
 
     def has_urgent(self) -> bool:
-        """Return whether somebody waits for a change."""
+        """Return whether a caller is waiting for a change; reset the event."""
         self.urgent_arrived = trio.Event()
         return any(change.is_urgent for change in self.pending)
 
     def drop_abandoned(self) -> bool:
-        """Forget the changes that nobody needs; return whether others wait."""
+        """Drop changes that are no longer needed; return whether any remain."""
         self.pending = [item for item in self.pending if not item.is_abandoned()]
         return bool(self.pending)
 
 
 class LedgerWriter:
-    """Writes changes to the ledger's objects, one write of each at a time.
+    """Writes changes to the ledger's objects, one write per object at a time.
 
     Parameters
     ----------
     platform : ConditionalPlatform
-        Where the objects are.
+        Stores the objects.
     nursery : trio.Nursery
-        Where the writes run.
+        Runs the writes.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where writes are counted.
+        Counts writes.
     seed : str
-        Of the jitter between retries.
+        Seed of the jitter of delays.
 
     Attributes
     ----------
     is_platform_unavailable : bool
         Whether the platform failed several calls in a row, so that a new
-        claim had better be refused at once than wait for its deadline.
+        claim is better rejected at once than left to wait for its deadline.
     """
 
     __slots__ = (
@@ -152,14 +159,14 @@
         self.is_platform_unavailable = False
 
     def submit(self, change: Change, *, fresh: bool = False) -> None:
-        """Queue a change; it joins the next write of its object.
+        """Queue a change for the next write of its object.
 
         Parameters
         ----------
         change : Change
             The change; its ``resolve`` is called once it is in force.
         fresh : bool
-            Whether to read the object anew first.
+            Whether to read the object again first.
         """
         queue = self._queue(bucket_name(change.key))
         if fresh:
@@ -170,7 +177,7 @@
             self._nursery.start_soon(self._run_queue, queue)
 
     async def flush(self) -> None:
-        """Wait until no change waits; outcomes no longer wait for company."""
+        """Wait until no change is pending; write outcomes without delay."""
         for queue in self._queues.values():
             queue.urgent_arrived.set()
         while any(queue.is_running for queue in self._queues.values()):
@@ -201,7 +208,7 @@
             self._queue_stopped = trio.Event()
 
     async def _commit(self, queue: _BucketQueue) -> bool:
-        """Bring one batch into force; return False if the platform failed."""
+        """Write one batch; return False if the platform failed."""
         try:
             await self._wait_for_batch(queue)
             view = queue.view or await read_bucket(self._platform, queue.name)
@@ -216,28 +223,28 @@
     async def _wait_for_batch(self, queue: _BucketQueue) -> None:
         """Let more changes join the next write.
 
-        An outcome is in no hurry: its instance tells it to whoever asks. It
-        rides with the next claim, or is written alone after a while, so that
-        under load a request costs less than two writes.
+        An outcome is not urgent: its instance reports it on request. It is
+        written with the next claim, or alone after a delay, so that under load
+        a request costs less than two writes.
         """
         if not queue.has_urgent():
             with self._clock.timeout_ms(self._jittered(_OUTCOME_WRITE_DELAY_MS)):
                 await queue.urgent_arrived.wait()
-        gap_ms = queue.gap_ms + self._shared_write_delay_ms
-        if gap_ms > 0:
-            await self._clock.sleep_ms(self._jittered(gap_ms))
+        write_delay_ms = queue.write_delay_ms + self._shared_write_delay_ms
+        if write_delay_ms > 0:
+            await self._clock.sleep_ms(self._jittered(write_delay_ms))
 
     async def _write_batch(self, queue: _BucketQueue, view: BucketView) -> None:
         queue.view = view
         batch = queue.pending[:MAXIMUM_BATCH_CHANGES]
         plan = plan_changes(view.bucket, batch, size_bytes=view.size_bytes)
         if plan.value_json is not None:
-            # A write whose answer is lost leaves this function by an error and
-            # the batch stays in the queue. The next round reads the object and
-            # decides each change anew: a claim that took effect is seen by its
-            # attempt id; one that did not, or not yet, is written again on the
-            # version read, whose success is the end of the lost write, since
-            # that one was conditional on an older version.
+            # If the response is lost, this raises and the batch stays queued.
+            # The next round reads the object and evaluates each change again: a
+            # claim that took effect is found by its attempt id; one that did
+            # not, or not yet, is written again on the version read. Once that
+            # succeeds, the lost write cannot take effect, since it was
+            # conditional on an older version.
             version = await self._platform.put(
                 ObjectKind.LEDGER,
                 queue.name,
@@ -246,7 +253,7 @@
             )
             self._record_success()
             queue.view = BucketView(version, plan.bucket, len(plan.value_json))
-            queue.gap_ms = max(0.0, queue.gap_ms - _WRITE_DELAY_STEP_MS)
+            queue.write_delay_ms = max(0.0, queue.write_delay_ms - _WRITE_DELAY_STEP_MS)
             self._shared_write_delay_ms = max(
                 0.0, self._shared_write_delay_ms - _SHARED_WRITE_DELAY_STEP_MS
             )
@@ -257,29 +264,31 @@
             change.resolve(result)
 
     def _record_conflict(self, queue: _BucketQueue) -> None:
-        # Another instance writes the same object. To write less often lets
+        # Another instance writes the same object. Writing less often lets
         # more changes join each write, so that two instances that share an
         # object do not keep failing each other's writes.
         self._record_success()
         queue.view = None
-        queue.gap_ms = min(
-            max(2 * queue.gap_ms, _WRITE_DELAY_STEP_MS), _MAXIMUM_WRITE_DELAY_MS
+        queue.write_delay_ms = min(
+            max(2 * queue.write_delay_ms, _WRITE_DELAY_STEP_MS), _MAXIMUM_WRITE_DELAY_MS
         )
         self._counters.add(CounterKind.CLAIMS, "write_conflicts")
 
     def _record_failure(self, queue: _BucketQueue, error: IbisfrontError) -> None:
         queue.view = None
         self._failures += 1
-        # A platform over its rate refuses some writes and takes others. Fewer,
-        # larger writes are the cure; to refuse claims would not be one.
+        # A platform over its rate limit rejects some writes and accepts others.
+        # Fewer, larger writes relieve it; rejecting claims would not help.
         self._shared_write_delay_ms = min(
             max(2 * self._shared_write_delay_ms, _WRITE_DELAY_STEP_MS),
             _MAXIMUM_WRITE_DELAY_MS,
         )
         self._counters.add(CounterKind.CLAIMS, f"failed_{error.kind.value}")
         silent_ms = self._clock.now_ms() - self._last_response_at_ms
-        is_out = self._failures >= _OUTAGE_FAILURES and silent_ms >= _OUTAGE_SILENCE_MS
-        if is_out and not self.is_platform_unavailable:
+        is_unavailable = (
+            self._failures >= _OUTAGE_FAILURES and silent_ms >= _OUTAGE_SILENCE_MS
+        )
+        if is_unavailable and not self.is_platform_unavailable:
             self.is_platform_unavailable = True
             _LOG.warning("The platform does not answer; new claims are refused.")
             self._nursery.start_soon(self._probe)
@@ -292,7 +301,7 @@
             _LOG.info("The platform answers again; claims are taken.")
 
     async def _probe(self) -> None:
-        """Find out when the platform answers again."""
+        """Poll the platform until it answers again."""
         wait_ms = _FIRST_PROBE_DELAY_MS
         while self.is_platform_unavailable:
             await self._clock.sleep_ms(self._jittered(wait_ms))
@@ -306,7 +315,7 @@
 
 
 async def read_bucket(platform: ConditionalPlatform, name: str) -> BucketView:
-    """Return an object of the ledger, perhaps an older version of it.
+    """Return an object of the ledger, possibly a stale version.
 
     Raises
     ------
@@ -321,6 +330,6 @@
     except msgspec.MsgspecError as error:
         raise IbisfrontError(
             ErrorKind.PLATFORM_UNAVAILABLE,
-            f"{ObjectKind.LEDGER}/{name} cannot be read: {error}",
+            f"{ObjectKind.LEDGER}/{name} cannot be decoded: {error}",
         ) from error
     return BucketView(found.version, bucket, len(found.value_json))
