--- a/benchmarks/ledger_throughput.py
+++ b/benchmarks/ledger_throughput.py
@@ -1,10 +1,10 @@
-"""Claims a second, and the latency that a claim adds, for three designs.
+"""Claims per second, and the latency that a claim adds, for three designs.
 
-Run ``python -m benchmarks.ledger_throughput``. Time is trio's mock time and
-the platform is its stand-in in process: a write takes :data:`WRITE_MS`, and
-:data:`WRITES_PER_S` are taken a second. The figures do not depend on how busy
-the machine is. "Routed" sends all keys of a bucket to one instance, as routing
-among larger groups would; "unrouted" sends a key to any instance.
+Run ``python -m benchmarks.ledger_throughput``. Time is trio's mock time and the
+platform is an in-process fake: a write takes :data:`WRITE_MS`, and
+:data:`WRITES_PER_S` are accepted per second. The results do not depend on the
+load of the machine. "Routed" sends all keys of a bucket to one instance, as
+routing among larger groups would; "unrouted" sends a key to any instance.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
 """Claims one key; raises ``IbisfrontError`` if it cannot in time."""
 
 
-class Figures(msgspec.Struct):
-    """What one run gave."""
+class Results(msgspec.Struct):
+    """Results of one run."""
 
     design: str
     instances: int
@@ -60,7 +60,7 @@
 
 
 class DirectPlatform:
-    """The platform's stand-in with the errors of the client."""
+    """The fake platform with the errors of the platform client."""
 
     def __init__(self, platform: FakePlatform) -> None:
         self._platform = platform
@@ -82,24 +82,26 @@
         *,
         if_version: int | None,
     ) -> int:
-        """Write an object on a condition."""
+        """Write an object conditionally."""
         value = msgspec.json.decode(value_json)
         try:
             return await self._platform.put(kind, name, value, if_version=if_version)
         except PlatformRefused as refused:
             if refused.status == 429:
-                raise IbisfrontError(ErrorKind.WRITE_UNKNOWN, "over the rate") from None
+                raise IbisfrontError(
+                    ErrorKind.WRITE_UNKNOWN, "over the rate limit"
+                ) from None
             raise WriteConflict(name) from refused
 
 
 async def reply_immediately(run: ClaimedRun) -> SubReply:
-    """Take the place of a backend server that needs no time."""
+    """Reply like a backend server without processing time."""
     run.start_send()
     return SubReply(b'{"result":1}')
 
 
 class Bench:
-    """One run: arrivals at a rate, for a while."""
+    """One run: arrivals at a rate, for :data:`DURATION_S`."""
 
     def __init__(self, nursery: trio.Nursery, *, instances: int) -> None:
         self.clock = Clock(wall=self._wall_ms)
@@ -112,8 +114,8 @@
         )
         self.direct = DirectPlatform(self.platform)
         self.counters = Counters()
-        self.waits_ms: list[float] = []
-        self.refused = 0
+        self.latencies_ms: list[float] = []
+        self.rejected = 0
         self._start_ms = self.clock.now_ms()
 
     def _wall_ms(self) -> float:
@@ -136,7 +138,7 @@
         return ledgers
 
     async def offer(self, rate_per_s: int, claim: ClaimOne) -> None:
-        """Let claims arrive at random at a rate, and wait for all."""
+        """Generate random arrivals of claims at a rate, and wait for all."""
         async with trio.open_nursery() as arrivals:
             end_ms = self.clock.now_ms() + DURATION_S * 1000.0
             while self.clock.now_ms() < end_ms:
@@ -148,16 +150,16 @@
         key = make_key(
             wall_ms=self.clock.wall_ms(), random_bits=self.random.getrandbits(74)
         )
-        begun_ms = self.clock.now_ms()
+        started_at_ms = self.clock.now_ms()
         try:
             await claim(key)
         except IbisfrontError:
-            self.refused += 1
+            self.rejected += 1
         else:
-            self.waits_ms.append(self.clock.now_ms() - begun_ms)
+            self.latencies_ms.append(self.clock.now_ms() - started_at_ms)
 
     async def claim_each(self, key: str) -> None:
-        """Claim by an object of its own for each key, tried again over the rate."""
+        """Claim with one object per key; retry when over the rate limit."""
         deadline_ms = self.clock.now_ms() + DEADLINE_MS
         while self.clock.now_ms() < deadline_ms:
             try:
@@ -166,10 +168,10 @@
                 await self.clock.sleep_ms(self.random.uniform(10.0, 60.0))
             else:
                 return
-        raise IbisfrontError(ErrorKind.CLAIM_UNAVAILABLE, "over the rate")
+        raise IbisfrontError(ErrorKind.CLAIM_UNAVAILABLE, "over the rate limit")
 
     def claim_by_ledger(self, ledgers: list[Ledger], *, routed: bool) -> ClaimOne:
-        """Return a function that claims by the group-commit ledger."""
+        """Return a function that claims with the group-commit ledger."""
 
         async def claim(key: str) -> None:
             bucket = int(bucket_name(parse_key(key)).partition("-")[2])
@@ -185,28 +187,28 @@
 
         return claim
 
-    def figures(self, design: str, rate_per_s: int) -> Figures:
-        """Return what the run gave."""
-        waits = sorted(self.waits_ms) or [0.0]
+    def results(self, design: str, rate_per_s: int) -> Results:
+        """Return the results of the run."""
+        sorted_ms = sorted(self.latencies_ms) or [0.0]
         writes = self.platform.state().writes.total
-        return Figures(
+        return Results(
             design=design,
             instances=self.instances,
             offered_per_s=rate_per_s,
-            claimed_per_s=round(len(self.waits_ms) / DURATION_S, 1),
+            claimed_per_s=round(len(self.latencies_ms) / DURATION_S, 1),
             refused_share=round(
-                self.refused / max(1, self.refused + len(self.waits_ms)), 3
+                self.rejected / max(1, self.rejected + len(self.latencies_ms)), 3
             ),
-            p50_ms=round(waits[len(waits) // 2], 1),
-            p99_ms=round(waits[int(len(waits) * 0.99)], 1),
+            p50_ms=round(sorted_ms[len(sorted_ms) // 2], 1),
+            p99_ms=round(sorted_ms[int(len(sorted_ms) * 0.99)], 1),
             writes_per_s=round(writes / DURATION_S, 1),
-            claims_per_write=round(len(self.waits_ms) / max(1, writes), 2),
+            claims_per_write=round(len(self.latencies_ms) / max(1, writes), 2),
             conflicts=self.counters.value(CounterKind.CLAIMS, "write_conflicts"),
         )
 
 
-async def measure(design: str, *, instances: int, rate_per_s: int) -> Figures:
-    """Return the figures of one design at one rate."""
+async def measure(design: str, *, instances: int, rate_per_s: int) -> Results:
+    """Return the results of one design at one rate."""
     async with trio.open_nursery() as nursery:
         bench = Bench(nursery, instances=instances)
         claim: ClaimOne = bench.claim_each
@@ -214,9 +216,9 @@
             ledgers = await bench.start_ledgers()
             claim = bench.claim_by_ledger(ledgers, routed=design == "ledger routed")
         await bench.offer(rate_per_s, claim)
-        figures = bench.figures(design, rate_per_s)
+        results = bench.results(design, rate_per_s)
         nursery.cancel_scope.cancel()
-    return figures
+    return results
 
 
 def main() -> None:
@@ -225,17 +227,17 @@
     parser.add_argument("--instances", type=int, nargs="+", default=[9, 32, 128])
     parser.add_argument("--rates", type=int, nargs="+", default=list(RATES_PER_S))
     options = parser.parse_args()
-    print(" ".join(f"{name:>16}" for name in Figures.__struct_fields__))
+    print(" ".join(f"{name:>16}" for name in Results.__struct_fields__))
     for instances in options.instances:
         for design in ("claim each", "ledger unrouted", "ledger routed"):
             for rate_per_s in options.rates:
-                figures = trio.run(
+                results = trio.run(
                     partial(
                         measure, design, instances=instances, rate_per_s=rate_per_s
                     ),
                     clock=trio.testing.MockClock(autojump_threshold=0.0),
                 )
-                values = msgspec.structs.astuple(figures)
+                values = msgspec.structs.astuple(results)
                 print(" ".join(f"{value!s:>16}" for value in values), flush=True)
 
 
--- a/ibisfront/testing/ledger_simulation.py
+++ b/ibisfront/testing/ledger_simulation.py
@@ -1,9 +1,9 @@
-"""Entry instances' ledgers in one process, among faults, for histories.
+"""Simulation of entry instances' ledgers in one process, under faults.
 
 The claim, send and recovery code is the real one; the platform, the backend
 servers, the peers and the callers are fakes under trio's mock clock. A killed
-instance takes no further effect: its calls that are under way may still land.
-A paused one takes none until it goes on.
+instance has no further effect, except that its calls in progress may still
+complete. A paused one has none until it is resumed.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 class CopyAnswer(msgspec.Struct):
-    """One copy of a request, and what its caller was told.
+    """One copy of a request, and the answer to its caller.
 
     Attributes
     ----------
@@ -73,9 +73,9 @@
     key : str
         Its key.
     ran : Ran or None
-        What was said about its having run; None if nothing was.
+        The reported ``ran``; None if there was no answer.
     code : str
-        The error's code; empty for an answer.
+        The error's code; empty if there was none.
     result : str
         The answer's result.
     """
@@ -95,16 +95,16 @@
     name : str
         The instance.
     simulation : LedgerWorld
-        What is around it.
+        The simulation that it belongs to.
 
     Attributes
     ----------
     skew_ms : float
-        How far its time of day is ahead.
+        How far its wall clock is ahead.
     is_dead : bool
         Whether it was killed.
     is_cut_off : bool
-        Whether the platform is out of its reach.
+        Whether it is partitioned from the platform.
     """
 
     def __init__(self, name: str, simulation: LedgerSimulation) -> None:
@@ -128,20 +128,20 @@
             await self.ledger.run(self)
 
     def kill(self) -> None:
-        """End the process: it takes no further effect."""
+        """End the process: it has no further effect."""
         self.is_dead = True
         self.simulation.network.leave(self.name)
         self._resumed.set()
         self._scope.cancel()
 
     def pause(self) -> None:
-        """Stop the process, without a word."""
+        """Pause the process, without notice to its peers."""
         if self._resumed.is_set() and not self.is_dead:
             self._resumed = trio.Event()
             self.simulation.network.leave(self.name)
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the process."""
         if not self._resumed.is_set() and not self.is_dead:
             self._resumed.set()
             self.simulation.network.peers[self.name] = self._peers
@@ -167,7 +167,7 @@
         *,
         if_version: Version | None,
     ) -> Version:
-        """Write an object of the platform on a condition."""
+        """Write an object of the platform conditionally."""
         value = msgspec.json.decode(value_json)
 
         async def call() -> int:
@@ -192,7 +192,7 @@
         return FakeConnection(self, self.simulation.backends[address])
 
     async def step(self) -> None:
-        """Take some time between two steps, and wait while paused or dead."""
+        """Wait for a random time, then while paused; for ever once dead."""
         await self.clock.sleep_ms(self.simulation.delay_ms())
         await self.wait_alive()
 
@@ -230,7 +230,7 @@
     async def _call(
         self, call: Callable[[], Awaitable[_Returned]], lost: ErrorKind
     ) -> _Returned:
-        """Make one call to the platform, with its time-out."""
+        """Make one call to the platform, with a timeout."""
         await self.step()
         try:
             with self.clock.timeout_ms(_CALL_TIMEOUT_MS):
@@ -240,16 +240,16 @@
                 await self.step()
                 return returned
         except AnswerLost:
-            # Told below, after one more step, as the caller of a time-out is.
-            lost_by = "the answer was lost"
+            # Raised below, after one more step, as a timeout is.
+            detail = "the response was lost"
         else:
-            lost_by = "no answer came in time"
+            detail = "no response arrived in time"
         await self.step()
-        raise IbisfrontError(lost, lost_by)
+        raise IbisfrontError(lost, detail)
 
 
 class FakeConnection:
-    """A connection of a node to a backend server's fake."""
+    """A connection of a node to a fake backend server."""
 
     def __init__(self, node: LedgerNode, backend: FakeBackend) -> None:
         self._node = node
@@ -258,17 +258,17 @@
     async def exchange(self, work: Work, sub_request: SubRequest) -> SubReply:
         """Send a sub-request; see ``BackendConnection``."""
         node = self._node
-        asked = WorkRequest(
+        request = WorkRequest(
             service=sub_request.service,
             request=msgspec.json.decode(sub_request.body_json),
             request_id=sub_request.sub_request_id,
             deadline_ms=sub_request.deadline_at_ms - node.clock.now_ms(),
         )
-        await node.step()  # the process may be stopped right before the bytes
+        await node.step()  # the process may be paused right before the first byte
 
         async def call() -> BackendReply:
             await node.clock.sleep_ms(node.simulation.delay_ms())
-            return await self._backend.perform(asked)
+            return await self._backend.perform(request)
 
         try:
             reply = await node.simulation.run_detached(call)
@@ -289,18 +289,18 @@
         return True
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
 
 
 class LedgerSimulation:
-    """The platform, the backend servers, the peers and the entry instances.
+    """A simulated platform, backend servers, peers and entry instances.
 
     Parameters
     ----------
     nursery : trio.Nursery
-        Where everything runs.
+        Runs all tasks.
     seed : int
-        Decides every delay and every fault of a fraction.
+        Seed of all random delays and faults.
     instances : int
         How many entry instances run.
     """
@@ -334,12 +334,12 @@
         return self.random.choices(_DELAYS_MS, _DELAY_WEIGHTS)[0]
 
     def next_process_name(self) -> str:
-        """Return a name for one more process."""
+        """Return an unused process name."""
         self._processes += 1
         return f"process-{self._processes}"
 
     def restart(self, number: int) -> None:
-        """Kill an instance and start another process of its name."""
+        """Kill an instance and start a new process of the same name."""
         old = self.nodes[number]
         old.kill()
         node = self._start(old.name)
@@ -364,13 +364,13 @@
         return copy
 
     def disconnect(self, copy: CopyAnswer) -> None:
-        """Let the caller of a copy go away."""
+        """Disconnect the caller of a copy."""
         scope = self._scopes.get(copy.copy)
         if scope is not None:
             scope.cancel()
 
     async def run_detached(self, call: Callable[[], Awaitable[_Returned]]) -> _Returned:
-        """Make a call that lands even if its caller is killed meanwhile."""
+        """Make a call that completes even if its caller is killed meanwhile."""
         done = trio.Event()
         returned: list[_Returned] = []
         failed: list[Exception] = []
@@ -427,7 +427,7 @@
 
 @functools.cache
 def first_bucket_key(number: int, *, wall_ms: float) -> str:
-    """Return one of the keys whose object is the first bucket of its slot."""
+    """Return a key that belongs to the first bucket of its slot."""
     random_bits = random.Random(number)
     while True:
         key = make_key(wall_ms=wall_ms, random_bits=random_bits.getrandbits(74))
--- a/ibisfront/tests/test_idempotency_key.py
+++ b/ibisfront/tests/test_idempotency_key.py
@@ -17,14 +17,14 @@
 
 
 class IdempotencyKeyTest(unittest.TestCase):
-    """Keys are UUIDs of version 7 within a window of time."""
+    """Keys are UUIDs of version 7 within a time window."""
 
-    def test_a_made_key_gives_back_its_time(self):
+    def test_a_parsed_key_has_the_timestamp_it_was_made_with(self):
         key = parse_key(make_key(wall_ms=WALL_MS, random_bits=(1 << 74) - 1).upper())
         self.assertEqual(key.time_ms, WALL_MS)
         self.assertEqual(key.text, key.text.lower())
 
-    def test_other_texts_are_refused(self):
+    def test_other_texts_are_rejected(self):
         texts = (
             "",
             "order-17",
@@ -37,7 +37,7 @@
                 parse_key(text)
             self.assertEqual(caught.exception.kind, ErrorKind.KEY_INVALID)
 
-    def test_the_window_has_two_ends(self):
+    def test_a_key_outside_the_time_window_is_rejected(self):
         key = parse_key(make_key(wall_ms=WALL_MS, random_bits=7))
         check_key_time(key, wall_ms=WALL_MS + KEY_LIFETIME_MS)
         check_key_time(key, wall_ms=WALL_MS - MAXIMUM_KEY_SKEW_MS)
@@ -46,11 +46,11 @@
         self.assertEqual(caught.exception.kind, ErrorKind.KEY_INVALID)
 
     def test_an_expired_key_is_never_called_not_run(self):
-        """A caller who trusts "not run" of an expired key prints twice.
+        """A caller that gets "not run" for an expired key prints twice.
 
-        It was told "maybe", sends the same key again two hours later, reads
-        "not run" and sends the work under a new key: two envelopes. The
-        ledger has forgotten that the first copy ran.
+        After a "maybe" it sends the same key again two hours later, gets "not
+        run" and sends the work under a new key: two envelopes. The ledger no
+        longer stores that the first copy ran.
         """
         key = parse_key(make_key(wall_ms=WALL_MS, random_bits=7))
         with self.assertRaises(IbisfrontError) as caught:
--- a/ibisfront/tests/test_ledger.py
+++ b/ibisfront/tests/test_ledger.py
@@ -55,7 +55,7 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """Claims, copies and refusals."""
+    """Claims, copies of requests and rejections."""
 
     @simulation_test
     async def test_one_write_claims_all_that_arrived_meanwhile(self, simulation):
@@ -64,8 +64,8 @@
             key = first_bucket_key(number, wall_ms=WALL_START_MS)
             simulation.send_copy(0, key, deadline_ms=PLENTY_MS)
         await simulation.clock.sleep_ms(PLENTY_MS)
-        told = {copy.ran for copy in simulation.copies}
-        self.assertEqual(told, {Ran.YES})
+        ran = {copy.ran for copy in simulation.copies}
+        self.assertEqual(ran, {Ran.YES})
         self.assertLess(simulation.platform.state().writes.total, 20)
 
     @simulation_test
@@ -94,10 +94,10 @@
 
     @simulation_test
     async def test_an_outage_is_answered_at_once(self, simulation):
-        """Every request of a cut-off zone waits for its whole deadline.
+        """Every request of a partitioned zone waits for its whole deadline.
 
-        The platform is out, so that no claim can be written. Each caller
-        waits seconds for a refusal that could have been given at once.
+        The platform is unavailable, so that no claim can be written. Each
+        caller waits seconds for an error that could have been sent at once.
         """
         simulation.platform.set_faults(PlatformFaults(outage=Outage.REFUSE))
         simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
@@ -112,7 +112,7 @@
         self.assertEqual(copy.ran, Ran.YES)
 
     @simulation_test
-    async def test_a_caller_that_goes_away_before_the_send_runs_nothing(
+    async def test_a_request_is_not_run_if_its_caller_disconnects_before_the_send(
         self, simulation
     ):
         simulation.connect_ms = 300.0
@@ -127,7 +127,7 @@
         self.assertEqual(second.ran, Ran.YES)
 
     @simulation_test
-    async def test_a_caller_that_goes_away_after_the_send_leaves_the_answer(
+    async def test_an_outcome_is_kept_if_its_caller_disconnects_after_the_send(
         self, simulation
     ):
         for backend in simulation.backends.values():
@@ -144,7 +144,7 @@
         self.assertEqual(simulation.runs_of_key(KEY), 1)
 
     @simulation_test
-    async def test_what_every_server_refused_may_run_later(self, simulation):
+    async def test_a_request_rejected_by_every_server_may_run_later(self, simulation):
         for backend in simulation.backends.values():
             backend.set_faults(BackendFaults(shedding=True))
         first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
@@ -158,11 +158,13 @@
         self.assertEqual(simulation.runs_of_copy(first), 0)
 
     @simulation_test
-    async def test_a_server_error_is_yes_only_if_the_server_said_so(self, simulation):
-        """A caller is told "ran and failed" of an envelope that never was.
+    async def test_a_server_error_is_yes_only_if_the_server_reported_it(
+        self, simulation
+    ):
+        """A caller gets "ran and failed" for an envelope that was not printed.
 
-        Something in front of the print queue answers 502 in its place. Only
-        the 500 of the server itself says that it ran the request.
+        An intermediary in front of the print queue answers 502 in its place.
+        Only the 500 of the server itself states that it ran the request.
         """
         for backend in simulation.backends.values():
             backend.set_faults(BackendFaults(fail_fraction=1.0))
@@ -189,7 +191,7 @@
         """An envelope is printed twice after an instance was replaced.
 
         The instance was killed after its claim, perhaps after its send. The
-        process that took its name answers for it, and knows of no such send.
+        new process of that name answers for it and has no record of the send.
         """
         simulation.connect_ms = 450.0
         simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
@@ -206,10 +208,10 @@
 
     @simulation_test
     async def test_the_status_of_an_unknown_key_is_no_promise(self, simulation):
-        """A status of "not run" is followed by the envelope.
+        """An envelope is printed after a status of "not run".
 
-        A caller gave up and asks for the status of its key. The copy that it
-        sent is still on its way to another instance and runs a moment later.
+        A caller gave up and requests the status of its key. The copy that it
+        sent is still in transit to another instance and runs a moment later.
         """
         with self.assertRaises(IbisfrontError) as caught:
             await simulation.nodes[0].ledger.outcome(KEY)
@@ -217,14 +219,15 @@
         copy = simulation.send_copy(1, KEY, deadline_ms=PLENTY_MS)
         await simulation.clock.sleep_ms(PLENTY_MS)
         self.assertEqual(copy.ran, Ran.YES)
-        told = await simulation.nodes[2].ledger.outcome(KEY)
-        self.assertEqual(bytes(told.result_json).decode(), copy.result)
+        answer = await simulation.nodes[2].ledger.outcome(KEY)
+        self.assertEqual(bytes(answer.result_json).decode(), copy.result)
 
     @simulation_test
     async def test_a_leaving_instance_writes_its_outcomes_first(self, simulation):
-        """After a planned stop a request that ran is told as "maybe".
+        """After a planned stop a request that ran is reported as "maybe".
 
-        Its outcome waited for a claim to ride with when the instance left.
+        Its outcome was still waiting for a claim to share a write with when
+        the instance left.
         """
         first = simulation.send_copy(0, KEY, deadline_ms=PLENTY_MS)
         while first.ran is None:
@@ -236,12 +239,12 @@
         self.assertEqual((second.ran, second.result), (Ran.YES, first.result))
 
     @simulation_test
-    async def test_a_repeated_claim_meets_the_gap_before_a_write(self, simulation):
+    async def test_a_repeated_claim_during_the_delay_before_a_write(self, simulation):
         """An instance ends with AttributeError under contention.
 
-        Two instances conflict on an object, so that writes wait for a gap. In
-        the gap a second copy asks for a fresh read, which dropped the copy of
-        the object that the waiting write was about to use.
+        Two instances conflict on an object, so that writes are delayed. During
+        the delay a second copy requests a fresh read, which drops the view of
+        the object that the delayed write was about to use.
         """
         for number in range(12):
             key = first_bucket_key(number % 4, wall_ms=WALL_START_MS)
@@ -267,11 +270,11 @@
             lambda: False,
         )
 
-    def test_an_older_key_is_refused_in_the_write_that_clears_its_slot(self):
+    def test_an_older_key_is_rejected_in_the_write_that_clears_its_slot(self):
         """Two keys a whole ring apart are claimed in one write.
 
-        The older one is told that its claim is in force, yet the newer one
-        cleared its slot in the same write; its next copy runs again.
+        The claim of the older one is reported as in force, although the newer
+        one cleared its slot in the same write; its next copy runs again.
         """
         older, newer = self.attempt(5, 1), self.attempt(5 + RING_SLOTS, 2)
         changes = [self.claim(older), self.claim(newer)]
@@ -282,7 +285,7 @@
         self.assertTrue(again.results[0].expired)
         self.assertIsNone(again.value_json)
 
-    def test_a_full_object_takes_outcomes_but_no_claims(self):
+    def test_a_full_object_accepts_outcomes_but_no_claims(self):
         known, new = self.attempt(5, 1), self.attempt(5, 2)
         bucket = Bucket(5, {known.key.text: known.claim_record()})
         ran = known.claim_record(ClaimState.RAN)
@@ -297,7 +300,7 @@
         large = plan_changes(bucket, [outcome], size_bytes=OBJECT_RESULT_LIMIT_BYTES)
         self.assertIsNone(large.bucket.records[known.key.text].result_json)
 
-    def test_a_record_comes_back_as_it_was_written(self):
+    def test_a_record_is_unchanged_by_a_round_trip(self):
         record = ClaimRecord(
             "f", AttemptId("i1", "p1", 1), ClaimState.RAN, "", '{"a":["ð"]}'
         )
--- a/ibisfront/tests/test_ledger_processes.py
+++ b/ibisfront/tests/test_ledger_processes.py
@@ -1,4 +1,4 @@
-"""Tests of at-most-once with real processes; envelopes are counted."""
+"""Tests of at-most-once execution with real processes, by runs of each key."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     ran: Ran
 
 
-class _Told(msgspec.Struct):
-    """What the caller of one copy was told; nothing if it gave up."""
+class _CopyAnswer(msgspec.Struct):
+    """The answer to one copy; without ``ran`` if its caller gave up."""
 
     copy: str
     key: str
@@ -45,12 +45,12 @@
 
 
 def new_key() -> str:
-    """Return a key of now."""
+    """Return a key with the current time."""
     return make_key(wall_ms=time.time() * 1000.0, random_bits=secrets.randbits(74))
 
 
-async def printed(deployment: Deployment) -> list[PerformRun]:
-    """Return every run at the print queue's servers."""
+async def performed_runs(deployment: Deployment) -> list[PerformRun]:
+    """Return all runs at the print queue's servers."""
     runs: list[PerformRun] = []
     for server in deployment.backend_servers["print-queue"]:
         runs += await deployment.performed(server.name)
@@ -70,11 +70,11 @@
                 )
                 for instance in deployment.instances
             ]
-            runs = await printed(deployment)
+            runs = await performed_runs(deployment)
             reused = await deployment.perform(
                 deployment.instances[1], "vestry", "print-envelopes", {"n": 2}, key=key
             )
-            told = await deployment.client.send(
+            outcome = await deployment.client.send(
                 "GET", deployment.instances[0].url(f"/v1/requests/{key}")
             )
         for reply in replies:
@@ -84,16 +84,18 @@
         self.assertEqual(answers[0].result_json, answers[1].result_json)
         self.assertEqual([run.request for run in runs], [{"n": 1}])
         self.assertEqual(reused.status, 422)
-        self.assertEqual(told.decode(PerformAnswer).result_json, answers[0].result_json)
+        self.assertEqual(
+            outcome.decode(PerformAnswer).result_json, answers[0].result_json
+        )
 
 
 class Callers:
-    """Callers that send each request until it has an outcome."""
+    """Callers that resend each request until it has an outcome."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
         self.random = random.Random(6)
-        self.told: list[_Told] = []
+        self.answers: list[_CopyAnswer] = []
         self.stopped = False
 
     async def run(self) -> None:
@@ -108,13 +110,13 @@
                         break
 
     async def send(self, key: str) -> Ran | None:
-        """Send one copy to any instance, and note what was said."""
-        told = _Told(secrets.token_hex(8), key)
-        self.told.append(told)
+        """Send one copy to a random instance and record its answer."""
+        answer = _CopyAnswer(secrets.token_hex(8), key)
+        self.answers.append(answer)
         instance = self.random.choice(self.deployment.instances)
         headers = {
             "Idempotency-Key": key,
-            "X-Request-Id": told.copy,
+            "X-Request-Id": answer.copy,
             "X-Deadline-Ms": "800",
         }
         try:
@@ -123,32 +125,32 @@
                     "POST", instance.url(PATH), body={"key": key}, headers=headers
                 )
                 if reply.status == 200:
-                    told.ran = Ran.YES
+                    answer.ran = Ran.YES
                 else:
                     problem = reply.decode(_Problem)
-                    told.ran, told.code = problem.ran, problem.code
+                    answer.ran, answer.code = problem.ran, problem.code
         except (OSError, httpcore.NetworkError, httpcore.ProtocolError):
             pass  # the instance was killed
-        return told.ran
+        return answer.ran
 
 
 async def kill(deployment: Deployment, instance: InstanceProcess) -> InstanceProcess:
-    """Kill an instance without a word and start another in its place."""
+    """Kill an instance with SIGKILL and start another in its place."""
     instance.process.send(signal.SIGKILL)
     await instance.process.wait()
     deployment.instances.remove(instance)
     return await deployment.start_instance(instance.name, like=instance)
 
 
-async def freeze(instance: InstanceProcess, *, seconds: float) -> None:
-    """Stop an instance and let it go on."""
+async def pause(instance: InstanceProcess, *, seconds: float) -> None:
+    """Stop an instance for a time, then resume it."""
     instance.process.send(signal.SIGSTOP)
     await trio.sleep(seconds)
     instance.process.send(signal.SIGCONT)
 
 
-async def upset(deployment: Deployment) -> None:
-    """Kill and freeze instances, and let the platform fail and go out."""
+async def inject_faults(deployment: Deployment) -> None:
+    """Kill and pause instances; make the platform fail, then unavailable."""
     by_name = {instance.name: instance for instance in deployment.instances}
     for server in deployment.backend_servers["print-queue"]:
         await deployment.command_backend(
@@ -156,13 +158,13 @@
         )
     await trio.sleep(0.5)
     await kill(deployment, by_name["i1"])
-    await freeze(by_name["i2"], seconds=1.2)
+    await pause(by_name["i2"], seconds=1.2)
     await deployment.set_platform_faults(
         lose_answers_fraction=0.3, late_writes_fraction=0.2, late_write_ms=400.0
     )
     await trio.sleep(1.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(lambda: freeze(by_name["i3"], seconds=1.2))
+        nursery.start_soon(lambda: pause(by_name["i3"], seconds=1.2))
         await trio.sleep(0.4)
         await deployment.set_platform_faults(**NO_FAULTS | {"outage": "refuse"})
     await trio.sleep(0.5)
@@ -172,35 +174,35 @@
 
 
 class FaultInjectionTest(unittest.TestCase):
-    """Envelopes are counted while everything around them fails."""
+    """No duplicate runs while instances, platform and servers fail."""
 
     @trio_test_real_clock
-    async def test_kills_freezes_and_an_outage_print_no_double(self):
-        """A frozen or killed instance prints an envelope twice.
+    async def test_kills_pauses_and_an_outage_print_no_duplicate(self):
+        """A paused or killed instance causes an envelope to be printed twice.
 
         A caller gets no answer and sends its request again to another
-        instance, while the first is frozen right before its send, or was
-        killed right after it, or the platform lost the answer of its claim.
+        instance, while the first is paused right before its send, or was
+        killed right after it, or the platform lost the response to its claim.
         """
         async with Deployment(register_shape(services=1, instances=3)) as deployment:
             callers = Callers(deployment)
             async with trio.open_nursery() as nursery:
                 for _ in range(CALLERS):
                     nursery.start_soon(callers.run)
-                await upset(deployment)
+                await inject_faults(deployment)
                 callers.stopped = True
-            runs = await printed(deployment)
+            runs = await performed_runs(deployment)
         by_key = Counter(run.request["key"] for run in runs)
-        doubles = [key for key, count in by_key.items() if count > 1]
+        duplicates = [key for key, count in by_key.items() if count > 1]
         ran_copies = {run.request_id.partition(".")[0] for run in runs}
-        told_no = {told.copy for told in callers.told if told.ran is Ran.NO}
-        self.assertEqual(doubles, [])
-        self.assertEqual(told_no & ran_copies, set())
-        for told in callers.told:
-            if told.ran is Ran.YES:
-                self.assertEqual(by_key[told.key], 1, told)
-        said = Counter(told.ran for told in callers.told)
-        codes = Counter(told.code for told in callers.told)
-        counts = f"{len(by_key)} printed, told {dict(said)}, codes {dict(codes)}"
+        not_run = {item.copy for item in callers.answers if item.ran is Ran.NO}
+        self.assertEqual(duplicates, [])
+        self.assertEqual(not_run & ran_copies, set())
+        for answer in callers.answers:
+            if answer.ran is Ran.YES:
+                self.assertEqual(by_key[answer.key], 1, answer)
+        outcomes = Counter(answer.ran for answer in callers.answers)
+        codes = Counter(answer.code for answer in callers.answers)
+        counts = f"{len(by_key)} printed, answers {dict(outcomes)}, codes {dict(codes)}"
         self.assertGreater(len(by_key), 20, counts)
-        self.assertGreater(said[Ran.NO], 0, counts)
+        self.assertGreater(outcomes[Ran.NO], 0, counts)
--- a/properties/ledger_histories.py
+++ b/properties/ledger_histories.py
@@ -1,4 +1,4 @@
-"""Histories of copies, crashes, pauses, lost writes and cuts."""
+"""Histories of copies, crashes, pauses, lost writes and partitions."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 INSTANCES = 3
 KEYS = 2
 SETTLE_MS = 30_000.0
-PROBE_WAIT_MS = 15_000.0  # by then each instance has noticed that the platform serves
+PROBE_WAIT_MS = 15_000.0  # until each instance has detected that the platform answers
 MARKER = "crash"
 RING_MS = float(RING_SLOTS * SLOT_MS)
 
@@ -71,7 +71,7 @@
 
 
 class HistoryExecution:
-    """One history as it runs."""
+    """The execution of one history."""
 
     def __init__(self, nursery, seed):
         self.simulation = LedgerSimulation(nursery, seed=seed, instances=INSTANCES)
@@ -80,12 +80,12 @@
         ]
 
     def new_key(self, after_ms):
-        """Return a key of the first bucket that no step has used yet."""
+        """Return an unused key of the first bucket."""
         wall_ms = WALL_START_MS + after_ms
         return first_bucket_key(len(self.simulation.copies) + KEYS, wall_ms=wall_ms)
 
-    def later(self, wait_ms, undo):
-        """Call a function after a while."""
+    def call_later(self, wait_ms, undo):
+        """Call a function after a delay."""
 
         async def run():
             await self.simulation.clock.sleep_ms(wait_ms)
@@ -105,7 +105,7 @@
         return simulation.send_copy(0, key, deadline_ms=5_000.0)
 
     def clear_faults(self):
-        """End every fault."""
+        """Clear all faults."""
         simulation = self.simulation
         simulation.network.mend()
         simulation.refused_connections_fraction = 0.0
@@ -118,7 +118,7 @@
             node.resume()
 
     def check(self):
-        """Check that the history broke no promise."""
+        """Check the at-most-once guarantee and the reported outcomes."""
         simulation = self.simulation
         for key in {copy.key for copy in simulation.copies}:
             runs = simulation.runs_of_key(key)
@@ -131,7 +131,7 @@
 
 
 def run_history(seed, steps):
-    """Run the steps of a history, heal all, send each key again, and check."""
+    """Run a history, clear all faults, send each key again, and check."""
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -147,7 +147,7 @@
             last = execution.send_new()
             await execution.simulation.clock.sleep_ms(SETTLE_MS)
             execution.check()
-            assert last.ran is Ran.YES, f"{last} did not run with all faults healed"
+            assert last.ran is Ran.YES, f"{last} did not run with all faults cleared"
             nursery.cancel_scope.cancel()
 
     _make_scheduling_repeatable(seed)
@@ -155,10 +155,10 @@
 
 
 def _make_scheduling_repeatable(seed):
-    """Let trio pick the same order of tasks in each run of a seed.
+    """Make trio schedule tasks in the same order in each run of a seed.
 
-    Trio shuffles the tasks that are ready, from its own source of random
-    numbers; without this a failing history could not be run again.
+    Trio shuffles the runnable tasks with its own random number generator;
+    without this a failing history could not be reproduced.
     """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(seed)
@@ -185,7 +185,7 @@
 
 
 class CopyRules:
-    """Callers send copies, and may go away."""
+    """Callers send copies, and may disconnect."""
 
     @rule(
         instance=_instances,
@@ -246,20 +246,22 @@
         def step(execution):
             node = execution.simulation.nodes[instance]
             node.pause()
-            execution.later(duration_ms, node.resume)
+            execution.call_later(duration_ms, node.resume)
 
         self.add(step)
 
 
 class PartitionRules:
-    """Instances are cut off from the platform and from each other."""
+    """Instances are partitioned from the platform and from each other."""
 
     @rule(instance=_instances, duration_ms=_durations_ms)
     def partition_platform(self, instance, duration_ms):
         def step(execution):
             node = execution.simulation.nodes[instance]
             node.is_cut_off = True
-            execution.later(duration_ms, lambda: setattr(node, "is_cut_off", False))
+            execution.call_later(
+                duration_ms, lambda: setattr(node, "is_cut_off", False)
+            )
 
         self.add(step)
 
@@ -268,33 +270,35 @@
         def step(execution):
             for other in range(INSTANCES):
                 execution.simulation.network.cut(f"i{instance + 1}", f"i{other + 1}")
-            execution.later(duration_ms, execution.simulation.network.mend)
+            execution.call_later(duration_ms, execution.simulation.network.mend)
 
         self.add(step)
 
 
 class PlatformRules:
-    """The platform loses calls, answers late, or is out."""
+    """The platform loses calls, answers late, or is unavailable."""
 
     @rule(fault=st.sampled_from(sorted(_PLATFORM_FAULTS)), duration_ms=_durations_ms)
     def platform_fault(self, fault, duration_ms):
         def step(execution):
             platform = execution.simulation.platform
             platform.set_faults(_PLATFORM_FAULTS[fault])
-            execution.later(duration_ms, lambda: platform.set_faults(PlatformFaults()))
+            execution.call_later(
+                duration_ms, lambda: platform.set_faults(PlatformFaults())
+            )
 
         self.add(step)
 
 
 class BackendRules:
-    """Backend servers refuse, fail, crash and lose answers."""
+    """Backend servers reject, fail, crash and lose replies."""
 
     @rule(fault=st.sampled_from(sorted(_BACKEND_FAULTS)), duration_ms=_durations_ms)
     def backend_fault(self, fault, duration_ms):
         def step(execution):
             for backend in execution.simulation.backends.values():
                 backend.set_faults(_BACKEND_FAULTS[fault])
-                execution.later(
+                execution.call_later(
                     duration_ms, lambda item=backend: item.set_faults(BackendFaults())
                 )
 
@@ -305,7 +309,7 @@
         connect_ms=st.sampled_from([0.0, 20.0, 80.0, 450.0]),
     )
     def connections(self, fraction, connect_ms):
-        """Let connections be refused, or take long to open."""
+        """Make connections be refused, or open slowly."""
 
         def step(execution):
             execution.simulation.refused_connections_fraction = fraction
@@ -315,13 +319,13 @@
 
 
 class ClockRules:
-    """The ledger's ring comes round, and clocks differ."""
+    """The ledger's ring wraps around, and clocks differ."""
 
     @rule(instance=_instances, slow=_instances, key=_keys)
     def ring_wraps_around(self, instance, slow, key):
-        """Let the ledger's ring come round; one instance's clock is slow.
+        """Wrap the ledger's ring around while one instance's clock is behind.
 
-        The slow instance still accepts an old key.
+        That instance still accepts an old key.
         """
 
         def step(execution):
@@ -347,4 +351,4 @@
     ClockRules,
     History,
 ):
-    """Every rule together."""
+    """All rules together."""
--- a/properties/ledger_variants.py
+++ b/properties/ledger_variants.py
@@ -1,4 +1,4 @@
-"""Broken variants of the ledger; the state machine must find each fault."""
+"""Faulty variants of the ledger; the state machine must detect each fault."""
 
 from __future__ import annotations
 
@@ -42,44 +42,44 @@
 
 
 def treat_lost_write_as_failed():
-    """Tell others that a claim failed when only the write's answer was lost."""
+    """Report a claim as failed when only the response to its write was lost."""
     lost = set()
     record_failure = LedgerWriter._record_failure
     attempt_status = ledger_messages.attempt_status
 
-    def note(self, queue, error):
+    def record(self, queue, error):
         if error.kind is ErrorKind.WRITE_UNKNOWN:
             lost.update(change.key.text for change in queue.pending)
         record_failure(self, queue, error)
 
-    def answer(attempt):
+    def report_status(attempt):
         is_open = attempt is not None and attempt.state is AttemptState.OPEN
         if is_open and attempt.key.text in lost:
             return AttemptStatusReply(AttemptState.DROPPED)
         return attempt_status(attempt)
 
     return _patches(
-        patch.object(LedgerWriter, "_record_failure", note),
-        patch.object(claimer, "attempt_status", answer),
+        patch.object(LedgerWriter, "_record_failure", record),
+        patch.object(claimer, "attempt_status", report_status),
     )
 
 
 def treat_lost_write_as_done():
-    """Send when the claim's write has no answer."""
+    """Send although the write of the claim had no response."""
     record_failure = LedgerWriter._record_failure
 
-    def note(self, queue, error):
+    def record(self, queue, error):
         record_failure(self, queue, error)
         if error.kind is ErrorKind.WRITE_UNKNOWN:
             pending, queue.pending = queue.pending, []
             for change in pending:
                 change.resolve(ChangeResult(change.update(None)))
 
-    return patch.object(LedgerWriter, "_record_failure", note)
+    return patch.object(LedgerWriter, "_record_failure", record)
 
 
 def recreate_after_expiry():
-    """Take a key older than the object's slot for a new one."""
+    """Treat a key older than the object's slot as a new one."""
 
     def apply(bucket, change, size_bytes):
         updated = change.update(bucket.records.get(change.key.text))
@@ -90,22 +90,22 @@
     return patch.object(ledger_bucket, "_apply", apply)
 
 
-def send_after_refusal():
-    """Refuse a copy whose claim is slow, and let the claim go on."""
+def send_after_rejection():
+    """Reject a copy whose claim is slow, and let the claim proceed."""
     claim_and_run = ledger.Ledger._claim_and_run
 
     async def refuse_when_slow(self, attempt, request, purpose):
         answers = []
         ended = trio.Event()
 
-        async def go_on():
+        async def proceed():
             try:
                 answers.append(await claim_and_run(self, attempt, request, purpose))
             except IbisfrontError as error:
                 answers.append(error)
             ended.set()
 
-        self._nursery.start_soon(go_on)
+        self._nursery.start_soon(proceed)
         left_ms = attempt.deadline_at_ms - self._clock.now_ms()
         with self._clock.timeout_ms(left_ms / 2):
             await ended.wait()
@@ -123,7 +123,7 @@
 
 
 def send_late():
-    """Send after the deadline, with the budget that was left before it."""
+    """Send after the deadline, and give the server an unlimited one."""
     exchange = ledger_simulation.FakeConnection.exchange
 
     def start_send(self, *, now_ms):
@@ -144,16 +144,16 @@
     """Try another server when the connection breaks after the send."""
     try_servers = claimed_run._try_servers
 
-    async def try_again(run, send_once):
-        async def run_once_or_again(asked):
+    async def retry(run, send_once):
+        async def send_once_with_retry(claimed):
             try:
-                return await send_once(asked)
+                return await send_once(claimed)
             except SubRequestError as error:
                 raise SubRequestError(error.reason, not_run=True) from error
 
-        return await try_servers(run, run_once_or_again)
+        return await try_servers(run, send_once_with_retry)
 
-    return patch.object(claimed_run, "_try_servers", try_again)
+    return patch.object(claimed_run, "_try_servers", retry)
 
 
 def take_over_from_unresponsive():
@@ -166,7 +166,7 @@
 
 
 def ignore_process_name():
-    """Let a restarted instance speak for the process before it."""
+    """Let a restarted instance answer for its previous process."""
 
     def init(self, *, instance, process):
         original(self, instance=instance, process="")
@@ -176,7 +176,7 @@
 
 
 def write_without_condition():
-    """Replace whatever version of the object is there."""
+    """Replace any version of the object."""
     write_batch = LedgerWriter._write_batch
 
     class Unconditional:
@@ -207,9 +207,9 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """A broken variant, and the rules that can bring its fault out.
+    """A faulty variant, and the rules that can reveal its fault.
 
-    The other rules only make the search longer; the whole machine has them.
+    Other rules would only lengthen the search; the complete machine has them.
     """
 
     inject: Callable[[], AbstractContextManager[object]]
@@ -226,7 +226,7 @@
     Variant(treat_lost_write_as_failed, (PlatformRules,)),
     Variant(treat_lost_write_as_done, (PlatformRules,)),
     Variant(recreate_after_expiry, (ClockRules,)),
-    Variant(send_after_refusal, ()),
+    Variant(send_after_rejection, ()),
     Variant(retry_on_reset, (BackendRules,)),
     Variant(take_over_from_unresponsive, (PartitionRules,)),
     Variant(ignore_process_name, (ProcessRules,)),
--- a/properties/test_ledger_machine.py
+++ b/properties/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""At most once, over thousands of histories of the real code."""
+"""At-most-once execution over thousands of histories of the real code."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def machine_settings(*, histories, shrink=True):
-    """Return settings under which a run is the same each time."""
+    """Return settings that make runs reproducible."""
     phases = [Phase.generate, Phase.shrink] if shrink else [Phase.generate]
     return settings(
         max_examples=histories,
@@ -32,7 +32,7 @@
 
 
 class LedgerMachineTest(unittest.TestCase):
-    """No history runs a key twice or falsifies a "not run"."""
+    """No history runs a key twice or makes a "not run" false."""
 
     def setUp(self):
         logging.disable(logging.WARNING)
@@ -50,7 +50,7 @@
 
 
 def _found_fault(variant):
-    """Return what the machine found in a variant; empty if nothing."""
+    """Return the errors found in a variant; empty if there are none."""
     quick = machine_settings(histories=VARIANT_HISTORIES, shrink=False)
     try:
         with variant.inject():
