--- a/ibisfront/core/claimed_run.py
+++ b/ibisfront/core/claimed_run.py
@@ -85,7 +85,7 @@
 """Sends a claimed request to one backend server, once.
 
 Calls ``start_send`` with no ``await`` before the first byte, and adds the
-server to ``tried``. Raises ``SubRequestError``; its ``not_run`` says whether
+server to ``tried``. Raises ``SubRequestError``; its ``not_run`` states whether
 it is certain that the server did not run the request.
 """
 
--- a/ibisfront/core/ledger.py
+++ b/ibisfront/core/ledger.py
@@ -83,7 +83,7 @@
         "_nursery",
         "_platform",
         "_process",
-        "_run_once",
+        "_send_once",
     )
 
     def __init__(
@@ -97,7 +97,7 @@
     ) -> None:
         self._process = process or secrets.token_hex(_PROCESS_NAME_BYTES)
         self._attempts = AttemptRegistry(instance=instance, process=self._process)
-        self._run_once = send_once
+        self._send_once = send_once
         self._clock = clock
         self._counters = counters
         self._platform: ConditionalPlatform | None = None
@@ -228,7 +228,7 @@
         outcome.
         """
         attempt = run.attempt
-        outcome = await run_claimed(run, self._run_once, self._clock)
+        outcome = await run_claimed(run, self._send_once, self._clock)
         attempt.settle(outcome)
         self._counters.add(CounterKind.CLAIMS, f"ended_{outcome.state.value}")
         if attempt.outcome is not None:
--- a/ibisfront/tests/test_ledger.py
+++ b/ibisfront/tests/test_ledger.py
@@ -286,19 +286,19 @@
         self.assertIsNone(again.value_json)
 
     def test_a_full_object_accepts_outcomes_but_no_claims(self):
-        known, new = self.attempt(5, 1), self.attempt(5, 2)
-        bucket = Bucket(5, {known.key.text: known.claim_record()})
-        ran = known.claim_record(ClaimState.RAN)
+        existing, new = self.attempt(5, 1), self.attempt(5, 2)
+        bucket = Bucket(5, {existing.key.text: existing.claim_record()})
+        ran = existing.claim_record(ClaimState.RAN)
         ran = msgspec.structs.replace(ran, result_json="1")
         outcome = Change(
-            known.key, lambda found: ran, lambda result: None, lambda: False
+            existing.key, lambda found: ran, lambda result: None, lambda: False
         )
         changes = [self.claim(new), outcome]
         full = plan_changes(bucket, changes, size_bytes=OBJECT_CLAIM_LIMIT_BYTES)
         self.assertTrue(full.results[0].full)
-        self.assertEqual(full.bucket.records[known.key.text].state, ClaimState.RAN)
+        self.assertEqual(full.bucket.records[existing.key.text].state, ClaimState.RAN)
         large = plan_changes(bucket, [outcome], size_bytes=OBJECT_RESULT_LIMIT_BYTES)
-        self.assertIsNone(large.bucket.records[known.key.text].result_json)
+        self.assertIsNone(large.bucket.records[existing.key.text].result_json)
 
     def test_a_record_is_unchanged_by_a_round_trip(self):
         record = ClaimRecord(
