--- a/ibisfront/core/idempotency_key.py
+++ b/ibisfront/core/idempotency_key.py
@@ -75,7 +75,7 @@
     Raises
     ------
     IbisfrontError
-        ``key_expired_error`` or ``key_invalid``.
+        ``key_expired`` or ``key_invalid``.
     """
     if key.time_ms > wall_ms + MAXIMUM_KEY_SKEW_MS:
         raise IbisfrontError(
