--- a/properties/ledger_histories.py
+++ b/properties/ledger_histories.py
@@ -1,4 +1,4 @@
-"""Histories of copies, crashes, pauses, lost writes and cuts."""
+"""Histories of copies, crashes, pauses, lost writes and partitions."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from ibisfront.core.errors import Ran
 from ibisfront.core.ledger_bucket import RING_SLOTS, SLOT_MS
 from ibisfront.testing.backend_types import BackendFaults, CrashPoint
-from ibisfront.testing.ledger_world import (
+from ibisfront.testing.ledger_simulation import (
     WALL_START_MS,
-    LedgerWorld,
-    key_of_first_bucket,
+    LedgerSimulation,
+    first_bucket_key,
 )
 from ibisfront.testing.platform_types import Outage, PlatformFaults
 
@@ -23,9 +23,9 @@
     "BackendRules",
     "ClockRules",
     "CopyRules",
-    "CutRules",
     "History",
     "LedgerHistory",
+    "PartitionRules",
     "PlatformRules",
     "ProcessRules",
     "run_history",
@@ -33,8 +33,8 @@
 
 INSTANCES = 3
 KEYS = 2
-QUIET_MS = 30_000.0
-PROBED_MS = 15_000.0  # by then each instance has noticed that the platform serves
+SETTLE_MS = 30_000.0
+PROBE_WAIT_MS = 15_000.0  # until each instance has detected that the platform answers
 MARKER = "crash"
 RING_MS = float(RING_SLOTS * SLOT_MS)
 
@@ -62,92 +62,92 @@
     ),
 }
 
-Step = Callable[["Scene"], None]
+Step = Callable[["HistoryExecution"], None]
 
 _instances = st.integers(0, INSTANCES - 1)
 _keys = st.integers(0, KEYS - 1)
 _deadlines_ms = st.sampled_from([8.0, 25.0, 80.0, 400.0, 2_000.0, 8_000.0])
-_whiles_ms = st.sampled_from([20.0, 200.0, 3_000.0, 20_000.0])
+_durations_ms = st.sampled_from([20.0, 200.0, 3_000.0, 20_000.0])
 
 
-class Scene:
-    """One history as it runs."""
+class HistoryExecution:
+    """The execution of one history."""
 
     def __init__(self, nursery, seed):
-        self.world = LedgerWorld(nursery, seed=seed, instances=INSTANCES)
+        self.simulation = LedgerSimulation(nursery, seed=seed, instances=INSTANCES)
         self.keys = [
-            key_of_first_bucket(number, wall_ms=WALL_START_MS) for number in range(KEYS)
+            first_bucket_key(number, wall_ms=WALL_START_MS) for number in range(KEYS)
         ]
 
     def new_key(self, after_ms):
-        """Return a key of the first bucket that no step has used yet."""
+        """Return an unused key of the first bucket."""
         wall_ms = WALL_START_MS + after_ms
-        return key_of_first_bucket(len(self.world.copies) + KEYS, wall_ms=wall_ms)
+        return first_bucket_key(len(self.simulation.copies) + KEYS, wall_ms=wall_ms)
 
-    def later(self, wait_ms, undo):
-        """Call a function after a while."""
+    def call_later(self, wait_ms, undo):
+        """Call a function after a delay."""
 
         async def run():
-            await self.world.clock.sleep_ms(wait_ms)
+            await self.simulation.clock.sleep_ms(wait_ms)
             undo()
 
-        self.world.nursery.start_soon(run)
+        self.simulation.nursery.start_soon(run)
 
     def send(self, instance, key, *, deadline_ms, body=None):
         """Send a copy."""
-        self.world.send_copy(instance, key, deadline_ms=deadline_ms, body=body)
+        self.simulation.send_copy(instance, key, deadline_ms=deadline_ms, body=body)
 
     def send_new(self):
         """Send the first copy of a new key to the first instance."""
-        world = self.world
-        world.nodes[0].skew_ms = 0.0
-        key = self.new_key(world.clock.now_ms() - world.start_ms)
-        return world.send_copy(0, key, deadline_ms=5_000.0)
-
-    def heal(self):
-        """End every fault."""
-        world = self.world
-        world.network.mend()
-        world.refused_connections_fraction = 0.0
-        world.connect_ms = 0.0
-        world.platform.set_faults(PlatformFaults())
-        for backend in world.backends.values():
+        simulation = self.simulation
+        simulation.nodes[0].skew_ms = 0.0
+        key = self.new_key(simulation.clock.now_ms() - simulation.start_ms)
+        return simulation.send_copy(0, key, deadline_ms=5_000.0)
+
+    def clear_faults(self):
+        """Clear all faults."""
+        simulation = self.simulation
+        simulation.network.mend()
+        simulation.refused_connections_fraction = 0.0
+        simulation.connect_ms = 0.0
+        simulation.platform.set_faults(PlatformFaults())
+        for backend in simulation.backends.values():
             backend.set_faults(BackendFaults())
-        for node in world.nodes:
+        for node in simulation.nodes:
             node.is_cut_off = False
             node.resume()
 
     def check(self):
-        """Check that the history broke no promise."""
-        world = self.world
-        for key in {copy.key for copy in world.copies}:
-            runs = world.runs_of_key(key)
+        """Check the at-most-once guarantee and the reported outcomes."""
+        simulation = self.simulation
+        for key in {copy.key for copy in simulation.copies}:
+            runs = simulation.runs_of_key(key)
             assert runs <= 1, f"{key} ran {runs} times"
-        for copy in world.copies:
+        for copy in simulation.copies:
             if copy.ran is Ran.NO:
-                assert world.runs_of_copy(copy) == 0, f"{copy} ran after all"
+                assert simulation.runs_of_copy(copy) == 0, f"{copy} ran after all"
             if copy.ran is Ran.YES:
-                assert world.runs_of_key(copy.key) == 1, f"{copy} did not run"
+                assert simulation.runs_of_key(copy.key) == 1, f"{copy} did not run"
 
 
 def run_history(seed, steps):
-    """Run the steps of a history, heal all, send each key again, and check."""
+    """Run a history, clear all faults, send each key again, and check."""
 
     async def run():
         async with trio.open_nursery() as nursery:
-            scene = Scene(nursery, seed)
+            execution = HistoryExecution(nursery, seed)
             for wait_ms, step in steps:
-                step(scene)
-                await scene.world.clock.sleep_ms(wait_ms)
-            await scene.world.clock.sleep_ms(QUIET_MS)
-            scene.heal()
-            await scene.world.clock.sleep_ms(PROBED_MS)
-            for instance, key in enumerate([*scene.keys, scene.keys[0]]):
-                scene.send(instance, key, deadline_ms=5_000.0)
-            last = scene.send_new()
-            await scene.world.clock.sleep_ms(QUIET_MS)
-            scene.check()
-            assert last.ran is Ran.YES, f"{last} did not run with all faults healed"
+                step(execution)
+                await execution.simulation.clock.sleep_ms(wait_ms)
+            await execution.simulation.clock.sleep_ms(SETTLE_MS)
+            execution.clear_faults()
+            await execution.simulation.clock.sleep_ms(PROBE_WAIT_MS)
+            for instance, key in enumerate([*execution.keys, execution.keys[0]]):
+                execution.send(instance, key, deadline_ms=5_000.0)
+            last = execution.send_new()
+            await execution.simulation.clock.sleep_ms(SETTLE_MS)
+            execution.check()
+            assert last.ran is Ran.YES, f"{last} did not run with all faults cleared"
             nursery.cancel_scope.cancel()
 
     _make_scheduling_repeatable(seed)
@@ -155,10 +155,10 @@
 
 
 def _make_scheduling_repeatable(seed):
-    """Let trio pick the same order of tasks in each run of a seed.
+    """Make trio schedule tasks in the same order in each run of a seed.
 
-    Trio shuffles the tasks that are ready, from its own source of random
-    numbers; without this a failing history could not be run again.
+    Trio shuffles the runnable tasks with its own random number generator;
+    without this a failing history could not be reproduced.
     """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(seed)
@@ -185,7 +185,7 @@
 
 
 class CopyRules:
-    """Callers send copies, and may go away."""
+    """Callers send copies, and may disconnect."""
 
     @rule(
         instance=_instances,
@@ -195,8 +195,8 @@
     )
     def copy(self, instance, key, deadline_ms, wait_ms):
         self.add(
-            lambda scene: scene.send(
-                instance, scene.keys[key], deadline_ms=deadline_ms
+            lambda execution: execution.send(
+                instance, execution.keys[key], deadline_ms=deadline_ms
             ),
             wait_ms,
         )
@@ -212,9 +212,9 @@
 
     @rule(instance=_instances, key=_keys)
     def other_body(self, instance, key):
-        def step(scene):
-            name = scene.keys[key]
-            scene.send(
+        def step(execution):
+            name = execution.keys[key]
+            execution.send(
                 instance, name, deadline_ms=400.0, body={"key": name, "other": 1}
             )
 
@@ -222,14 +222,14 @@
 
     @rule(wait_ms=st.sampled_from([2.0, 50.0, 500.0, 5_000.0]))
     def wait(self, wait_ms):
-        self.add(lambda scene: None, wait_ms)
+        self.add(lambda execution: None, wait_ms)
 
     @rule(number=st.integers(0, 5))
     def disconnect(self, number):
-        def step(scene):
-            copies = scene.world.copies
+        def step(execution):
+            copies = execution.simulation.copies
             if number < len(copies):
-                scene.world.disconnect(copies[-1 - number])
+                execution.simulation.disconnect(copies[-1 - number])
 
         self.add(step)
 
@@ -239,63 +239,67 @@
 
     @rule(instance=_instances)
     def kill(self, instance):
-        self.add(lambda scene: scene.world.restart(instance))
+        self.add(lambda execution: execution.simulation.restart(instance))
 
-    @rule(instance=_instances, while_ms=_whiles_ms)
-    def pause(self, instance, while_ms):
-        def step(scene):
-            node = scene.world.nodes[instance]
+    @rule(instance=_instances, duration_ms=_durations_ms)
+    def pause(self, instance, duration_ms):
+        def step(execution):
+            node = execution.simulation.nodes[instance]
             node.pause()
-            scene.later(while_ms, node.resume)
+            execution.call_later(duration_ms, node.resume)
 
         self.add(step)
 
 
-class CutRules:
-    """Instances are cut off from the platform and from each other."""
+class PartitionRules:
+    """Instances are partitioned from the platform and from each other."""
 
-    @rule(instance=_instances, while_ms=_whiles_ms)
-    def cut_off_platform(self, instance, while_ms):
-        def step(scene):
-            node = scene.world.nodes[instance]
+    @rule(instance=_instances, duration_ms=_durations_ms)
+    def partition_platform(self, instance, duration_ms):
+        def step(execution):
+            node = execution.simulation.nodes[instance]
             node.is_cut_off = True
-            scene.later(while_ms, lambda: setattr(node, "is_cut_off", False))
+            execution.call_later(
+                duration_ms, lambda: setattr(node, "is_cut_off", False)
+            )
 
         self.add(step)
 
-    @rule(instance=_instances, while_ms=_whiles_ms)
-    def cut_off_peers(self, instance, while_ms):
-        def step(scene):
+    @rule(instance=_instances, duration_ms=_durations_ms)
+    def partition_peers(self, instance, duration_ms):
+        def step(execution):
             for other in range(INSTANCES):
-                scene.world.network.cut(f"i{instance + 1}", f"i{other + 1}")
-            scene.later(while_ms, scene.world.network.mend)
+                execution.simulation.network.cut(f"i{instance + 1}", f"i{other + 1}")
+            execution.call_later(duration_ms, execution.simulation.network.mend)
 
         self.add(step)
 
 
 class PlatformRules:
-    """The platform loses calls, answers late, or is out."""
+    """The platform loses calls, answers late, or is unavailable."""
 
-    @rule(fault=st.sampled_from(sorted(_PLATFORM_FAULTS)), while_ms=_whiles_ms)
-    def platform_fault(self, fault, while_ms):
-        def step(scene):
-            platform = scene.world.platform
+    @rule(fault=st.sampled_from(sorted(_PLATFORM_FAULTS)), duration_ms=_durations_ms)
+    def platform_fault(self, fault, duration_ms):
+        def step(execution):
+            platform = execution.simulation.platform
             platform.set_faults(_PLATFORM_FAULTS[fault])
-            scene.later(while_ms, lambda: platform.set_faults(PlatformFaults()))
+            execution.call_later(
+                duration_ms, lambda: platform.set_faults(PlatformFaults())
+            )
 
         self.add(step)
 
 
 class BackendRules:
-    """Backend servers refuse, fail, crash and lose answers."""
+    """Backend servers reject, fail, crash and lose replies."""
 
-    @rule(fault=st.sampled_from(sorted(_BACKEND_FAULTS)), while_ms=_whiles_ms)
-    def backend_fault(self, fault, while_ms):
-        def step(scene):
-            for backend in scene.world.backends.values():
+    @rule(fault=st.sampled_from(sorted(_BACKEND_FAULTS)), duration_ms=_durations_ms)
+    def backend_fault(self, fault, duration_ms):
+        def step(execution):
+            for backend in execution.simulation.backends.values():
                 backend.set_faults(_BACKEND_FAULTS[fault])
-                scene.later(
-                    while_ms, lambda item=backend: item.set_faults(BackendFaults())
+                execution.call_later(
+                    duration_ms, lambda item=backend: item.set_faults(BackendFaults())
                 )
 
         self.add(step)
@@ -305,35 +309,35 @@
         connect_ms=st.sampled_from([0.0, 20.0, 80.0, 450.0]),
     )
     def connections(self, fraction, connect_ms):
-        """Let connections be refused, or take long to open."""
+        """Make connections be refused, or open slowly."""
 
-        def step(scene):
-            scene.world.refused_connections_fraction = fraction
-            scene.world.connect_ms = connect_ms
+        def step(execution):
+            execution.simulation.refused_connections_fraction = fraction
+            execution.simulation.connect_ms = connect_ms
 
         self.add(step)
 
 
 class ClockRules:
-    """The ledger's ring comes round, and clocks differ."""
+    """The ledger's ring wraps around, and clocks differ."""
 
     @rule(instance=_instances, slow=_instances, key=_keys)
-    def ring_comes_round(self, instance, slow, key):
-        """Let the ledger's ring come round; one instance's clock is slow.
+    def ring_wraps_around(self, instance, slow, key):
+        """Wrap the ledger's ring around while one instance's clock is behind.
 
-        The slow instance still accepts an old key.
+        That instance still accepts an old key.
         """
 
-        def step(scene):
-            world = scene.world
-            after_ms = world.clock.now_ms() - world.start_ms
-            world.nodes[slow].skew_ms = -after_ms
+        def step(execution):
+            simulation = execution.simulation
+            after_ms = simulation.clock.now_ms() - simulation.start_ms
+            simulation.nodes[slow].skew_ms = -after_ms
             if instance != slow:
-                world.nodes[instance].skew_ms = 0.0
-                newer = scene.new_key(RING_MS)
-                scene.send(instance, newer, deadline_ms=2_000.0)
+                simulation.nodes[instance].skew_ms = 0.0
+                newer = execution.new_key(RING_MS)
+                execution.send(instance, newer, deadline_ms=2_000.0)
 
-        self.add(lambda scene: None, RING_MS)
+        self.add(lambda execution: None, RING_MS)
         self.add(step, 500.0)
         self.copy(slow, key, 2_000.0, 0.0)
 
@@ -341,10 +345,10 @@
 class LedgerHistory(
     CopyRules,
     ProcessRules,
-    CutRules,
+    PartitionRules,
     PlatformRules,
     BackendRules,
     ClockRules,
     History,
 ):
-    """Every rule together."""
+    """All rules together."""
