--- a/benchmarks/share_costs.py
+++ b/benchmarks/share_costs.py
@@ -87,7 +87,7 @@
         started_s = time.process_time()
         for number in range(instances):
             report = _report(table, number, instances, acknowledged[number])
-            grants = owner.answer(f"instance-{number:05d}", report)
+            grants = owner.handle_report(f"instance-{number:05d}", report)
             acknowledged[number] = grants.sequence
             mock_clock.jump(REPORT_MS / instances / MILLISECONDS_PER_SECOND)
         spent_s.append(time.process_time() - started_s)
--- a/ibisfront/core/admission.py
+++ b/ibisfront/core/admission.py
@@ -1,4 +1,4 @@
-"""Letting requests in, within the table's limits and the back end's."""
+"""Admission control within the table's limits and the back end's capacity."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.core.group_queue import Place
+    from ibisfront.core.group_queue import Slot
     from ibisfront.core.shares import Shares
     from ibisfront.core.table import Purpose, Row
 
@@ -27,7 +27,7 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where refusals are counted.
+        Counts refusals.
     shares : Shares
         This instance's shares of the table's limits.
     """
@@ -41,39 +41,40 @@
         self._groups: dict[str, GroupQueue] = {}
 
     @asynccontextmanager
-    async def admitted(
+    async def admit(
         self,
         row: Row,
         purpose: Purpose,
         *,
         deadline_at_ms: float,
-    ) -> AsyncIterator[Place]:
-        """Hold a place for one request while the context is open.
+    ) -> AsyncIterator[Slot]:
+        """Hold a slot for one request while the context is open.
 
         Parameters
         ----------
         row : Row
             The row that the request counts against.
         purpose : Purpose
-            Its purpose.
+            The purpose of the request.
         deadline_at_ms : float
             When the caller stops waiting.
 
         Raises
         ------
         IbisfrontError
-            ``over_limit``, ``overloaded`` or ``deadline_too_short``, at once.
+            ``over_limit``, ``overloaded`` or ``deadline_too_short``, as soon as it
+            is known that the request cannot start in time.
         """
         async with (
-            self.shares.started(row, deadline_at_ms=deadline_at_ms),
-            self.group(purpose).place(
+            self.shares.acquire(row, deadline_at_ms=deadline_at_ms),
+            self.group(purpose).acquire(
                 row, purpose, deadline_at_ms=deadline_at_ms
-            ) as place,
+            ) as slot,
         ):
-            yield place
+            yield slot
 
     def group(self, purpose: Purpose) -> GroupQueue:
-        """Return the queue of the services that a purpose uses."""
+        """Return the queue of the index or service that a purpose uses."""
         name = f"{purpose.kind}/{purpose.index or purpose.service or ''}"
         group = self._groups.get(name)
         if group is None:
--- a/ibisfront/core/fair_queue.py
+++ b/ibisfront/core/fair_queue.py
@@ -1,10 +1,10 @@
-"""A weighted fair queue: branches share by weight, urgent work first in each.
+"""Weighted fair queue over branches, with urgent rows first in each branch.
 
 Start-time fair queueing on two levels. Each branch, and each row within its
-branch, carries a virtual start tag; the smallest tag goes next, and going
-moves the tag on by one over the weight. A flow that was idle starts at the
-present virtual time, so that it gains nothing by having been idle and waits
-for at most one turn of each other flow.
+branch, carries a virtual start tag. The flow with the smallest tag is served
+next, and its tag then grows by one over its weight. A flow that was idle starts
+at the current virtual time, so it earns no credit while idle and waits for at
+most one request of each other flow.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 
 class Waiter:
-    """One request that waits for its place.
+    """One request that waits to start.
 
     Parameters
     ----------
     branch, purpose : str
-        Its row.
+        The row of the request.
     weight : float
         The row's weight.
     urgent : bool
-        Whether it goes before the others of its branch.
+        Whether it starts before the non-urgent requests of its branch.
     """
 
     __slots__ = (
@@ -61,7 +61,7 @@
         self.settled.set()
 
     def refuse(self, refusal: IbisfrontError) -> None:
-        """Answer the request at once with a refusal."""
+        """Settle the request with an error instead of starting it."""
         self.refusal = refusal
         self.settled.set()
 
@@ -76,7 +76,7 @@
         self.urgent = False
         self.start_tag = 0.0
         self.running = 0
-        self.waiting: dict[Waiter, None] = {}  # ordered, and removed from anywhere
+        self.waiting: dict[Waiter, None] = {}  # an ordered set
 
 
 class _BranchFlow:
@@ -93,20 +93,20 @@
 
     @property
     def weight(self) -> float:
-        """The sum of the weights of its rows.
+        """The sum of the weights of the rows.
 
-        A row that is idle for a moment counts too: what it does not use is
-        its branch's before it is anybody else's.
+        Idle rows count too: capacity that a row does not use goes to the other
+        rows of its branch first.
         """
         return sum(row.weight for row in self.rows.values())
 
     @property
     def urgent_waiting(self) -> int:
-        """How many urgent requests wait."""
+        """The number of urgent requests that wait."""
         return sum(len(row.waiting) for row in self.rows.values() if row.urgent)
 
     def next_row(self) -> _RowFlow:
-        """Return the row whose turn it is; at least one must have a waiter."""
+        """Return the row to serve next; at least one must have a waiter."""
         waiting = (row for row in self.rows.values() if row.waiting)
         return min(waiting, key=lambda row: (not row.urgent, row.start_tag))
 
@@ -123,7 +123,7 @@
         self.running = 0
 
     def push(self, waiter: Waiter) -> None:
-        """Add a request at the end of its row."""
+        """Append a request to its row."""
         branch = self._branches.setdefault(waiter.branch, _BranchFlow())
         row = branch.rows.setdefault(waiter.purpose, _RowFlow())
         row.weight = waiter.weight
@@ -137,66 +137,68 @@
         self.waiting += 1
 
     def remove(self, waiter: Waiter) -> None:
-        """Take out a request that still waits."""
+        """Remove a request that still waits."""
         branch = self._branches[waiter.branch]
         del branch.rows[waiter.purpose].waiting[waiter]
         branch.waiting -= 1
         self.waiting -= 1
-        self._forget_idle(waiter)
+        self._drop_if_idle(waiter)
 
-    def pop(self, may_go: Callable[[str], bool] | None = None) -> Waiter | None:
-        """Start the request whose turn it is and return it.
+    def pop(self, is_eligible: Callable[[str], bool] | None = None) -> Waiter | None:
+        """Start the next request and return it, or None if there is none.
 
         Parameters
         ----------
-        may_go : callable, optional
-            If given, only urgent requests of the branches that it accepts
-            may go.
+        is_eligible : callable, optional
+            If given, only urgent requests of the branches for which it returns
+            true are considered.
         """
         names = [
             name
             for name, flow in self._branches.items()
             if flow.waiting
-            and (may_go is None or (flow.urgent_waiting and may_go(name)))
+            and (is_eligible is None or (flow.urgent_waiting and is_eligible(name)))
         ]
         if not names:
             return None
-        return self._start(self._branches[min(names, key=self._order)])
+        return self._start(self._branches[min(names, key=self._sort_key)])
 
     def finish(self, waiter: Waiter) -> None:
-        """Note that a started request has ended."""
+        """Record that a started request has ended."""
         branch = self._branches[waiter.branch]
         branch.rows[waiter.purpose].running -= 1
         branch.running -= 1
         self.running -= 1
-        self._forget_idle(waiter)
+        self._drop_if_idle(waiter)
 
-    def is_below_share(self, branch: str, places: float) -> bool:
-        """Return whether a branch runs less than its weight gives of places."""
+    def is_below_share(self, branch: str, slots: float) -> bool:
+        """Return whether a branch runs less than its weighted share of slots."""
         flow = self._branches[branch]
-        return flow.running < places * flow.weight / self._total_weight()
+        return flow.running < slots * flow.weight / self._total_weight()
 
-    def turns_before(self, waiter: Waiter) -> float:
-        """Return about how many requests go before one that already waits."""
+    def requests_ahead(self, waiter: Waiter) -> float:
+        """Return an estimate of how many requests start before a waiting one."""
         branch = self._branches[waiter.branch]
         ahead = branch.urgent_waiting if waiter.urgent else branch.waiting
-        contenders = sum(
+        waiting_weight = sum(
             flow.weight for flow in self._branches.values() if flow.waiting
         )
-        return min(self.waiting, ahead * contenders / branch.weight)
+        return min(self.waiting, ahead * waiting_weight / branch.weight)
 
-    def longest_over_share(self, places: float) -> Waiter | None:
-        """Return the newest waiter, bulk first, of the branch most over its share.
+    def eviction_candidate(self, capacity: float) -> Waiter | None:
+        """Return the newest waiter of the branch that exceeds its share most.
+
+        Waiters of non-urgent rows are chosen first.
 
         Parameters
         ----------
-        places : float
-            How many waiters the queue takes in all.
+        capacity : float
+            How many waiters the queue admits in total.
         """
         total = self._total_weight()
 
         def excess(flow: _BranchFlow) -> float:
-            return flow.waiting - places * flow.weight / total
+            return flow.waiting - capacity * flow.weight / total
 
         branch = max(self._branches.values(), key=excess)
         if excess(branch) <= 0:
@@ -220,7 +222,7 @@
         waiter.start()
         return waiter
 
-    def _order(self, name: str) -> tuple[float, bool, str]:
+    def _sort_key(self, name: str) -> tuple[float, bool, str]:
         branch = self._branches[name]
         return branch.start_tag, not branch.urgent_waiting, name
 
@@ -231,9 +233,9 @@
             if flow.waiting or flow.running
         )
 
-    def _forget_idle(self, waiter: Waiter) -> None:
-        # Names of branches come from the table and go with its rows; a flow
-        # that is idle and owes no turn is dropped, so that memory stays bound.
+    def _drop_if_idle(self, waiter: Waiter) -> None:
+        # Branches come and go with the rows of the table. An idle flow whose start
+        # tag is not ahead of the virtual time is dropped, which bounds memory.
         branch = self._branches[waiter.branch]
         idle = not branch.waiting and not branch.running
         if idle and branch.start_tag <= self._virtual_time:
--- a/ibisfront/core/group_queue.py
+++ b/ibisfront/core/group_queue.py
@@ -1,4 +1,4 @@
-"""The places of one group of services, and the queue before them."""
+"""Execution slots of one group of services, and the queue for them."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     from ibisfront.core.counters import Counters
     from ibisfront.core.table import Purpose, Row
 
-__all__ = ["GroupQueue", "Place"]
+__all__ = ["GroupQueue", "Slot"]
 
 MAXIMUM_WAITERS = 512
-_URGENT_EXTRA_SHARE = 8
-_LEAST_RETRY_MS = 10
+_URGENT_OVERFLOW_DIVISOR = 8
+_MIN_RETRY_AFTER_MS = 10
 
 
-class Place:
-    """What an admitted request holds, to say how it went.
+class Slot:
+    """Right to run that an admitted request holds; records its outcome.
 
     Attributes
     ----------
     shed : bool
-        Set when a backend server refused part of the request's work.
+        Set by the holder when a backend server shed part of the request's work.
     """
 
     __slots__ = ("shed",)
@@ -48,11 +48,11 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where refusals are counted.
+        Counts refusals.
     maximum_waiters : int, optional
         How many requests may wait.
     limit : ConcurrencyLimit, optional
-        How many may run; an adaptive one if left out.
+        How many may run at once; an adaptive limit by default.
     """
 
     __slots__ = ("_clock", "_counters", "_maximum_waiters", "limit", "queue")
@@ -72,10 +72,10 @@
         self.queue = FairQueue()
 
     @asynccontextmanager
-    async def place(
+    async def acquire(
         self, row: Row, purpose: Purpose, *, deadline_at_ms: float
-    ) -> AsyncIterator[Place]:
-        """Hold a place while the context is open.
+    ) -> AsyncIterator[Slot]:
+        """Hold a slot while the context is open.
 
         Raises
         ------
@@ -87,18 +87,18 @@
             row.branch, row.purpose, weight=row.weight, urgent=purpose.urgent
         )
         await self._wait(waiter, deadline_at_ms)
-        place = Place()
+        slot = Slot()
         started_at_ms = self._clock.now_ms()
         running = self.queue.running
         try:
-            yield place
+            yield slot
         finally:
             now_ms = self._clock.now_ms()
             self.limit.record(
                 now_ms=now_ms,
                 duration_ms=now_ms - started_at_ms,
                 running=running,
-                shed=place.shed,
+                shed=slot.shed,
             )
             self.queue.finish(waiter)
             self._start_waiters()
@@ -108,60 +108,60 @@
         self._start_waiters()
         try:
             self._refuse_if_too_late(waiter, deadline_at_ms)
-            self._keep_bound()
+            self._enforce_queue_limit()
             remaining_ms = self._latest_start_ms(deadline_at_ms) - self._clock.now_ms()
             with self._clock.timeout_ms(remaining_ms):
                 await waiter.settled.wait()
         except BaseException:
-            # A caller that gives up here may have been started in the same
-            # step; its place must not be lost, or the limit shrinks for good.
-            self._give_up(waiter)
+            # The request may have been started in the same scheduler step in which
+            # it is cancelled. Its slot must be returned, or the limit shrinks for good.
+            self._abandon(waiter)
             raise
         if waiter.refusal is not None:
             raise waiter.refusal
         if not waiter.started:
-            self._give_up(waiter)
+            self._abandon(waiter)
             raise self._refusal(
-                ErrorKind.DEADLINE_TOO_SHORT, "no place came free in time"
+                ErrorKind.DEADLINE_TOO_SHORT, "no slot became free in time"
             )
 
     def _start_waiters(self) -> None:
         queue = self.queue
-        places = self.limit.places
-        while queue.waiting and queue.running < places and queue.pop():
+        slots = self.limit.places
+        while queue.waiting and queue.running < slots and queue.pop():
             pass
-        # A flood of bulk work fills every place. Urgent requests of a branch
-        # below its share go over the limit by a few places instead of waiting
-        # for one of them to end; a branch above its share gains nothing.
-        extra = max(1, places // _URGENT_EXTRA_SHARE)
-        while queue.waiting and queue.running < places + extra:
-            if queue.pop(lambda branch: queue.is_below_share(branch, places)) is None:
+        # Bulk work may occupy every slot. Urgent requests of a branch below its
+        # share may exceed the limit by a few slots instead of waiting for a bulk
+        # request to end; a branch above its share may not.
+        overflow = max(1, slots // _URGENT_OVERFLOW_DIVISOR)
+        while queue.waiting and queue.running < slots + overflow:
+            if queue.pop(lambda branch: queue.is_below_share(branch, slots)) is None:
                 break
 
     def _refuse_if_too_late(self, waiter: Waiter, deadline_at_ms: float) -> None:
         if waiter.started:
             return
         latest_ms = self._latest_start_ms(deadline_at_ms)
-        wait_ms = self.queue.turns_before(waiter) * self.limit.interval_ms
+        wait_ms = self.queue.requests_ahead(waiter) * self.limit.interval_ms
         if self._clock.now_ms() + wait_ms > latest_ms:
             raise self._refusal(
                 ErrorKind.DEADLINE_TOO_SHORT,
-                f"the wait is about {wait_ms:.0f} ms",
+                f"estimated wait is {wait_ms:.0f} ms",
             )
 
-    def _keep_bound(self) -> None:
+    def _enforce_queue_limit(self) -> None:
         if self.queue.waiting <= self._maximum_waiters:
             return
-        # The queue is full. Refusing the newcomer would let a flooding branch
-        # keep every other one out; the branch most over its share gives way.
-        unlucky = self.queue.longest_over_share(self._maximum_waiters)
-        if unlucky is not None:
-            self.queue.remove(unlucky)
-            unlucky.refuse(
-                self._refusal(ErrorKind.OVERLOADED, "too many requests wait")
+        # Rejecting the newest request would let one flooding branch lock out all
+        # others, so a waiter of the branch that exceeds its share most is rejected.
+        victim = self.queue.eviction_candidate(self._maximum_waiters)
+        if victim is not None:
+            self.queue.remove(victim)
+            victim.refuse(
+                self._refusal(ErrorKind.OVERLOADED, "admission queue is full")
             )
 
-    def _give_up(self, waiter: Waiter) -> None:
+    def _abandon(self, waiter: Waiter) -> None:
         if waiter.started:
             self.queue.finish(waiter)
             self._start_waiters()
@@ -175,5 +175,5 @@
         self._counters.add(CounterKind.REFUSALS, kind.value)
         drain_ms = self.queue.waiting * self.limit.interval_ms
         return IbisfrontError(
-            kind, detail, retry_after_ms=max(_LEAST_RETRY_MS, math.ceil(drain_ms))
+            kind, detail, retry_after_ms=max(_MIN_RETRY_AFTER_MS, math.ceil(drain_ms))
         )
--- a/ibisfront/core/max_min.py
+++ b/ibisfront/core/max_min.py
@@ -1,4 +1,4 @@
-"""Max-min fair division: nobody gets more while another wants and has less."""
+"""Max-min fair allocation of a capacity among claimants with given demands."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 
 
 def divide(
-    capacity: float, demands: Sequence[float], *, spare_part: float = 0.0
+    capacity: float, demands: Sequence[float], *, surplus_fraction: float = 0.0
 ) -> list[float]:
-    """Return each claimant's part of a capacity.
+    """Return the max-min fair allocation of a capacity.
 
     Parameters
     ----------
     capacity : float
-        What there is.
+        The amount to divide.
     demands : sequence of float
-        What each claimant wants.
-    spare_part : float, optional
-        How much of what is left when every demand is met is split equally, so
-        that a claimant whose demand grows has some of it at once.
+        The demand of each claimant.
+    surplus_fraction : float, optional
+        The fraction of the surplus over all demands that is split equally, so that
+        a claimant whose demand grows has spare capacity immediately.
 
     Examples
     --------
     >>> divide(10.0, [1.0, 8.0, 8.0])
     [1.0, 4.5, 4.5]
     """
-    parts = [0.0] * len(demands)
-    left = max(capacity, 0.0)
+    allocations = [0.0] * len(demands)
+    remaining = max(capacity, 0.0)
     ascending = sorted(range(len(demands)), key=demands.__getitem__)
     for served, claimant in enumerate(ascending):
-        equal_part = left / (len(demands) - served)
-        parts[claimant] = min(demands[claimant], equal_part)
-        left -= parts[claimant]
-    spare = spare_part * left / len(demands) if demands else 0.0
-    return [part + spare for part in parts]
+        equal_share = remaining / (len(demands) - served)
+        allocations[claimant] = min(demands[claimant], equal_share)
+        remaining -= allocations[claimant]
+    surplus_share = surplus_fraction * remaining / len(demands) if demands else 0.0
+    return [allocation + surplus_share for allocation in allocations]
 
 
 def divide_whole(
-    capacity: int, demands: Sequence[float], *, spare_part: float = 0.0
+    capacity: int, demands: Sequence[float], *, surplus_fraction: float = 0.0
 ) -> list[int]:
-    """Return each claimant's part of a capacity, in whole units.
+    """Return the max-min fair allocation of a capacity in whole units.
 
-    The units that rounding down leaves go one each to the first claimants
-    with an unmet demand, in the order given.
+    Units left over by rounding down go one each to the first claimants with an
+    unmet demand, in the given order.
     """
-    fair = divide(float(capacity), demands, spare_part=spare_part)
-    parts = [math.floor(part) for part in fair]
-    left = max(capacity, 0) - sum(parts)
+    fair = divide(float(capacity), demands, surplus_fraction=surplus_fraction)
+    allocations = [math.floor(allocation) for allocation in fair]
+    remaining = max(capacity, 0) - sum(allocations)
     for claimant, demand in enumerate(demands):
-        if left > 0 and parts[claimant] < demand:
-            parts[claimant] += 1
-            left -= 1
-    return parts
+        if remaining > 0 and allocations[claimant] < demand:
+            allocations[claimant] += 1
+            remaining -= 1
+    return allocations
--- a/ibisfront/core/rendezvous.py
+++ b/ibisfront/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who is responsible for a key, agreed without talking."""
+"""Rendezvous hashing, which assigns keys to instances without coordination."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names in the order in which they are preferred for a key.
+    """Return the names in order of preference for a key.
 
-    When a name joins or leaves, only the keys that it is first for move.
+    When a name is added or removed, only the keys that prefer it are reassigned.
 
     Parameters
     ----------
     key : str
-        What somebody must be responsible for.
+        The key to assign.
     names : iterable of str
         The candidates; the result does not depend on their order.
 
--- a/ibisfront/core/row_limit.py
+++ b/ibisfront/core/row_limit.py
@@ -1,4 +1,4 @@
-"""One row's limits at this instance: what runs, and what is wanted."""
+"""Enforcement of one row's limits at this instance, and its measured demand."""
 
 from __future__ import annotations
 
@@ -16,69 +16,75 @@
 
 __all__ = ["RowLimit"]
 
-_HEADROOM = 1.05
-_CHANGE_PER_MS = 1.0 / 1_000.0
-_WANTED_FOR_MS = 5_000.0
-_LEAST_WINDOW_MS = 250.0
-_LEAST_RATE_PER_S = 0.25
+_DEMAND_HEADROOM = 1.05
+_DECAY_PER_MS = 1.0 / 1_000.0
+_ACTIVE_FOR_MS = 5_000.0
+_MIN_WINDOW_MS = 250.0
+_MIN_RATE_PER_S = 0.25
 
 
 class RowLimit:
-    """Starts requests within a share, and measures the demand for it.
+    """Starts requests within a share and measures the demand of the row.
 
     Attributes
     ----------
     running : int
-        Requests that run.
-    turn : trio.Lock
-        Held by the first of those that wait; the others wait for it in order.
+        Number of requests that run.
+    waiting : int
+        Number of requests that wait to start.
+    head_lock : trio.Lock
+        Held by the first waiting request; the others queue for it in FIFO order.
     changed : trio.Event
-        Set, and replaced, when a request may have become able to start.
+        Set and replaced when a waiting request may have become able to start.
+    active_since_ms, last_arrival_at_ms : float
+        When the row last became active, and when its last request arrived.
     """
 
     __slots__ = (
         "_arrivals",
         "_bucket",
+        "_in_flight_demand",
         "_measured_at_ms",
-        "_most_wanted",
-        "_places_wanted",
+        "_peak_in_flight",
         "_rate_per_s",
+        "active_since_ms",
         "changed",
+        "head_lock",
+        "last_arrival_at_ms",
         "running",
-        "turn",
         "waiting",
-        "wanted_at_ms",
-        "wanted_since_ms",
     )
 
     def __init__(self, *, now_ms: float) -> None:
         self.running = 0
         self.waiting = 0
-        self.turn = trio.Lock()
+        self.head_lock = trio.Lock()
         self.changed = trio.Event()
-        self.wanted_since_ms = now_ms
-        self.wanted_at_ms = now_ms
+        self.active_since_ms = now_ms
+        self.last_arrival_at_ms = now_ms
         self._bucket = TokenBucket()
         self._arrivals = 0
         self._rate_per_s = 0.0
-        self._most_wanted = 0
-        self._places_wanted = 0.0
+        self._peak_in_flight = 0
+        self._in_flight_demand = 0.0
         self._measured_at_ms = now_ms
 
-    def note_arrival(self, *, now_ms: float) -> None:
-        """Count a request, whether or not it will start."""
-        if not self.is_wanted(now_ms=now_ms):
-            self.wanted_since_ms = now_ms
-        self.wanted_at_ms = now_ms
+    def record_arrival(self, *, now_ms: float) -> None:
+        """Record an arriving request, whether or not it will start."""
+        if not self.is_active(now_ms=now_ms):
+            self.active_since_ms = now_ms
+        self.last_arrival_at_ms = now_ms
         self._arrivals += 1
-        self._most_wanted = max(self._most_wanted, self.running + self.waiting + 1)
+        self._peak_in_flight = max(
+            self._peak_in_flight, self.running + self.waiting + 1
+        )
 
-    def is_wanted(self, *, now_ms: float) -> bool:
-        """Return whether the row was in use lately."""
-        return self.running > 0 or now_ms < self.wanted_at_ms + _WANTED_FOR_MS
+    def is_active(self, *, now_ms: float) -> bool:
+        """Return whether the row runs requests or received one recently."""
+        return self.running > 0 or now_ms < self.last_arrival_at_ms + _ACTIVE_FOR_MS
 
     def try_start(self, share: Share, *, now_ms: float) -> bool:
-        """Start a request if the share allows; return whether it did."""
+        """Start a request if the share allows; return whether it started."""
         self._bucket.set_rate(share.rate_per_s, now_ms=now_ms)
         if self.running >= share.in_flight or not self._bucket.take(now_ms=now_ms):
             return False
@@ -86,54 +92,54 @@
         return True
 
     def wait_ms(self, share: Share, *, ahead: int = 0) -> float:
-        """Return how long until a request may start, after some others."""
+        """Return the time until a request may start, with others ahead of it."""
         if self.running >= share.in_flight:
             return math.inf
         return self._bucket.wait_ms(ahead + 1)
 
     def finish(self) -> None:
-        """Note that a request has ended."""
+        """Record that a request has ended."""
         self.running -= 1
-        self.note_change()
+        self.notify_waiters()
 
-    def note_change(self) -> None:
-        """Wake what waits for a turn."""
+    def notify_waiters(self) -> None:
+        """Wake the first waiting request."""
         self.changed.set()
         self.changed = trio.Event()
 
     def demand(self, key: RowKey, *, now_ms: float) -> RowDemand:
-        """Return what this instance wants of the row.
+        """Return this instance's demand for the row.
 
-        It follows at once a change that chance does not explain, and any other
-        one slowly, so that a share is not handed back between two requests.
+        The estimate follows a statistically significant change immediately and
+        smooths any other, so that a share is not returned between two requests.
         """
         elapsed_ms = now_ms - self._measured_at_ms
         if elapsed_ms > 0.0:
             self._measure(elapsed_ms)
             self._measured_at_ms = now_ms
-        wanted = Share(
-            self._rate_per_s * _HEADROOM + _LEAST_RATE_PER_S,
-            math.ceil(self._places_wanted * _HEADROOM) + 1,
+        demand = Share(
+            self._rate_per_s * _DEMAND_HEADROOM + _MIN_RATE_PER_S,
+            math.ceil(self._in_flight_demand * _DEMAND_HEADROOM) + 1,
         )
-        return RowDemand(key, wanted, self.running)
+        return RowDemand(key, demand, self.running)
 
     def _measure(self, elapsed_ms: float) -> None:
-        kept = math.exp(-elapsed_ms * _CHANGE_PER_MS)
-        window_s = max(elapsed_ms, _LEAST_WINDOW_MS) / MILLISECONDS_PER_SECOND
+        decay = math.exp(-elapsed_ms * _DECAY_PER_MS)
+        window_s = max(elapsed_ms, _MIN_WINDOW_MS) / MILLISECONDS_PER_SECOND
         rate_per_s = self._arrivals / window_s
-        usual = self._rate_per_s * window_s
-        by_chance = 2.0 * math.sqrt(usual) + 1.0
-        if abs(self._arrivals - usual) > by_chance:
+        expected_arrivals = self._rate_per_s * window_s
+        max_deviation = 2.0 * math.sqrt(expected_arrivals) + 1.0
+        if abs(self._arrivals - expected_arrivals) > max_deviation:
             self._rate_per_s = rate_per_s
         else:
-            self._rate_per_s = self._mixed(self._rate_per_s, rate_per_s, kept)
-        wanted = max(self._most_wanted, self.running)
-        self._places_wanted = max(
-            wanted, self._mixed(self._places_wanted, wanted, kept)
+            self._rate_per_s = self._weighted_mean(self._rate_per_s, rate_per_s, decay)
+        peak = max(self._peak_in_flight, self.running)
+        self._in_flight_demand = max(
+            peak, self._weighted_mean(self._in_flight_demand, peak, decay)
         )
         self._arrivals = 0
-        self._most_wanted = self.running
+        self._peak_in_flight = self.running
 
     @staticmethod
-    def _mixed(old: float, new: float, kept: float) -> float:
-        return old * kept + new * (1.0 - kept)
+    def _weighted_mean(old: float, new: float, decay: float) -> float:
+        return old * decay + new * (1.0 - decay)
--- a/ibisfront/core/share_holder.py
+++ b/ibisfront/core/share_holder.py
@@ -1,10 +1,11 @@
-"""What this instance may use of each row, by its own clock.
-
-Its use of a row has three parts. A small part of its safe share that is never
-lent. What an owner granted, while the lease holds. And the rest of the safe
-share, unless that is lent: then nothing in place of it while the lease holds,
-and after a lapse the smaller of it and the last grant, until everything that
-rests on the loan has lapsed too or the owner has released it.
+"""Shares of each row that this instance may use, by its own clock.
+
+The usable share of a row is the sum of three parts: the reserved part of the
+static share, which is never lent; the share granted by the owner, while its lease
+is valid; and the lendable part of the static share. While that part is lent, it
+counts as nothing as long as the lease is valid. After the lease has expired, it is
+capped at the last grant until every grant based on it has expired too or the owner
+has released it.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
     Share,
     add_shares,
     bucket_of,
-    kept_share,
-    lent_share,
+    lendable_share,
+    reserved_share,
     row_key,
 )
 
@@ -36,11 +37,12 @@
 
 __all__ = ["ShareHolder"]
 
-_LOAN_LEASES = 2
-"""An owner counts a report for one lease, and its grants last for one more."""
+_LENT_FOR_LEASES = 2
+"""The owner counts a lent share for one lease, and its last grant is valid for
+one more."""
 
 
-class _Granted:
+class _Grants:
     """The grants of one owner."""
 
     __slots__ = ("lease_until_ms", "shares")
@@ -50,12 +52,12 @@
         self.shares: dict[RowKey, Share] = {}
 
     def share(self, key: RowKey) -> Share:
-        """Return the last grant of a row, valid or not."""
+        """Return the last grant of a row, whether or not its lease is valid."""
         return self.shares.get(key, NO_SHARE)
 
 
-class _Loan:
-    """One bucket: to whom its safe shares are lent, and what was granted."""
+class _BucketState:
+    """One bucket: the owner that its static shares are lent to, and its grants."""
 
     __slots__ = (
         "acknowledged",
@@ -77,100 +79,105 @@
         self.lending = False
         self.acknowledged = 0
         self.answered_at_ms = 0.0
-        self.current = _Granted()
-        self.former = _Granted()
+        self.current = _Grants()
+        self.former = _Grants()
         self.former_owner = ""
         self.former_acknowledged = 0
         self.rate_lent_until_ms = lent_until_ms
         self.in_flight_lent_until_ms = lent_until_ms
 
-    def move_to(self, owner: str) -> None:
-        """Report to another owner from now on."""
+    def change_owner(self, owner: str) -> None:
+        """Switch to another owner, with no grants of it yet."""
         if self.lending:
             self.former = self.current
             self.former_owner = self.owner
             self.former_acknowledged = self.acknowledged
         if owner == self.former_owner:
             self.former_owner = ""
-        self.current = _Granted()
+        self.current = _Grants()
         self.owner = owner
         self.process = 0
         self.lending = False
         self.acknowledged = 0
 
-    def take_back(self) -> None:
-        """Have the safe shares back from the former owner."""
-        self.former = _Granted()
+    def reclaim(self) -> None:
+        """Take the static shares back from the former owner."""
+        self.former = _Grants()
         self.former_owner = ""
         self.rate_lent_until_ms = 0.0
         self.in_flight_lent_until_ms = 0.0
 
-    def own_share(self, key: RowKey, safe: Share, now_ms: float) -> Share:
-        """Return what may be used of the lent part of the safe share."""
-        lent_to = self.current if self.lending else self.former
-        last = lent_to.share(key)
-        if now_ms < lent_to.lease_until_ms:
-            return NO_SHARE if self.lending else last
-        rate_per_s, in_flight = safe.rate_per_s, safe.in_flight
+    def static_part(self, key: RowKey, lendable: Share, now_ms: float) -> Share:
+        """Return the usable part of the lendable share."""
+        grants = self.current if self.lending else self.former
+        last_grant = grants.share(key)
+        if now_ms < grants.lease_until_ms:
+            return NO_SHARE if self.lending else last_grant
+        rate_per_s, in_flight = lendable.rate_per_s, lendable.in_flight
         if now_ms < self.rate_lent_until_ms:
-            rate_per_s = min(rate_per_s, last.rate_per_s)
+            rate_per_s = min(rate_per_s, last_grant.rate_per_s)
         if now_ms < self.in_flight_lent_until_ms:
-            in_flight = min(in_flight, last.in_flight)
+            in_flight = min(in_flight, last_grant.in_flight)
         return Share(rate_per_s, in_flight)
 
 
 class ShareHolder:
     """The shares of this instance.
 
-    A lease counts from when its request was sent, by our own clock, so that
-    it ends here before it ends at the owner. Every use asks the clock first:
-    a process that was stopped for longer than its lease finds it lapsed
-    before it uses anything.
+    A lease is counted from when its request was sent, by the local clock, so that
+    it expires here before it expires at the owner. Every use reads the clock first:
+    a process that was stopped for longer than its lease finds it expired before
+    it uses the share.
 
     Parameters
     ----------
     times : ShareTimes
-        The times by which shares are lent.
+        Timing of reports and leases.
     started_at_ms : float
-        When this process started. An earlier process of the same instance may
-        have lent its shares until a moment ago, and the others do not know of
-        a new one yet; so nothing but grants is used for a time.
+        When this process started. For the join time only grants are used: an
+        earlier process of the same instance may have lent its shares until just
+        before, and the other instances may not have learned of this one yet.
+
+    Attributes
+    ----------
+    has_left : bool
+        Set when the instance shuts down; nothing is usable from then on.
     """
 
-    __slots__ = ("_joined_at_ms", "_loans", "_times", "left")
+    __slots__ = ("_buckets", "_joined_at_ms", "_times", "has_left")
 
     def __init__(self, *, times: ShareTimes, started_at_ms: float) -> None:
         self._times = times
         self._joined_at_ms = started_at_ms + times.join_ms
-        self._loans = [_Loan(self._joined_at_ms) for _ in range(BUCKETS)]
-        self.left = False
+        self._buckets = [_BucketState(self._joined_at_ms) for _ in range(BUCKETS)]
+        self.has_left = False
 
-    def usable(self, row: Row, safe: Share, *, now_ms: float) -> Share:
-        """Return what may be used of a row now.
+    def usable(self, row: Row, static: Share, *, now_ms: float) -> Share:
+        """Return the share of a row that may be used now.
 
         Parameters
         ----------
         row : Row
             The row.
-        safe : Share
-            This instance's safe share of it.
+        static : Share
+            This instance's static share of it.
         now_ms : float
-            The time now, just read.
+            The current time, read immediately before the call.
         """
-        if self.left:
+        if self.has_left:
             return NO_SHARE
         key = row_key(row)
-        loan = self._loans[bucket_of(key)]
-        parts = [loan.own_share(key, lent_share(safe), now_ms)]
+        state = self._buckets[bucket_of(key)]
+        parts = [state.static_part(key, lendable_share(static), now_ms)]
         if now_ms >= self._joined_at_ms:
-            parts.append(kept_share(safe))
-        if now_ms < loan.current.lease_until_ms:
-            parts.append(loan.current.share(key))
+            parts.append(reserved_share(static))
+        if now_ms < state.current.lease_until_ms:
+            parts.append(state.current.share(key))
         return add_shares(*parts)
 
     def has_lease(self, key: RowKey, *, now_ms: float) -> bool:
-        """Return whether a lease names the row."""
-        current = self._loans[bucket_of(key)].current
+        """Return whether a valid lease includes the row."""
+        current = self._buckets[bucket_of(key)].current
         return now_ms < current.lease_until_ms and key in current.shares
 
     def report(
@@ -179,41 +186,43 @@
         owner: str,
         rows: tuple[RowDemand, ...],
         *,
-        safe: Callable[[RowKey], Share],
+        static: Callable[[RowKey], Share],
         now_ms: float,
     ) -> BucketReport:
-        """Return the report of a bucket that is sent to its owner now.
+        """Return the report of a bucket to send to its owner now.
 
         Parameters
         ----------
         bucket : int
             The bucket.
         owner : str
-            Its owner, as this instance sees the members.
+            Its owner in this instance's view of the members.
         rows : tuple of RowDemand
-            What is wanted.
-        safe : callable
-            Returns this instance's safe share of a row.
+            The demand.
+        static : callable
+            Returns this instance's static share of a row.
         now_ms : float
-            The time now.
+            The current time.
         """
-        loan = self._loans[bucket]
-        if loan.owner != owner:
-            loan.move_to(owner)
+        state = self._buckets[bucket]
+        if state.owner != owner:
+            state.change_owner(owner)
         if (
-            not loan.lending
-            and loan.acknowledged
-            and now_ms >= loan.in_flight_lent_until_ms
+            not state.lending
+            and state.acknowledged
+            and now_ms >= state.in_flight_lent_until_ms
         ):
-            self._lend_first(loan, rows, safe)
-        if loan.lending:
-            # The owner counts the loan from when it issued what is now
-            # acknowledged, which was before we had it; a report that brings
-            # no reply extends nothing.
-            lent_until_ms = loan.answered_at_ms + _LOAN_LEASES * self._times.lease_ms
-            loan.rate_lent_until_ms = lent_until_ms
-            loan.in_flight_lent_until_ms = lent_until_ms + self._times.drain_ms
-        return BucketReport(bucket, loan.acknowledged, loan.lending, rows)
+            self._start_lending(state, rows, static)
+        if state.lending:
+            # The owner counts the lease on the lent share from when it issued the
+            # acknowledged grants, which is before they arrived here; a report
+            # without a reply extends nothing.
+            lent_until_ms = (
+                state.answered_at_ms + _LENT_FOR_LEASES * self._times.lease_ms
+            )
+            state.rate_lent_until_ms = lent_until_ms
+            state.in_flight_lent_until_ms = lent_until_ms + self._times.drain_ms
+        return BucketReport(bucket, state.acknowledged, state.lending, rows)
 
     def apply(
         self,
@@ -224,68 +233,70 @@
         sent_at_ms: float,
         now_ms: float,
     ) -> None:
-        """Put grants into force, in place of all earlier ones.
+        """Replace the earlier grants of some buckets with new ones.
 
         Parameters
         ----------
         buckets : list of int
             The buckets that were reported.
         owner : str
-            Who granted.
+            The instance that issued the grants.
         grants : ShareGrants
-            What was granted.
+            The grants.
         sent_at_ms, now_ms : float
-            When the report that asked for them was sent, and now.
+            When the report that requested them was sent, and the current time.
         """
         for bucket in buckets:
-            loan = self._loans[bucket]
-            if loan.owner != owner:
-                continue  # the bucket moved on while the reply was under way
-            if loan.process not in (0, grants.process):
-                # The owner has been restarted and knows of no loan. Its first
-                # grants are empty; taking them in place of what is lent would
-                # leave this instance with nothing.
-                loan.move_to(owner)
-                loan.former_owner = ""
-            loan.process = grants.process
-            loan.acknowledged = grants.sequence
-            loan.answered_at_ms = now_ms
-            loan.current.lease_until_ms = sent_at_ms + self._times.lease_ms
-            loan.current.shares = {
+            state = self._buckets[bucket]
+            if state.owner != owner:
+                continue  # the owner changed while the reply was in flight
+            if state.process not in (0, grants.process):
+                # The owner was restarted and has lost the record of lent shares.
+                # Its first grants are empty; using them in place of the lent shares
+                # would leave this instance with nothing.
+                state.change_owner(owner)
+                state.former_owner = ""
+            state.process = grants.process
+            state.acknowledged = grants.sequence
+            state.answered_at_ms = now_ms
+            state.current.lease_until_ms = sent_at_ms + self._times.lease_ms
+            state.current.shares = {
                 item.row: item.share
                 for item in grants.rows
                 if bucket_of(item.row) == bucket
             }
 
     @staticmethod
-    def _lend_first(
-        loan: _Loan, rows: tuple[RowDemand, ...], safe: Callable[[RowKey], Share]
+    def _start_lending(
+        state: _BucketState,
+        rows: tuple[RowDemand, ...],
+        static: Callable[[RowKey], Share],
     ) -> None:
-        # Until the owner's answer is here, the safe share of what is in use
-        # counts as granted, here and at the owner; or a slow answer would stop
-        # every row that is in use.
-        loan.lending = True
+        # Until the owner replies, the lendable part of every reported row counts as
+        # granted, here and at the owner. Otherwise a slow reply would block every
+        # row in use.
+        state.lending = True
         for item in rows:
-            granted = loan.current.share(item.row)
-            lent = lent_share(safe(item.row))
-            loan.current.shares[item.row] = add_shares(granted, lent)
-
-    def withdrawals(self, *, now_ms: float) -> dict[str, list[BucketReport]]:
-        """Return reports that ask former owners to release what is lent."""
-        found: dict[str, list[BucketReport]] = {}
-        for bucket, loan in enumerate(self._loans):
-            if loan.former_owner and now_ms < loan.in_flight_lent_until_ms:
-                report = BucketReport(bucket, loan.former_acknowledged, False, ())
-                found.setdefault(loan.former_owner, []).append(report)
-        return found
-
-    def release(self, buckets: tuple[int, ...], owner: str) -> None:
-        """Take back what a former owner has released."""
+            granted = state.current.share(item.row)
+            lent = lendable_share(static(item.row))
+            state.current.shares[item.row] = add_shares(granted, lent)
+
+    def release_requests(self, *, now_ms: float) -> dict[str, list[BucketReport]]:
+        """Return the reports that request former owners to release lent shares."""
+        requests: dict[str, list[BucketReport]] = {}
+        for bucket, state in enumerate(self._buckets):
+            if state.former_owner and now_ms < state.in_flight_lent_until_ms:
+                report = BucketReport(bucket, state.former_acknowledged, False, ())
+                requests.setdefault(state.former_owner, []).append(report)
+        return requests
+
+    def reclaim(self, buckets: tuple[int, ...], owner: str) -> None:
+        """Take back the shares that a former owner has released."""
         for bucket in buckets:
-            loan = self._loans[bucket]
-            if loan.former_owner == owner:
-                loan.take_back()
+            state = self._buckets[bucket]
+            if state.former_owner == owner:
+                state.reclaim()
 
-    def lapsed(self, *, now_ms: float) -> int:
-        """Return how many buckets are without a lease."""
-        return sum(now_ms >= loan.current.lease_until_ms for loan in self._loans)
+    def expired_leases(self, *, now_ms: float) -> int:
+        """Return the number of buckets without a valid lease."""
+        return sum(now_ms >= state.current.lease_until_ms for state in self._buckets)
--- a/ibisfront/core/share_messages.py
+++ b/ibisfront/core/share_messages.py
@@ -1,4 +1,4 @@
-"""Shares of the table's limits, and what instances say about them."""
+"""Shares of the table's limits, and the messages that allocate them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
     "ShareTimes",
     "add_shares",
     "bucket_of",
-    "kept_share",
-    "lent_share",
+    "lendable_share",
+    "reserved_share",
     "row_key",
-    "safe_share",
+    "static_share",
 ]
 
 BUCKETS = 16
 """Rows are hashed into this many buckets; each bucket has one owner."""
 
-_KEPT_HASHES = 4096
-_KEPT_PART = 0.05
-_KEEPS_A_PLACE = 4
+_HASH_CACHE_SIZE = 4096
+_RESERVED_FRACTION = 0.05
+_MIN_SLOTS_TO_RESERVE = 4
 
 
 class RowKey(msgspec.Struct, frozen=True, array_like=True):
@@ -48,7 +48,7 @@
 
 
 class Share(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a row's limits, or a demand for one."""
+    """A share of a row's limits, or a demand for one."""
 
     rate_per_s: float = 0.0
     in_flight: int = 0
@@ -58,19 +58,19 @@
 
 
 class ShareTimes(msgspec.Struct, frozen=True):
-    """The times by which shares are lent.
+    """Timing of reports and leases.
 
     Attributes
     ----------
     report_ms : float
-        Between two reports of an instance to an owner.
+        Interval between two reports of an instance to an owner.
     lease_ms : float
-        How long a grant holds, from when it was asked for.
+        Validity of a grant, counted from when the report that requested it was sent.
     join_ms : float
-        How long a new process takes granted shares only.
+        How long a new process uses granted shares only.
     drain_ms : float
-        How long requests may run on after the share that they started under
-        has gone.
+        How long requests may keep running after the share under which they
+        started has expired.
     """
 
     report_ms: float = 250.0
@@ -80,7 +80,7 @@
 
 
 class RowDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What one instance wants of one row, and has running."""
+    """Demand of one instance for one row, and the requests that it runs."""
 
     row: RowKey
     demand: Share
@@ -88,20 +88,20 @@
 
 
 class BucketReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one instance wants of one bucket.
+    """Demand of one instance for the rows of one bucket.
 
     Attributes
     ----------
     bucket : int
-        The bucket; rows of it that are not listed are wanted by nobody there.
+        The bucket; the reporter has no demand for rows of it that are not listed.
     acknowledged : int
-        The sequence number of the last grants applied; 0 if there are none
-        of this owner.
+        The sequence number of the last grants applied; 0 if none of this
+        owner were applied.
     lends : bool
-        Whether the reporter lends its safe shares to the receiver; not while
-        a former owner's loans may still rest on them.
+        Whether the reporter lends its static shares to the receiver; false while
+        grants of a former owner may still be based on them.
     rows : tuple of RowDemand
-        The rows that are wanted.
+        The rows with demand.
     """
 
     bucket: int
@@ -111,18 +111,18 @@
 
 
 class ShareReport(PeerMessage, frozen=True, tag="share_report"):
-    """Lends the reporter's safe shares to an owner, and asks for grants.
+    """Lends the reporter's static shares to an owner and requests grants.
 
     Attributes
     ----------
     expected : int
-        The number of instances that have not left, as the reporter knows it.
+        The number of instances that have not left, in the reporter's view.
     position : int
-        The reporter's place among them, by name.
+        The reporter's index among them, ordered by name.
     leaving : bool
-        Whether the reporter hands everything back for good.
+        Whether the reporter shuts down and releases all its shares.
     buckets : tuple of BucketReport
-        The buckets whose owner is asked.
+        The buckets that the receiver owns.
     """
 
     expected: int
@@ -132,7 +132,7 @@
 
 
 class RowGrant(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance may use of one row."""
+    """The share of one row that an instance may use."""
 
     row: RowKey
     share: Share
@@ -144,15 +144,15 @@
     Attributes
     ----------
     process : int
-        Differs between two processes of the same instance.
+        Identifies the owner's process; it changes with every restart.
     sequence : int
-        To be acknowledged in the next report; 0 if the owner knows no table
-        yet and has granted nothing.
+        Acknowledged in the next report; 0 if the owner has no table yet and
+        has granted nothing.
     rows : tuple of RowGrant
-        The shares; none of a row that is not listed.
+        The shares; rows that are not listed have none.
     released : tuple of int
-        The buckets, out of those reported without lending, for which nothing
-        granted here rests on the reporter's safe shares any more.
+        The buckets, out of those reported without lending, for which no grant of
+        this owner is based on the reporter's static shares any longer.
     """
 
     process: int
@@ -171,25 +171,24 @@
     return _hash(key) % BUCKETS
 
 
-def safe_share(row: Row, *, expected: int, position: int) -> Share:
-    """Return what one instance may use of a row without asking anybody.
+def static_share(row: Row, *, expected: int, position: int) -> Share:
+    """Return the share of a row that one instance may use without coordination.
 
-    The safe shares of all expected instances add up to the limits exactly:
-    places that do not divide go to some of the positions, other ones for
-    each row.
+    The static shares of all expected instances add up to exactly the limits. The
+    remainder of the slots goes to some of the positions, which differ by row.
 
     Parameters
     ----------
     row : Row
         The row of the table.
     expected : int
-        How many instances have not left.
+        The number of instances that have not left.
     position : int
-        The instance's place among them.
+        The instance's index among them, ordered by name.
     """
-    places, remainder = divmod(row.max_in_flight, expected)
-    turned = (position + _hash(row_key(row))) % expected
-    return Share(row.limit_per_s / expected, places + (turned < remainder))
+    slots, remainder = divmod(row.max_in_flight, expected)
+    rotated_position = (position + _hash(row_key(row))) % expected
+    return Share(row.limit_per_s / expected, slots + (rotated_position < remainder))
 
 
 def add_shares(*parts: Share) -> Share:
@@ -199,24 +198,26 @@
     )
 
 
-def kept_share(safe: Share) -> Share:
-    """Return the part of a safe share that is never lent.
+def reserved_share(static: Share) -> Share:
+    """Return the part of a static share that is never lent.
 
-    It lets a row that nobody used lately start a request at once even while
-    its safe share is still lent to an owner that has just died.
+    It lets an idle row start a request immediately even while its static share
+    is still lent to an owner that has just died.
     """
-    one_place = 1 if safe.in_flight >= _KEEPS_A_PLACE else 0
-    places = max(one_place, int(safe.in_flight * _KEPT_PART))
-    return Share(safe.rate_per_s * _KEPT_PART, places)
+    min_slots = 1 if static.in_flight >= _MIN_SLOTS_TO_RESERVE else 0
+    slots = max(min_slots, int(static.in_flight * _RESERVED_FRACTION))
+    return Share(static.rate_per_s * _RESERVED_FRACTION, slots)
 
 
-def lent_share(safe: Share) -> Share:
-    """Return the part of a safe share that is lent to an owner."""
-    kept = kept_share(safe)
-    return Share(safe.rate_per_s - kept.rate_per_s, safe.in_flight - kept.in_flight)
+def lendable_share(static: Share) -> Share:
+    """Return the part of a static share that is lent to an owner."""
+    reserved = reserved_share(static)
+    return Share(
+        static.rate_per_s - reserved.rate_per_s, static.in_flight - reserved.in_flight
+    )
 
 
-@functools.lru_cache(maxsize=_KEPT_HASHES)
+@functools.lru_cache(maxsize=_HASH_CACHE_SIZE)
 def _hash(key: RowKey) -> int:
     name = f"{key.branch}\0{key.purpose}".encode()
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest())
--- a/ibisfront/core/share_owner.py
+++ b/ibisfront/core/share_owner.py
@@ -1,10 +1,10 @@
-"""The owner of a bucket: lends out what the instances have lent to it.
+"""The owner of a bucket, which grants the shares that instances have lent to it.
 
-Each instance owns a safe share of every row: the limit over the number of
-instances that have not left. By reporting it lends that share to one owner at
-a time and uses only what the owner grants. The owner's pool of a row is the
-sum of what it was lent, so that two owners at once, as in a cut, never give
-out a share twice, and a side of a cut gives out its part of the limit only.
+Each instance has a static share of every row: the limit divided by the number of
+instances that have not left. By reporting, it lends that share to one owner at a
+time and uses only what the owner grants. The owner's pool of a row is the sum of
+the shares lent to it. Two concurrent owners, as in a network partition, therefore
+never grant a share twice, and each side grants only its part of the limit.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     Share,
     ShareGrants,
     add_shares,
-    lent_share,
+    lendable_share,
     row_key,
-    safe_share,
+    static_share,
 )
 
 if TYPE_CHECKING:
@@ -42,15 +42,15 @@
 
 __all__ = ["ShareOwner"]
 
-_DIVIDE_AGAIN_MS = 50.0
-_TURN_MS = 2_000.0
-_SPARE_PART = 0.5
-"""What nobody wants is granted in half; the other half is there at once for
-an instance that did not want any until now."""
+_DIVISION_MAX_AGE_MS = 50.0
+_ROTATION_MS = 2_000.0
+_SURPLUS_FRACTION = 0.5
+"""Half of the unclaimed capacity is granted. The other half stays available
+immediately to an instance that had no demand so far."""
 
 
 class _Grant(msgspec.Struct):
-    """Shares given to one instance, and until when it may use them."""
+    """Shares granted to one instance, with their expiry."""
 
     sequence: int
     issued_at_ms: float
@@ -58,8 +58,8 @@
     shares: dict[RowKey, Share]
 
 
-class _Lender:
-    """One instance, as the owner of one bucket knows it."""
+class _InstanceState:
+    """One instance in the view of the owner of one bucket."""
 
     __slots__ = (
         "confirmed_at_ms",
@@ -80,8 +80,10 @@
         self.demands: dict[RowKey, RowDemand] = {}
         self.grants: list[_Grant] = []
 
-    def take(self, report: ShareReport, part: BucketReport, now_ms: float) -> None:
-        """Take in a report."""
+    def apply_report(
+        self, report: ShareReport, part: BucketReport, now_ms: float
+    ) -> None:
+        """Update the state from a report."""
         self.expected = report.expected
         self.position = report.position
         self.reported_at_ms = now_ms
@@ -89,8 +91,8 @@
         self.demands = {item.row: item for item in part.rows}
         self._acknowledge(part.acknowledged)
 
-    def held(self, key: RowKey, now_ms: float, drain_ms: float) -> Share:
-        """Return the most that the instance may be using of a row."""
+    def max_in_use(self, key: RowKey, now_ms: float, drain_ms: float) -> Share:
+        """Return the most that the instance may use of a row at present."""
         rate_per_s, in_flight = 0.0, 0
         for grant in self.grants:
             share = grant.shares.get(key, NO_SHARE)
@@ -103,18 +105,18 @@
             in_flight = max(in_flight, demand.running)
         return Share(rate_per_s, in_flight)
 
-    def forget_expired(self, now_ms: float, drain_ms: float) -> bool:
-        """Drop what has run out; return whether nothing is left."""
+    def drop_expired(self, now_ms: float, drain_ms: float) -> bool:
+        """Drop expired grants; return whether the instance has expired."""
         self.grants = [
             grant for grant in self.grants if now_ms < grant.expires_at_ms + drain_ms
         ]
         return not self.grants and now_ms >= self.reported_at_ms + drain_ms
 
     def _acknowledge(self, sequence: int) -> None:
-        # A report can lie in a stream for long and arrive late. It proves only
-        # that its sender was there after the grants that it acknowledges were
-        # issued; so the loan counts from then, not from the arrival, and ends
-        # before the sender goes back to its safe share by its own clock.
+        # A report can be delayed in a stream. It proves only that its sender was
+        # alive after the acknowledged grants were issued. The lent share therefore
+        # counts from then, not from the arrival of the report, and expires here
+        # before the sender returns to its static share by its own clock.
         for grant in self.grants:
             if grant.sequence == sequence:
                 self.confirmed_at_ms = grant.issued_at_ms
@@ -125,31 +127,31 @@
 
 
 class _Bucket:
-    """The lenders of one bucket, and the last division of each of its rows."""
+    """The reporting instances and the last division of each row of one bucket."""
 
-    __slots__ = ("divided_at_ms", "lenders", "targets")
+    __slots__ = ("divided_at_ms", "instances", "targets")
 
     def __init__(self) -> None:
-        self.lenders: dict[str, _Lender] = {}
+        self.instances: dict[str, _InstanceState] = {}
         self.targets: dict[RowKey, dict[str, Share]] = {}
         self.divided_at_ms: dict[RowKey, float] = {}
 
 
 class ShareOwner:
-    """Answers reports; any instance may be asked at any time.
+    """Answers reports; any instance may receive one at any time.
 
     Parameters
     ----------
     clock : Clock
         The tier's clock.
     times : ShareTimes
-        The times by which shares are lent.
+        Timing of reports and leases.
     find_row : callable
-        Returns a row of the table in force, or None.
+        Returns a row of the current table, or None.
     has_table : callable
-        Returns whether a table is in force.
+        Returns whether there is a current table.
     first_sequence : int
-        Larger than any number of an earlier process of this instance.
+        Larger than any sequence number of an earlier process of this instance.
     """
 
     __slots__ = (
@@ -179,19 +181,19 @@
         self._sequence = first_sequence
         self._buckets: dict[int, _Bucket] = {}
 
-    def answer(self, name: str, report: ShareReport) -> ShareGrants:
-        """Take in a report and return the reporter's shares.
+    def handle_report(self, name: str, report: ShareReport) -> ShareGrants:
+        """Apply a report and return the grants for the reporter.
 
         Parameters
         ----------
         name : str
-            The instance that reports.
+            The reporting instance.
         report : ShareReport
-            Its report.
+            The report.
         """
         if not self._has_table():
-            # A process that has just started may be asked before it has read
-            # the table. It must not take loans that it cannot serve.
+            # A process may receive a report before it has read the table. It must
+            # not accept lent shares, as it cannot grant any.
             return ShareGrants(self._first_sequence, 0, ())
         now_ms = self._clock.now_ms()
         self._sequence += 1
@@ -200,18 +202,18 @@
         for part in report.buckets:
             bucket = self._buckets.setdefault(part.bucket, _Bucket())
             if report.leaving:
-                bucket.lenders.pop(name, None)
+                bucket.instances.pop(name, None)
                 continue
-            self._forget_expired(bucket, now_ms)
-            lender = bucket.lenders.setdefault(name, _Lender())
-            first_loan = part.lends and not lender.lends
-            lender.take(report, part, now_ms)
-            if first_loan:
-                self._note_first_loan(lender, now_ms)
+            self._drop_expired(bucket, now_ms)
+            instance = bucket.instances.setdefault(name, _InstanceState())
+            starts_lending = part.lends and not instance.lends
+            instance.apply_report(report, part, now_ms)
+            if starts_lending:
+                self._record_lending_start(instance, now_ms)
             if self._can_release(bucket, name, part, now_ms):
                 released.append(part.bucket)
             shares = self._shares(bucket, name, now_ms)
-            lender.grants.append(
+            instance.grants.append(
                 _Grant(self._sequence, now_ms, now_ms + self._times.lease_ms, shares)
             )
             grants.extend(RowGrant(key, share) for key, share in shares.items())
@@ -219,34 +221,38 @@
             self._first_sequence, self._sequence, tuple(grants), tuple(released)
         )
 
-    def _note_first_loan(self, lender: _Lender, now_ms: float) -> None:
-        # What is lent for the first time stays in use by the lender until it
-        # has applied our grants; see ShareHolder.report.
-        if not lender.grants:
+    def _record_lending_start(self, instance: _InstanceState, now_ms: float) -> None:
+        # An instance that starts lending keeps using its static share until it has
+        # applied the grants of this reply; see ShareHolder.report.
+        if not instance.grants:
             return
-        last = lender.grants[-1]
-        shares = dict(last.shares)
-        for key in lender.demands:
+        last_grant = instance.grants[-1]
+        shares = dict(last_grant.shares)
+        for key in instance.demands:
             row = self._find_row(key)
             if row is not None:
-                lent = lent_share(
-                    safe_share(row, expected=lender.expected, position=lender.position)
+                lent = lendable_share(
+                    static_share(
+                        row, expected=instance.expected, position=instance.position
+                    )
                 )
                 shares[key] = add_shares(shares.get(key, NO_SHARE), lent)
         expires_at_ms = now_ms + self._times.lease_ms
-        lender.grants.append(_Grant(last.sequence, now_ms, expires_at_ms, shares))
+        instance.grants.append(
+            _Grant(last_grant.sequence, now_ms, expires_at_ms, shares)
+        )
 
     def _can_release(
         self, bucket: _Bucket, name: str, part: BucketReport, now_ms: float
     ) -> bool:
-        # An earlier process of this instance may have lent on what it was lent,
-        # and this one knows nothing of it; its numbers are smaller than ours.
+        # An earlier process of this instance may have granted from the lent shares,
+        # of which this one has no record. Its sequence numbers are smaller.
         if part.lends or part.acknowledged <= self._first_sequence:
             return False
         keys = {
             key
-            for lender in bucket.lenders.values()
-            for grant in lender.grants
+            for instance in bucket.instances.values()
+            for grant in instance.grants
             for key in grant.shares
         }
         rows = [row for key in keys if (row := self._find_row(key)) is not None]
@@ -254,25 +260,27 @@
 
     def _is_covered(self, bucket: _Bucket, row: Row, name: str, now_ms: float) -> bool:
         pool = self._pool(bucket, row, now_ms)
-        held = self._held_by_others(bucket, row_key(row), name, now_ms)
-        return held.rate_per_s <= pool.rate_per_s and held.in_flight <= pool.in_flight
+        in_use = self._in_use_by_others(bucket, row_key(row), name, now_ms)
+        return (
+            in_use.rate_per_s <= pool.rate_per_s and in_use.in_flight <= pool.in_flight
+        )
 
-    def _held_by_others(
+    def _in_use_by_others(
         self, bucket: _Bucket, key: RowKey, name: str, now_ms: float
     ) -> Share:
-        held = [
-            lender.held(key, now_ms, self._times.drain_ms)
-            for other, lender in bucket.lenders.items()
+        shares_in_use = [
+            instance.max_in_use(key, now_ms, self._times.drain_ms)
+            for other, instance in bucket.instances.items()
             if other != name
         ]
         return Share(
-            sum(share.rate_per_s for share in held),
-            sum(share.in_flight for share in held),
+            sum(share.rate_per_s for share in shares_in_use),
+            sum(share.in_flight for share in shares_in_use),
         )
 
     def _shares(self, bucket: _Bucket, name: str, now_ms: float) -> dict[RowKey, Share]:
         shares = {}
-        for key in bucket.lenders[name].demands:
+        for key in bucket.instances[name].demands:
             row = self._find_row(key)
             if row is not None:
                 shares[key] = self._share(bucket, row, name, now_ms)
@@ -281,23 +289,25 @@
     def _share(self, bucket: _Bucket, row: Row, name: str, now_ms: float) -> Share:
         key = row_key(row)
         pool = self._pool(bucket, row, now_ms)
-        held = self._held_by_others(bucket, key, name, now_ms)
-        free_rate = pool.rate_per_s - held.rate_per_s
-        free_places = pool.in_flight - held.in_flight
+        in_use = self._in_use_by_others(bucket, key, name, now_ms)
+        free_rate = pool.rate_per_s - in_use.rate_per_s
+        free_slots = pool.in_flight - in_use.in_flight
         target = self._target(bucket, key, name, pool, now_ms)
         return Share(
             max(0.0, min(target.rate_per_s, free_rate)),
-            max(0, min(target.in_flight, free_places)),
+            max(0, min(target.in_flight, free_slots)),
         )
 
     def _pool(self, bucket: _Bucket, row: Row, now_ms: float) -> Share:
         lease_ms = self._times.lease_ms
         rate_per_s, in_flight = 0.0, 0
-        for lender in bucket.lenders.values():
-            if not lender.lends or now_ms >= lender.confirmed_at_ms + lease_ms:
+        for instance in bucket.instances.values():
+            if not instance.lends or now_ms >= instance.confirmed_at_ms + lease_ms:
                 continue
-            safe = safe_share(row, expected=lender.expected, position=lender.position)
-            lent = lent_share(safe)
+            static = static_share(
+                row, expected=instance.expected, position=instance.position
+            )
+            lent = lendable_share(static)
             rate_per_s += lent.rate_per_s
             in_flight += lent.in_flight
         return Share(rate_per_s, in_flight)
@@ -305,49 +315,51 @@
     def _target(
         self, bucket: _Bucket, key: RowKey, name: str, pool: Share, now_ms: float
     ) -> Share:
-        # Dividing anew for each report would cost the square of the number of
-        # instances; a division serves all reports of the next moment.
-        fresh = now_ms < bucket.divided_at_ms.get(key, -math.inf) + _DIVIDE_AGAIN_MS
-        lends = bucket.lenders[name].lends
-        if not fresh or (lends and name not in bucket.targets[key]):
-            bucket.targets[key] = self._divided(bucket, key, pool, now_ms)
+        # A division for each report would have a cost quadratic in the number of
+        # instances, so a division is reused for all reports of a short period.
+        is_current = (
+            now_ms < bucket.divided_at_ms.get(key, -math.inf) + _DIVISION_MAX_AGE_MS
+        )
+        lends = bucket.instances[name].lends
+        if not is_current or (lends and name not in bucket.targets[key]):
+            bucket.targets[key] = self._divide(bucket, key, pool, now_ms)
             bucket.divided_at_ms[key] = now_ms
         return bucket.targets[key].get(name, NO_SHARE)
 
-    def _divided(
+    def _divide(
         self, bucket: _Bucket, key: RowKey, pool: Share, now_ms: float
     ) -> dict[str, Share]:
-        wanting = [
+        claimants = [
             name
-            for name, lender in bucket.lenders.items()
-            if key in lender.demands
-            and lender.lends  # else it uses its own share, and needs no spare
-            and now_ms < lender.reported_at_ms + self._times.lease_ms
+            for name, instance in bucket.instances.items()
+            if key in instance.demands
+            and instance.lends  # otherwise it uses its static share and no surplus
+            and now_ms < instance.reported_at_ms + self._times.lease_ms
         ]
-        # With fewer places than instances some get none; they take turns.
-        turn = int(now_ms / _TURN_MS)
-        names = rendezvous_order(f"{key.branch}/{key.purpose}/{turn}", wanting)
-        demands = [bucket.lenders[name].demands[key].demand for name in names]
+        # With fewer slots than instances some get none, so the order rotates.
+        rotation = int(now_ms / _ROTATION_MS)
+        names = rendezvous_order(f"{key.branch}/{key.purpose}/{rotation}", claimants)
+        demands = [bucket.instances[name].demands[key].demand for name in names]
         rates = divide(
             pool.rate_per_s,
             [item.rate_per_s for item in demands],
-            spare_part=_SPARE_PART,
+            surplus_fraction=_SURPLUS_FRACTION,
         )
-        places = divide_whole(
+        slots = divide_whole(
             pool.in_flight,
             [item.in_flight for item in demands],
-            spare_part=_SPARE_PART,
+            surplus_fraction=_SURPLUS_FRACTION,
         )
         return {
             name: Share(rate, count)
-            for name, rate, count in zip(names, rates, places, strict=True)
+            for name, rate, count in zip(names, rates, slots, strict=True)
         }
 
-    def _forget_expired(self, bucket: _Bucket, now_ms: float) -> None:
-        gone = [
+    def _drop_expired(self, bucket: _Bucket, now_ms: float) -> None:
+        expired = [
             name
-            for name, lender in bucket.lenders.items()
-            if lender.forget_expired(now_ms, self._times.drain_ms)
+            for name, instance in bucket.instances.items()
+            if instance.drop_expired(now_ms, self._times.drain_ms)
         ]
-        for name in gone:
-            del bucket.lenders[name]
+        for name in expired:
+            del bucket.instances[name]
--- a/ibisfront/core/shares.py
+++ b/ibisfront/core/shares.py
@@ -1,4 +1,4 @@
-"""The table's limits for the tier as a whole: reporting, granting, using."""
+"""Tier-wide enforcement of the table's limits by reported and granted shares."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     ShareReport,
     ShareTimes,
     bucket_of,
-    kept_share,
+    reserved_share,
     row_key,
-    safe_share,
+    static_share,
 )
 from ibisfront.core.share_owner import ShareOwner
 
@@ -41,17 +41,17 @@
 
 __all__ = ["Shares"]
 
-_PATIENCE_MS = 400.0
-_NEW_DEMAND_MS = 1_000.0
-_FIRST_GRANT_MS = 500.0
-_EARLY_REPORT_MS = 20.0
-_LEAST_RETRY_MS = 10
-_LEAST_PAUSE_MS = 0.5
+_MAX_WAIT_MS = 400.0
+_NEW_DEMAND_PERIOD_MS = 1_000.0
+_FIRST_GRANT_WAIT_MS = 500.0
+_EARLY_REPORT_DELAY_MS = 20.0
+_MIN_RETRY_AFTER_MS = 10
+_MIN_PAUSE_MS = 0.5
 _SEQUENCE_BITS = 10
 
 
 class Shares:
-    """The shares of this instance of every row, and its part as an owner.
+    """The shares of every row at this instance, and its role as a bucket owner.
 
     Parameters
     ----------
@@ -60,28 +60,28 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where refusals and lapses are counted.
+        Counts refusals and unanswered reports.
     find_table : callable
-        Returns the table in force, or None.
+        Returns the current table, or None.
     times : ShareTimes, optional
-        The times by which shares are lent.
+        Timing of reports and leases.
     """
 
     __slots__ = (
-        "_asking",
+        "_assignment",
+        "_assignment_members",
         "_clock",
         "_counters",
-        "_early",
+        "_early_report",
+        "_expected_and_position",
         "_find_table",
         "_members",
-        "_owned",
-        "_owned_among",
         "_peers",
-        "_place",
+        "_pending_releases",
+        "_pending_reports",
         "_rows",
         "_started_at_ms",
         "_times",
-        "_withdrawing",
         "holder",
         "owner",
     )
@@ -102,12 +102,12 @@
         self._times = ShareTimes() if times is None else times
         self._peers: Peers | None = None
         self._rows: dict[RowKey, RowLimit] = {}
-        self._asking: set[str] = set()
-        self._withdrawing: set[str] = set()
-        self._owned: dict[str, list[int]] = {}
-        self._owned_among: list[str] = []
-        self._early = trio.Event()
-        self._place = self._find_place()
+        self._pending_reports: set[str] = set()
+        self._pending_releases: set[str] = set()
+        self._assignment: dict[str, list[int]] = {}
+        self._assignment_members: list[str] = []
+        self._early_report = trio.Event()
+        self._expected_and_position = self._find_expected_and_position()
         self._started_at_ms = clock.now_ms()
         self.holder = ShareHolder(times=self._times, started_at_ms=self._started_at_ms)
         self.owner = ShareOwner(
@@ -120,22 +120,22 @@
 
     @property
     def joined(self) -> bool:
-        """Whether this process is past the time in which it has no share."""
+        """Whether the join time, in which only grants are usable, has passed."""
         return self._clock.now_ms() >= self._started_at_ms + self._times.join_ms
 
     @property
     def running(self) -> int:
-        """How many requests hold a part of a share."""
+        """The number of requests that run within a share."""
         return sum(limit.running for limit in self._rows.values())
 
     @asynccontextmanager
-    async def started(self, row: Row, *, deadline_at_ms: float) -> AsyncIterator[None]:
+    async def acquire(self, row: Row, *, deadline_at_ms: float) -> AsyncIterator[None]:
         """Count a request against its row while the context is open.
 
         Raises
         ------
         IbisfrontError
-            ``over_limit``, at once, unless its turn comes within moments.
+            ``over_limit``, immediately unless it may start after a short wait.
         """
         limit = self._limit(row_key(row))
         await self._start(row, limit, deadline_at_ms)
@@ -145,64 +145,64 @@
             limit.finish()
 
     def usable(self, row: Row) -> Share:
-        """Return what this instance may use of a row now."""
+        """Return the share of a row that this instance may use now."""
         return self.holder.usable(
-            row, self._safe_share(row), now_ms=self._clock.now_ms()
+            row, self._static_share(row), now_ms=self._clock.now_ms()
         )
 
     async def run(self, peers: Peers | None = None) -> None:
-        """Report demand and answer the reports of others, for ever.
+        """Report demand and answer the reports of other instances until cancelled.
 
         Parameters
         ----------
         peers : Peers, optional
-            The other instances; without them each one is on its own.
+            The other instances; without them this instance reports only to itself.
         """
         self._peers = peers
         if peers is not None:
-            peers.answer(ShareReport, self.owner.answer)
+            peers.answer(ShareReport, self.owner.handle_report)
         async with trio.open_nursery() as nursery:
             while True:
-                self._early = trio.Event()
-                self._place = self._find_place()
+                self._early_report = trio.Event()
+                self._expected_and_position = self._find_expected_and_position()
                 for owner, buckets in self._buckets_by_owner().items():
-                    if owner not in self._asking:
+                    if owner not in self._pending_reports:
                         nursery.start_soon(self._report, owner, buckets)
-                self._withdraw(nursery)
-                self._forget_unused()
+                self._request_releases(nursery)
+                self._drop_unused()
                 with self._clock.timeout_ms(self._times.report_ms):
-                    await self._early.wait()
-                    await self._clock.sleep_ms(_EARLY_REPORT_MS)
+                    await self._early_report.wait()
+                    await self._clock.sleep_ms(_EARLY_REPORT_DELAY_MS)
 
-    async def hand_back(self) -> None:
-        """Use nothing more, and tell the owners so."""
-        self.holder.left = True
+    async def release_all(self) -> None:
+        """Stop using shares and release them at their owners."""
+        self.holder.has_left = True
         async with trio.open_nursery() as nursery:
             for owner, buckets in self._buckets_by_owner().items():
                 parts = tuple(BucketReport(bucket, 0, False, ()) for bucket in buckets)
-                report = ShareReport(*self._place, parts, leaving=True)
-                nursery.start_soon(self._ask, owner, report)
+                report = ShareReport(*self._expected_and_position, parts, leaving=True)
+                nursery.start_soon(self._send_report, owner, report)
 
     async def _start(self, row: Row, limit: RowLimit, deadline_at_ms: float) -> None:
-        limit.note_arrival(now_ms=self._clock.now_ms())
+        limit.record_arrival(now_ms=self._clock.now_ms())
         if not limit.waiting and self._try_start(row, limit):
             return
-        # A row that nobody used lately has no share here, or a small one, until
-        # its demand is known. Refusing its first requests would be wrong while
-        # the tier has room; they wait, and hurry the reports.
-        first = self._clock.now_ms() < limit.wanted_since_ms + _NEW_DEMAND_MS
+        # A row that was idle has no share here, or a small one, until its demand is
+        # reported. The tier may have capacity for its first requests, so they wait
+        # and trigger an early report instead of being refused.
+        first = self._clock.now_ms() < limit.active_since_ms + _NEW_DEMAND_PERIOD_MS
         if first:
-            self._early.set()
-        patience_ms = _FIRST_GRANT_MS if first else _PATIENCE_MS
-        patience_ms = min(patience_ms, deadline_at_ms - self._clock.now_ms())
+            self._early_report.set()
+        max_wait_ms = _FIRST_GRANT_WAIT_MS if first else _MAX_WAIT_MS
+        max_wait_ms = min(max_wait_ms, deadline_at_ms - self._clock.now_ms())
         wait_ms = limit.wait_ms(self.usable(row), ahead=limit.waiting)
-        if wait_ms > patience_ms and not first:
+        if wait_ms > max_wait_ms and not first:
             raise self._refusal(row, limit, wait_ms)
         limit.waiting += 1
         try:
-            with self._clock.timeout_ms(patience_ms):
-                async with limit.turn:
-                    await self._wait_turn(row, limit)
+            with self._clock.timeout_ms(max_wait_ms):
+                async with limit.head_lock:
+                    await self._wait_to_start(row, limit)
                 return
         finally:
             limit.waiting -= 1
@@ -211,11 +211,11 @@
     def _try_start(self, row: Row, limit: RowLimit) -> bool:
         return limit.try_start(self.usable(row), now_ms=self._clock.now_ms())
 
-    async def _wait_turn(self, row: Row, limit: RowLimit) -> None:
+    async def _wait_to_start(self, row: Row, limit: RowLimit) -> None:
         while not self._try_start(row, limit):
             wait_ms = min(limit.wait_ms(self.usable(row)), self._times.report_ms)
-            # A wait that rounds to nothing would let no time pass, for ever.
-            with self._clock.timeout_ms(max(_LEAST_PAUSE_MS, wait_ms)):
+            # A wait that rounds to zero would spin without time passing.
+            with self._clock.timeout_ms(max(_MIN_PAUSE_MS, wait_ms)):
                 await limit.changed.wait()
 
     def _refusal(self, row: Row, limit: RowLimit, wait_ms: float) -> IbisfrontError:
@@ -224,18 +224,20 @@
             wait_ms = self._times.report_ms
         return IbisfrontError(
             ErrorKind.OVER_LIMIT,
-            f"{row.branch}/{row.purpose} is at its limit; {limit.running} run here",
-            retry_after_ms=max(_LEAST_RETRY_MS, math.ceil(wait_ms)),
+            f"{row.branch}/{row.purpose} is at its limit; {limit.running} running here",
+            retry_after_ms=max(_MIN_RETRY_AFTER_MS, math.ceil(wait_ms)),
         )
 
     async def _report(self, owner: str, buckets: list[int]) -> None:
-        self._asking.add(owner)
+        self._pending_reports.add(owner)
         try:
             sent_at_ms = self._clock.now_ms()
-            report = ShareReport(*self._place, self._reports(owner, buckets))
-            grants = await self._ask(owner, report)
+            report = ShareReport(
+                *self._expected_and_position, self._reports(owner, buckets)
+            )
+            grants = await self._send_report(owner, report)
         finally:
-            self._asking.discard(owner)
+            self._pending_reports.discard(owner)
         if not isinstance(grants, ShareGrants):
             self._counters.add(CounterKind.SHARES, "unanswered")
             return
@@ -248,26 +250,30 @@
         )
         for item in grants.rows:
             if item.row in self._rows:
-                self._rows[item.row].note_change()
+                self._rows[item.row].notify_waiters()
 
-    def _withdraw(self, nursery: trio.Nursery) -> None:
+    def _request_releases(self, nursery: trio.Nursery) -> None:
         now_ms = self._clock.now_ms()
-        for owner, parts in self.holder.withdrawals(now_ms=now_ms).items():
-            if owner not in self._withdrawing:
-                nursery.start_soon(self._withdraw_from, owner, tuple(parts))
+        for owner, parts in self.holder.release_requests(now_ms=now_ms).items():
+            if owner not in self._pending_releases:
+                nursery.start_soon(self._request_release, owner, tuple(parts))
 
-    async def _withdraw_from(self, owner: str, parts: tuple[BucketReport, ...]) -> None:
-        self._withdrawing.add(owner)
+    async def _request_release(
+        self, owner: str, parts: tuple[BucketReport, ...]
+    ) -> None:
+        self._pending_releases.add(owner)
         try:
-            grants = await self._ask(owner, ShareReport(*self._place, parts))
+            grants = await self._send_report(
+                owner, ShareReport(*self._expected_and_position, parts)
+            )
         finally:
-            self._withdrawing.discard(owner)
+            self._pending_releases.discard(owner)
         if isinstance(grants, ShareGrants):
-            self.holder.release(grants.released, owner)
+            self.holder.reclaim(grants.released, owner)
 
-    async def _ask(self, owner: str, report: ShareReport) -> object:
+    async def _send_report(self, owner: str, report: ShareReport) -> object:
         if owner == self._members.own_name:
-            return self.owner.answer(owner, report)
+            return self.owner.handle_report(owner, report)
         if self._peers is None:
             return None
         return await self._peers.ask(
@@ -276,50 +282,50 @@
 
     def _reports(self, owner: str, buckets: list[int]) -> tuple[BucketReport, ...]:
         now_ms = self._clock.now_ms()
-        wanted: dict[int, list[RowDemand]] = {bucket: [] for bucket in buckets}
+        demands: dict[int, list[RowDemand]] = {bucket: [] for bucket in buckets}
         for key, limit in self._rows.items():
-            rows = wanted.get(bucket_of(key))
-            if rows is not None and limit.is_wanted(now_ms=now_ms):
-                wanted_now = limit.demand(key, now_ms=now_ms)
-                rows.append(self._beyond_kept(wanted_now))
+            rows = demands.get(bucket_of(key))
+            if rows is not None and limit.is_active(now_ms=now_ms):
+                demand = limit.demand(key, now_ms=now_ms)
+                rows.append(self._excess_over_reserved(demand))
         return tuple(
             self.holder.report(
-                bucket, owner, tuple(rows), safe=self._safe_of, now_ms=now_ms
+                bucket, owner, tuple(rows), static=self._static_share_of, now_ms=now_ms
             )
-            for bucket, rows in wanted.items()
+            for bucket, rows in demands.items()
         )
 
-    def _beyond_kept(self, wanted: RowDemand) -> RowDemand:
-        row = self._find_row(wanted.row)
+    def _excess_over_reserved(self, total: RowDemand) -> RowDemand:
+        row = self._find_row(total.row)
         if row is None:
-            return wanted
-        kept = kept_share(self._safe_share(row))
+            return total
+        reserved = reserved_share(self._static_share(row))
         demand = Share(
-            max(0.0, wanted.demand.rate_per_s - kept.rate_per_s),
-            max(0, wanted.demand.in_flight - kept.in_flight),
+            max(0.0, total.demand.rate_per_s - reserved.rate_per_s),
+            max(0, total.demand.in_flight - reserved.in_flight),
         )
-        return RowDemand(wanted.row, demand, max(0, wanted.running - kept.in_flight))
+        return RowDemand(total.row, demand, max(0, total.running - reserved.in_flight))
 
     def _buckets_by_owner(self) -> dict[str, list[int]]:
         names = [member.name for member in self._members.live()]
-        names = names or [self._members.own_name]  # the last one, leaving
-        if names != self._owned_among:
-            self._owned_among = names
-            self._owned = {}
+        names = names or [self._members.own_name]  # the last instance leaves
+        if names != self._assignment_members:
+            self._assignment_members = names
+            self._assignment = {}
             for bucket in range(BUCKETS):
                 owner = rendezvous_order(f"shares/{bucket}", names)[0]
-                self._owned.setdefault(owner, []).append(bucket)
-        return self._owned
+                self._assignment.setdefault(owner, []).append(bucket)
+        return self._assignment
 
-    def _safe_share(self, row: Row) -> Share:
-        expected, position = self._place
-        return safe_share(row, expected=expected, position=position)
+    def _static_share(self, row: Row) -> Share:
+        expected, position = self._expected_and_position
+        return static_share(row, expected=expected, position=position)
 
-    def _safe_of(self, key: RowKey) -> Share:
+    def _static_share_of(self, key: RowKey) -> Share:
         row = self._find_row(key)
-        return NO_SHARE if row is None else self._safe_share(row)
+        return NO_SHARE if row is None else self._static_share(row)
 
-    def _find_place(self) -> tuple[int, int]:
+    def _find_expected_and_position(self) -> tuple[int, int]:
         names = [member.name for member in self._members.expected()]
         own_name = self._members.own_name
         return len(names), names.index(own_name) if own_name in names else 0
@@ -335,12 +341,12 @@
         table = self._find_table()
         return None if table is None else table.row(key.branch, key.purpose)
 
-    def _forget_unused(self) -> None:
+    def _drop_unused(self) -> None:
         now_ms = self._clock.now_ms()
         unused = [
             key
             for key, limit in self._rows.items()
-            if not limit.waiting and not limit.is_wanted(now_ms=now_ms)
+            if not limit.waiting and not limit.is_active(now_ms=now_ms)
         ]
         for key in unused:
             del self._rows[key]
--- a/ibisfront/daemon.py
+++ b/ibisfront/daemon.py
@@ -90,7 +90,7 @@
         # Not before the listener is closed: a balancer that is slower than its
         # lag still sends requests while the peers are told, and without shares
         # each of them would be refused.
-        await instance.shares.hand_back()
+        await instance.shares.release_all()
         nursery.cancel_scope.cancel()
     _LOG.info("%s has stopped.", settings.instance.name)
 
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -192,7 +192,7 @@
     async def search(self, request: CallerRequest) -> Answer:
         """Return one whole answer; see ``CallerService``."""
         row, purpose = self._row(request, "search")
-        async with self.admission.admitted(
+        async with self.admission.admit(
             row, purpose, deadline_at_ms=request.deadline_at_ms
         ) as place:
             answer = await self.fanout.search(request, purpose)
@@ -202,7 +202,7 @@
     async def perform(self, request: CallerRequest, key: str) -> PerformAnswer:
         """Run non-idempotent work at most once; see ``CallerService``."""
         row, purpose = self._row(request, "perform")
-        async with self.admission.admitted(
+        async with self.admission.admit(
             row, purpose, deadline_at_ms=request.deadline_at_ms
         ):
             return await self.ledger.perform(request, purpose, key)
--- a/ibisfront/testing/share_cluster.py
+++ b/ibisfront/testing/share_cluster.py
@@ -145,7 +145,7 @@
         node.load = Load()
         while node.running:
             await self.clock.sleep_ms(1.0)
-        await node.shares.hand_back()
+        await node.shares.release_all()
         self.nodes.pop(name)
         node.scope.cancel()
         self.network.leave(name)
@@ -260,7 +260,7 @@
     async def _request(self, node: ShareNode, load: Load) -> None:
         now_ms = self.clock.now_ms()
         try:
-            async with node.shares.started(self.row, deadline_at_ms=now_ms + 2_000.0):
+            async with node.shares.acquire(self.row, deadline_at_ms=now_ms + 2_000.0):
                 self.started.append(Started(self.clock.now_ms(), node.name))
                 node.running += 1
                 self.most_running = max(self.most_running, self.running)
--- a/ibisfront/tests/test_admission.py
+++ b/ibisfront/tests/test_admission.py
@@ -35,7 +35,7 @@
         row = Row(branch, purpose.name, limit_per_s=1e6, max_in_flight=10_000)
         sent_ms = self.clock.now_ms()
         try:
-            async with self.admission.admitted(
+            async with self.admission.admit(
                 row, purpose, deadline_at_ms=sent_ms + budget_ms
             ):
                 self.waits_ms.append(self.clock.now_ms() - sent_ms)
@@ -172,6 +172,6 @@
         admission = lone_admission(counters)
         row = Row("vestry", "bulk", max_in_flight=0)
         with self.assertRaises(IbisfrontError):
-            async with admission.admitted(row, BULK, deadline_at_ms=1e9):
+            async with admission.admit(row, BULK, deadline_at_ms=1e9):
                 self.fail("nothing may run")
         self.assertEqual(counters.value(CounterKind.REFUSALS, "over_limit"), 1)
--- a/ibisfront/tests/test_fair_queue.py
+++ b/ibisfront/tests/test_fair_queue.py
@@ -80,4 +80,4 @@
             queue.push(waiter("flood"))
         queue.push(newest)
         queue.push(waiter("vestry"))
-        self.assertIs(queue.longest_over_share(8), newest)
+        self.assertIs(queue.eviction_candidate(8), newest)
--- a/ibisfront/tests/test_group_queue.py
+++ b/ibisfront/tests/test_group_queue.py
@@ -86,7 +86,7 @@
         sent_ms = self.clock.now_ms()
         row = Row(branch, purpose.name)
         try:
-            async with self.group.place(
+            async with self.group.acquire(
                 row, purpose, deadline_at_ms=sent_ms + budget_ms
             ) as place:
                 place.shed = not await self.backend.run()
--- a/ibisfront/tests/test_max_min.py
+++ b/ibisfront/tests/test_max_min.py
@@ -15,7 +15,7 @@
 
     def test_the_given_part_of_what_is_left_over_is_split_equally(self):
         self.assertEqual(divide(10.0, [1.0, 3.0]), [1.0, 3.0])
-        self.assertEqual(divide(10.0, [1.0, 3.0], spare_part=0.5), [2.5, 4.5])
+        self.assertEqual(divide(10.0, [1.0, 3.0], surplus_fraction=0.5), [2.5, 4.5])
 
     def test_whole_units_are_all_given_out(self):
         self.assertEqual(divide_whole(3, [2.0] * 5), [1, 1, 1, 0, 0])
--- a/ibisfront/tests/test_shares.py
+++ b/ibisfront/tests/test_shares.py
@@ -9,7 +9,7 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.core.rendezvous import rendezvous_order
-from ibisfront.core.share_messages import bucket_of, row_key, safe_share
+from ibisfront.core.share_messages import bucket_of, row_key, static_share
 from ibisfront.core.table import Row
 from ibisfront.testing.share_cluster import Load, ShareCluster
 from ibisfront.tests import trio_test
@@ -64,7 +64,8 @@
         for places in (0, 1, 3, 8, 9, 200):
             row = Row("vestry", "bulk", limit_per_s=10.0, max_in_flight=places)
             shares = [
-                safe_share(row, expected=9, position=position) for position in range(9)
+                static_share(row, expected=9, position=position)
+                for position in range(9)
             ]
             self.assertEqual(sum(share.in_flight for share in shares), places)
             self.assertAlmostEqual(sum(share.rate_per_s for share in shares), 10.0)
@@ -109,7 +110,7 @@
         async with cluster(loads=[0.0] * 9) as tier:
             shares = tier.nodes["i5"].shares
             started_ms = tier.clock.now_ms()
-            async with shares.started(ROW, deadline_at_ms=started_ms + 2_000.0):
+            async with shares.acquire(ROW, deadline_at_ms=started_ms + 2_000.0):
                 waited_ms = tier.clock.now_ms() - started_ms
             self.assertLess(waited_ms, 100.0)
 
@@ -223,7 +224,7 @@
         """Check that every instance starts a first request soon."""
         for node in tier.nodes.values():
             now_ms = tier.clock.now_ms()
-            async with node.shares.started(tier.row, deadline_at_ms=now_ms + 2_000.0):
+            async with node.shares.acquire(tier.row, deadline_at_ms=now_ms + 2_000.0):
                 self.assertLess(tier.clock.now_ms() - now_ms, 100.0, node.name)
 
     @trio_test
@@ -270,5 +271,5 @@
             shares = tier.nodes["i7"].shares
             for _ in range(8):
                 deadline_at_ms = tier.clock.now_ms() + 2_000.0
-                async with shares.started(ROW, deadline_at_ms=deadline_at_ms):
+                async with shares.acquire(ROW, deadline_at_ms=deadline_at_ms):
                     await tier.clock.sleep_ms(70.0)
