--- a/benchmarks/membership_slopes.py
+++ b/benchmarks/membership_slopes.py
@@ -29,7 +29,7 @@
 from ibisfront.core.overlay import neighbour_names
 from ibisfront.core.table import TABLE_NAME, Purpose, Row, Table
 from ibisfront.testing.platform_state import FakePlatform
-from ibisfront.testing.shared_cluster import SharedCluster, SharedNode
+from ibisfront.testing.shared_state_cluster import SharedStateCluster, SharedStateNode
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -130,12 +130,12 @@
     clock = Clock()
     async with trio.open_nursery() as nursery:
         platform = FakePlatform(clock=clock)
-        cluster = SharedCluster(platform=platform, clock=clock, nursery=nursery)
+        cluster = SharedStateCluster(platform=platform, clock=clock, nursery=nursery)
         await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(1.0))
         gc.collect()
         tracemalloc.start()
         nodes = cluster.start(*range(count))
-        await cluster.until(partial(_whole, cluster), within_ms=_GIVE_UP_MS)
+        await cluster.wait_until(partial(_whole, cluster), within_ms=_GIVE_UP_MS)
         await clock.sleep_ms(_SETTLE_MS)
         gc.collect()
         state_bytes = tracemalloc.get_traced_memory()[0]
@@ -162,7 +162,7 @@
 
 
 async def _spent_during(
-    cluster: SharedCluster, run: Callable[[], Awaitable[None]]
+    cluster: SharedStateCluster, run: Callable[[], Awaitable[None]]
 ) -> _Spent:
     nodes = list(cluster.nodes.values())
     started_ms = cluster.clock.now_ms()
@@ -180,29 +180,29 @@
     )
 
 
-def _counted(nodes: list[SharedNode], kind: CounterKind) -> int:
+def _counted(nodes: list[SharedStateNode], kind: CounterKind) -> int:
     return sum(node.counters.value(kind, "sent") for node in nodes)
 
 
-async def _edit(cluster: SharedCluster) -> None:
+async def _edit(cluster: SharedStateCluster) -> None:
     version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
     nodes = cluster.nodes.values()
-    await cluster.until(
+    await cluster.wait_until(
         lambda: all(node.catalogue.table_version == version for node in nodes),
         within_ms=_GIVE_UP_MS,
     )
 
 
-async def _replace(cluster: SharedCluster, node: SharedNode) -> None:
+async def _replace(cluster: SharedStateCluster, node: SharedStateNode) -> None:
     name = node.members.own_name
     await cluster.kill(name)
     await cluster.clock.sleep_ms(_SETTLE_MS)
     cluster.start(int(name.removeprefix("i")))
-    await cluster.until(partial(_whole, cluster), within_ms=_GIVE_UP_MS)
+    await cluster.wait_until(partial(_whole, cluster), within_ms=_GIVE_UP_MS)
     await cluster.clock.sleep_ms(_SETTLE_MS)
 
 
-def _whole(cluster: SharedCluster) -> bool:
+def _whole(cluster: SharedStateCluster) -> bool:
     nodes = list(cluster.nodes.values())
     digest = nodes[0].members.digest
     return all(
--- a/benchmarks/share_policies.py
+++ b/benchmarks/share_policies.py
@@ -149,9 +149,9 @@
 
 
 async def _cut(tier: ShareCluster) -> None:
-    tier.cut({"i1", "i2", "i9"})
+    tier.partition({"i1", "i2", "i9"})
     await tier.clock.sleep_ms(6_000.0)
-    tier.mend()
+    tier.heal()
 
 
 async def _pause(tier: ShareCluster) -> None:
@@ -198,9 +198,9 @@
             for second in range(MEASURED_S)
         ]
         figures = Figures(
-            worst_second=tier.worst_rate(1_000.0, from_ms=from_ms),
-            worst_five_seconds=tier.worst_rate(5_000.0, from_ms=from_ms),
-            most_running=tier.most_running / ROW.max_in_flight,
+            worst_second=tier.peak_rate_ratio(1_000.0, from_ms=from_ms),
+            worst_five_seconds=tier.peak_rate_ratio(5_000.0, from_ms=from_ms),
+            most_running=tier.max_running / ROW.max_in_flight,
             in_use=sum(seconds) / MEASURED_S / ROW.limit_per_s,
             least_in_use=min(seconds) / ROW.limit_per_s,
         )
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -30,7 +30,7 @@
     collect_status,
 )
 from ibisfront.core.stopping import Stopping
-from ibisfront.shared import SharedState
+from ibisfront.shared_state import SharedState
 
 if TYPE_CHECKING:
     from ibisfront.adapters.entrypoint import AdapterEntrypoint
@@ -98,7 +98,7 @@
             counters=self.counters,
             backend=settings.backend,
             query=settings.query,
-            signs=self.shared.signs,
+            signs=self.shared.server_statuses,
         )
         self.quarantine = Quarantine(
             clock=clock,
@@ -128,7 +128,7 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            signs=self.shared.signs,
+            signs=self.shared.server_statuses,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
--- a/ibisfront/shared.py
+++ b/ibisfront/shared_state.py
@@ -1,4 +1,4 @@
-"""What an instance shares with the others, put together."""
+"""The state that the instances share, and the tasks that keep it up to date."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 class SharedPlatform(WatchedPlatform, InstanceLister, Protocol):
-    """The calls of the platform that keep an instance up to date."""
+    """The platform calls that the shared state depends on."""
 
 
 class SharedState:
-    """The members, the objects and the signs of servers, kept up to date.
+    """The members, the objects and the server statuses, kept up to date.
 
     Parameters
     ----------
@@ -47,9 +47,9 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where changes, messages and calls are counted.
+        Counts changes, messages and calls.
     random : random.Random
-        Spreads calls and streams over time.
+        Source of jitter for calls and streams.
     """
 
     def __init__(
@@ -67,12 +67,14 @@
         self.membership = Membership(
             members, peers=peers, clock=clock, counters=counters, random=random
         )
-        self.spread = ObjectSpread(store, peers=peers, clock=clock, counters=counters)
-        self.signs = ServerSigns(store, peers=peers, clock=clock)
+        self.dissemination = ObjectSpread(
+            store, peers=peers, clock=clock, counters=counters
+        )
+        self.server_statuses = ServerSigns(store, peers=peers, clock=clock)
         self.heartbeats = Heartbeats(
             members=members,
             membership=self.membership,
-            spread=self.spread,
+            spread=self.dissemination,
             peers=peers,
             clock=clock,
             random=random,
@@ -82,7 +84,7 @@
         self._random = random
 
     async def leave(self) -> None:
-        """Tell the peers that this instance is leaving, and wait until it is sent."""
+        """Notify the peers that this instance leaves, and wait until it is sent."""
         self.membership.leave()
         await self.peers.flush()
 
@@ -101,13 +103,13 @@
         platform : SharedPlatform
             The platform.
         seeds : sequence of str
-            Addresses of other instances to try at first.
+            Addresses of other instances to contact at startup.
         wait_ms : float
-            How long one call may wait for a change.
+            How long one watch call may wait for a change.
         """
         watch = PlatformWatch(
             platform=platform,
-            spread=self.spread,
+            spread=self.dissemination,
             members=self.members,
             connected=lambda: self.peers.connected,
             clock=self._clock,
@@ -126,8 +128,8 @@
             random=self._random,
         )
 
-        def woke(late_ms: float) -> None:
-            # What was read or agreed before the pause may be long out of date.
+        def on_pause(late_ms: float) -> None:
+            # State read or agreed before the pause may be stale.
             self.membership.renew()
             self.peers.reset()
             watch.restart()
@@ -142,4 +144,4 @@
             nursery.start_soon(self.heartbeats.run)
             nursery.start_soon(discovery.run)
             nursery.start_soon(watch.run)
-            nursery.start_soon(watch_for_pause, self._clock, woke)
+            nursery.start_soon(watch_for_pause, self._clock, on_pause)
--- a/ibisfront/testing/share_cluster.py
+++ b/ibisfront/testing/share_cluster.py
@@ -1,8 +1,8 @@
-"""Many instances' shares in one process under mock time, with faults.
+"""Shares of many instances in one process under mock time, with faults.
 
 Used by the tests of shares and by the benchmark of share policies. Every
-instance has its own members and gets its own load; requests only hold a place
-for a time. What all of them start together is measured against the table.
+instance has its own member list and its own load. Requests only occupy a slot
+for some time; the starts of all instances are compared with the table's limits.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 
 __all__ = ["Load", "ShareCluster", "ShareNode", "Started"]
 
-SPREAD_MS = 50.0
-"""How long news of a join or a leave takes."""
+DISSEMINATION_MS = 50.0
+"""Delay until the other instances learn of a join or a leave."""
 
-DETECT_MS = 1_500.0
-"""How long it takes to believe that a silent member is dead."""
+FAILURE_DETECTION_MS = 1_500.0
+"""Delay until an unreachable member is declared dead."""
 
 
 class Load(msgspec.Struct):
-    """What callers send to one instance; may be changed at any time.
+    """Load of one instance; may be changed at any time.
 
     Attributes
     ----------
     rate_per_s : float
-        Arrivals, at random moments.
+        Arrival rate, with exponential gaps.
     run_ms : float
-        How long a request runs on average.
+        Mean duration of a request, exponentially distributed.
     """
 
     rate_per_s: float = 0.0
@@ -53,7 +53,7 @@
 
 
 class Started(msgspec.Struct, frozen=True):
-    """One request that was let in."""
+    """One request that was started."""
 
     at_ms: float
     instance: str
@@ -83,15 +83,15 @@
     clock : Clock
         The test's clock.
     nursery : trio.Nursery
-        Where everything runs.
+        The nursery of all tasks.
     row : Row
         The row whose limits are shared.
     times : ShareTimes, optional
-        The times by which shares are lent.
+        Timing of reports and leases.
     seed : int, optional
-        Decides the arrivals.
+        Seed of arrivals and durations.
     new_shares : callable, optional
-        Makes the shares of an instance, to compare policies.
+        Creates the shares of an instance, to compare policies.
     """
 
     def __init__(
@@ -111,36 +111,36 @@
         self.nodes: dict[str, ShareNode] = {}
         self.started: list[Started] = []
         self.refused = 0
-        self.most_running = 0
+        self.max_running = 0
         self._nursery = nursery
         self._random = random.Random(seed)
         self.new_shares = new_shares or self._leased_shares
-        self._cuts: set[frozenset[str]] = set()
+        self._partitioned_pairs: set[frozenset[str]] = set()
         self._incarnation = 0
 
     def start(self, count: int) -> None:
-        """Start instances that know of each other from the beginning."""
+        """Start instances that have each other in their member lists."""
         names = [f"i{number + 1}" for number in range(count)]
         for name in names:
             self._add(name, known=[other for other in names if other != name])
 
     def join(self, name: str) -> ShareNode:
-        """Start one more instance; the others hear of it a moment later."""
+        """Start one more instance, which the others learn of after a delay."""
         live = [node.name for node in self.nodes.values()]
         node = self._add(name, known=live)
-        self._tell_all(node.members.own, after_ms=SPREAD_MS)
+        self._notify_all(node.members.own, after_ms=DISSEMINATION_MS)
         return node
 
     def kill(self, name: str) -> None:
-        """End an instance without a word, and all that it runs."""
+        """Stop an instance and its requests abruptly."""
         node = self.nodes.pop(name)
         node.scope.cancel()
         self.network.leave(name)
         dead = msgspec.structs.replace(node.members.own, state=MemberState.DEAD)
-        self._tell_all(dead, after_ms=DETECT_MS)
+        self._notify_all(dead, after_ms=FAILURE_DETECTION_MS)
 
     async def leave(self, name: str) -> None:
-        """Stop an instance in order."""
+        """Shut an instance down gracefully."""
         node = self.nodes[name]
         node.load = Load()
         while node.running:
@@ -150,30 +150,30 @@
         node.scope.cancel()
         self.network.leave(name)
         left = msgspec.structs.replace(node.members.own, state=MemberState.LEFT)
-        self._tell_all(left, after_ms=SPREAD_MS)
+        self._notify_all(left, after_ms=DISSEMINATION_MS)
 
-    def cut(self, side: set[str]) -> None:
-        """Cut some instances off from the others, both ways."""
+    def partition(self, side: set[str]) -> None:
+        """Partition some instances from the others, in both directions."""
         for name in side:
             for other in set(self.nodes) - side:
                 self.network.cut(name, other)
-                self._cuts.add(frozenset((name, other)))
-        self._nursery.start_soon(self._detect_cut)
+                self._partitioned_pairs.add(frozenset((name, other)))
+        self._nursery.start_soon(self._detect_partition)
 
-    def mend(self) -> None:
-        """End every cut; members come back to life a moment later."""
+    def heal(self) -> None:
+        """End every partition; members become live again after a delay."""
         self.network.mend()
-        self._cuts.clear()
+        self._partitioned_pairs.clear()
         for node in self.nodes.values():
             self._incarnation += 1
             alive = msgspec.structs.replace(
                 node.members.own, incarnation=self._incarnation
             )
             node.members.merge(alive)
-            self._tell_all(alive, after_ms=SPREAD_MS)
+            self._notify_all(alive, after_ms=DISSEMINATION_MS)
 
     async def pause(self, name: str, duration_ms: float) -> None:
-        """Let an instance do nothing for a time, as under SIGSTOP."""
+        """Suspend an instance for some time, as SIGSTOP does."""
         node = self.nodes[name]
         node.reporting.cancel()
         load, node.load = node.load, Load()
@@ -186,30 +186,30 @@
         self._nursery.start_soon(self._report, node)
 
     def set_loads(self, rates_per_s: list[float], *, run_ms: float = 20.0) -> None:
-        """Give each instance, by name, its load."""
+        """Set the load of each instance, in the order of their names."""
         for name, rate in zip(sorted(self.nodes), rates_per_s, strict=True):
             self.nodes[name].load = Load(rate, run_ms)
 
     def count(self, from_ms: float, to_ms: float) -> int:
-        """Return how many requests started in a span of time."""
+        """Return how many requests started in an interval."""
         times = [item.at_ms for item in self.started]
         return bisect_left(times, to_ms) - bisect_left(times, from_ms)
 
-    def worst_rate(self, window_ms: float, *, from_ms: float = 0.0) -> float:
-        """Return the most requests started in a window, over the limit's part."""
+    def peak_rate_ratio(self, window_ms: float, *, from_ms: float = 0.0) -> float:
+        """Return the highest start rate in any window, relative to the limit."""
         times = [item.at_ms for item in self.started if item.at_ms >= from_ms]
-        most = max(
+        max_started = max(
             (
                 bisect_left(times, at + window_ms) - index
                 for index, at in enumerate(times)
             ),
             default=0,
         )
-        return most / (self.row.limit_per_s * window_ms / 1000.0)
+        return max_started / (self.row.limit_per_s * window_ms / 1000.0)
 
     @property
     def running(self) -> int:
-        """How many requests run now at all instances."""
+        """The number of requests that run at all instances."""
         return sum(node.running for node in self.nodes.values())
 
     def _add(self, name: str, *, known: list[str]) -> ShareNode:
@@ -263,7 +263,7 @@
             async with node.shares.acquire(self.row, deadline_at_ms=now_ms + 2_000.0):
                 self.started.append(Started(self.clock.now_ms(), node.name))
                 node.running += 1
-                self.most_running = max(self.most_running, self.running)
+                self.max_running = max(self.max_running, self.running)
                 try:
                     await self.clock.sleep_ms(
                         self._random.expovariate(1.0 / load.run_ms)
@@ -273,20 +273,23 @@
         except IbisfrontError:
             self.refused += 1
 
-    def _tell_all(self, member: Member, *, after_ms: float) -> None:
+    def _notify_all(self, member: Member, *, after_ms: float) -> None:
         for name in list(self.nodes):
-            if name != member.name and frozenset((name, member.name)) not in self._cuts:
-                self._nursery.start_soon(self._tell, name, member, after_ms)
+            if (
+                name != member.name
+                and frozenset((name, member.name)) not in self._partitioned_pairs
+            ):
+                self._nursery.start_soon(self._notify, name, member, after_ms)
 
-    async def _tell(self, name: str, member: Member, after_ms: float) -> None:
+    async def _notify(self, name: str, member: Member, after_ms: float) -> None:
         await self.clock.sleep_ms(after_ms)
         if name in self.nodes:
             self.nodes[name].members.merge(member)
 
-    async def _detect_cut(self) -> None:
-        cuts = set(self._cuts)
-        await self.clock.sleep_ms(DETECT_MS)
-        for pair in cuts & self._cuts:
+    async def _detect_partition(self) -> None:
+        pairs = set(self._partitioned_pairs)
+        await self.clock.sleep_ms(FAILURE_DETECTION_MS)
+        for pair in pairs & self._partitioned_pairs:
             for name in pair & set(self.nodes):
                 (other,) = pair - {name}
                 known = self.nodes[name].members.get(other)
--- a/ibisfront/testing/shared_cluster.py
+++ b/ibisfront/testing/shared_state_cluster.py
@@ -1,4 +1,4 @@
-"""Several instances' shared state in one process, for tests and slopes."""
+"""Shared states of several instances in one process, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ibisfront.core.counters import Counters
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectKind, ObjectStore
-from ibisfront.shared import SharedState
+from ibisfront.shared_state import SharedState
 from ibisfront.testing.local_platform import LocalPlatform
 from ibisfront.testing.peer_streams import MemoryNetwork
 from ibisfront.testing.platform_types import InstanceList, InstanceRecord
@@ -26,23 +26,23 @@
     from ibisfront.core.clock import Clock
     from ibisfront.testing.platform_state import FakePlatform
 
-__all__ = ["SharedCluster", "SharedNode"]
+__all__ = ["SharedStateCluster", "SharedStateNode"]
 
 _POLL_MS = 20.0
 
 
-class SharedNode:
+class SharedStateNode:
     """The shared state of one instance.
 
     Parameters
     ----------
     own : Member
         The instance.
-    cluster : SharedCluster
-        Where it runs.
+    cluster : SharedStateCluster
+        The cluster that it belongs to.
     """
 
-    def __init__(self, own: Member, cluster: SharedCluster) -> None:
+    def __init__(self, own: Member, cluster: SharedStateCluster) -> None:
         random = Random(f"{cluster.seed} {own.name} {own.incarnation}")
         self.counters = Counters()
         self.members = Members(own)
@@ -56,7 +56,7 @@
             counters=self.counters,
             random=random,
         )
-        self.shared = SharedState(
+        self.shared_state = SharedState(
             members=self.members,
             store=self.store,
             peers=self.peers,
@@ -68,16 +68,16 @@
         self.stopped = trio.Event()
 
     async def run(self, *, wait_ms: float) -> None:
-        """Run until killed."""
+        """Run until the scope is cancelled."""
         try:
             with self.scope:
-                await self.shared.run(self.platform, seeds=(), wait_ms=wait_ms)
+                await self.shared_state.run(self.platform, seeds=(), wait_ms=wait_ms)
         finally:
             self.stopped.set()
 
 
-class SharedCluster:
-    """Runs shared states over a platform and a network of one test.
+class SharedStateCluster:
+    """Runs shared states against a test platform and an in-memory network.
 
     Parameters
     ----------
@@ -86,18 +86,18 @@
     clock : Clock
         The test's clock.
     nursery : trio.Nursery
-        Where the instances run.
+        The nursery of the instances.
     zones : int
-        Over how many zones instances are spread in turn.
+        The number of zones, over which instances are distributed round-robin.
     wait_ms : float
-        How long one call of a watch may wait.
+        How long one watch call may wait.
     seed : int
-        For whatever is drawn at random.
+        Seed of the random generators.
 
     Attributes
     ----------
     incarnations : int
-        The incarnation of the last instance started; the next has one more.
+        The incarnation of the last instance started; the next one adds 1.
     """
 
     def __init__(
@@ -113,66 +113,66 @@
         self.platform = platform
         self.clock = clock
         self.network = MemoryNetwork()
-        self.nodes: dict[str, SharedNode] = {}
+        self.nodes: dict[str, SharedStateNode] = {}
         self.seed = seed
         self._nursery = nursery
         self._zones = zones
         self._wait_ms = wait_ms
         self.incarnations = 0
 
-    def start(self, *numbers: int) -> list[SharedNode]:
-        """Start instances by number, anew if they ran before."""
+    def start(self, *numbers: int) -> list[SharedStateNode]:
+        """Start or restart instances by number."""
         started = [self._start(number) for number in numbers]
-        self.announce()
+        self.publish_instances()
         return started
 
-    def run(self, node: SharedNode) -> None:
-        """Run one more instance, whoever it says that it is."""
+    def run(self, node: SharedStateNode) -> None:
+        """Run one more instance, whatever its name."""
         self._nursery.start_soon(partial(node.run, wait_ms=self._wait_ms))
 
     async def kill(self, *names: str) -> None:
-        """End instances without a word."""
+        """Stop instances abruptly."""
         for name in names:
             node = self.nodes.pop(name)
             node.scope.cancel()
             await node.stopped.wait()
 
-    def announce(self) -> None:
-        """Let the platform list the instances that run."""
+    def publish_instances(self) -> None:
+        """Publish the running instances as the platform's instance list."""
         records = [
             InstanceRecord(own.name, own.zone, own.peer_address, own.admin_address)
             for own in (node.members.own for node in self.nodes.values())
         ]
         self.platform.set_instances(InstanceList(records))
 
-    def cut_zone(self, zone: str, *, from_platform: bool = True) -> None:
-        """Cut one zone off from the others, and from the platform."""
+    def partition_zone(self, zone: str, *, from_platform: bool = True) -> None:
+        """Partition one zone from the others, and by default from the platform."""
         inside = [n for n in self.nodes.values() if n.members.own.zone == zone]
         addresses = frozenset(node.members.own.peer_address for node in inside)
         self.network.cut(addresses)
         for node in inside:
             node.platform.cut_off = from_platform
 
-    def mend(self) -> None:
-        """End every cut."""
+    def heal(self) -> None:
+        """End every partition."""
         self.network.mend()
         for node in self.nodes.values():
             node.platform.cut_off = False
 
-    async def until(
-        self, holds: Callable[[], bool], *, within_ms: float = 60_000.0
+    async def wait_until(
+        self, condition: Callable[[], bool], *, within_ms: float = 60_000.0
     ) -> float:
-        """Wait until something holds and return how long that took.
+        """Wait until a condition holds and return the elapsed milliseconds.
 
         Raises
         ------
         TimeoutError
-            If it does not hold in time.
+            If the condition does not hold within ``within_ms``.
         """
         started_ms = self.clock.now_ms()
-        while not holds():
+        while not condition():
             if self.clock.now_ms() - started_ms > within_ms:
-                raise TimeoutError(f"not within {within_ms:.0f} ms")
+                raise TimeoutError(f"condition not met within {within_ms:.0f} ms")
             await self.clock.sleep_ms(_POLL_MS)
         return self.clock.now_ms() - started_ms
 
@@ -184,7 +184,7 @@
         built = msgspec.to_builtins(value)
         return await self.platform.put(kind, name, built, if_version=version)
 
-    def _start(self, number: int) -> SharedNode:
+    def _start(self, number: int) -> SharedStateNode:
         self.incarnations += 1
         own = Member(
             name=f"i{number}",
@@ -193,7 +193,7 @@
             admin_address=f"admin-{number}",
             incarnation=self.incarnations,
         )
-        node = SharedNode(own, self)
+        node = SharedStateNode(own, self)
         self.nodes[own.name] = node
         self.run(node)
         return node
--- a/ibisfront/tests/test_membership.py
+++ b/ibisfront/tests/test_membership.py
@@ -22,11 +22,11 @@
 from ibisfront.testing.peers import PeerNetwork
 from ibisfront.testing.platform_state import FakePlatform
 from ibisfront.testing.platform_types import Outage, PlatformFaults
-from ibisfront.testing.shared_cluster import SharedCluster, SharedNode
+from ibisfront.testing.shared_state_cluster import SharedStateCluster, SharedStateNode
 from ibisfront.tests import trio_test
 
 
-def _sees(cluster: SharedCluster, count: int) -> bool:
+def _sees(cluster: SharedStateCluster, count: int) -> bool:
     return all(
         len(node.members.live()) == count and node.members.digest == digest
         for node in cluster.nodes.values()
@@ -34,7 +34,7 @@
     )
 
 
-def _changes(cluster: SharedCluster, reason: str) -> int:
+def _changes(cluster: SharedStateCluster, reason: str) -> int:
     return sum(
         node.counters.value(CounterKind.MEMBER_CHANGES, reason)
         for node in cluster.nodes.values()
@@ -45,14 +45,14 @@
     async def _run(self, count: int, scenario, *, zones: int = 3) -> None:
         clock = Clock()
         async with trio.open_nursery() as nursery:
-            cluster = SharedCluster(
+            cluster = SharedStateCluster(
                 platform=FakePlatform(clock=clock),
                 clock=clock,
                 nursery=nursery,
                 zones=zones,
             )
             cluster.start(*range(count))
-            await cluster.until(lambda: _sees(cluster, count))
+            await cluster.wait_until(lambda: _sees(cluster, count))
             await clock.sleep_ms(3000.0)
             await scenario(cluster)
             nursery.cancel_scope.cancel()
@@ -65,7 +65,7 @@
     async def test_killed_instance_is_dead_everywhere_within_the_bound(self) -> None:
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
-            took_ms = await cluster.until(lambda: _sees(cluster, 4))
+            took_ms = await cluster.wait_until(lambda: _sees(cluster, 4))
             self.assertLess(took_ms, SUSPECT_AFTER_MS + DEAD_AFTER_MS + 1500.0)
             self.assertGreater(took_ms, DEAD_AFTER_MS)
 
@@ -83,7 +83,7 @@
             await cluster.kill("i2")
             await cluster.clock.sleep_ms(SUSPECT_AFTER_MS + 500.0)
             (fresh,) = cluster.start(2)
-            await cluster.until(lambda: _sees(cluster, 5), within_ms=3000.0)
+            await cluster.wait_until(lambda: _sees(cluster, 5), within_ms=3000.0)
             incarnation = fresh.members.own.incarnation
             for node in cluster.nodes.values():
                 seen = node.members.get("i2")
@@ -103,19 +103,19 @@
 
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
-            await cluster.until(lambda: _sees(cluster, 4))
+            await cluster.wait_until(lambda: _sees(cluster, 4))
             cluster.incarnations = -100
             cluster.start(2)
-            await cluster.until(lambda: _sees(cluster, 5), within_ms=10_000.0)
+            await cluster.wait_until(lambda: _sees(cluster, 5), within_ms=10_000.0)
 
         await self._run(5, scenario)
 
     @trio_test
     async def test_leaving_is_known_at_once(self) -> None:
         async def scenario(cluster) -> None:
-            await cluster.nodes["i2"].shared.leave()
+            await cluster.nodes["i2"].shared_state.leave()
             await cluster.kill("i2")
-            await cluster.until(lambda: _sees(cluster, 4), within_ms=200.0)
+            await cluster.wait_until(lambda: _sees(cluster, 4), within_ms=200.0)
             await cluster.clock.sleep_ms(30_000.0)
             self.assertTrue(_sees(cluster, 4))
             self.assertEqual(_changes(cluster, "suspect"), 0)
@@ -132,7 +132,7 @@
 
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
-            await cluster.until(lambda: _sees(cluster, 4))
+            await cluster.wait_until(lambda: _sees(cluster, 4))
             before = _changes(cluster, "live")
             await cluster.clock.sleep_ms(60_000.0)
             self.assertTrue(_sees(cluster, 4))
@@ -146,7 +146,7 @@
 
         async def scenario(cluster) -> None:
             await cluster.kill(*(f"i{number}" for number in range(0, 18, 2)))
-            await cluster.until(lambda: _sees(cluster, 9), within_ms=30_000.0)
+            await cluster.wait_until(lambda: _sees(cluster, 9), within_ms=30_000.0)
 
         await self._run(18, scenario, zones=2)
 
@@ -163,18 +163,18 @@
         """
 
         async def scenario(cluster) -> None:
-            cluster.cut_zone("z1")
+            cluster.partition_zone("z1")
             inside = [n for n in cluster.nodes.values() if n.members.own.zone == "z1"]
             outside = [n for n in cluster.nodes.values() if n.members.own.zone != "z1"]
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: (
                     all(len(node.members.live()) == 3 for node in inside)
                     and all(len(node.members.live()) == 6 for node in outside)
                 )
             )
             await cluster.clock.sleep_ms(15_000.0)
-            cluster.mend()
-            await cluster.until(lambda: _sees(cluster, 9), within_ms=15_000.0)
+            cluster.heal()
+            await cluster.wait_until(lambda: _sees(cluster, 9), within_ms=15_000.0)
 
         await self._run(9, scenario)
 
@@ -223,7 +223,7 @@
             other = msgspec.structs.replace(
                 own, peer_address="peer-x", incarnation=own.incarnation + 10
             )
-            second = SharedNode(other, cluster)
+            second = SharedStateNode(other, cluster)
             cluster.run(second)
             await cluster.clock.sleep_ms(10_000.0)
             refuted = sum(
--- a/ibisfront/tests/test_peers.py
+++ b/ibisfront/tests/test_peers.py
@@ -14,11 +14,11 @@
 from ibisfront.core.spread import NewestKnown
 from ibisfront.core.status import InstanceStatus, StatusReply, StatusRequest
 from ibisfront.testing.platform_state import FakePlatform
-from ibisfront.testing.shared_cluster import SharedCluster
+from ibisfront.testing.shared_state_cluster import SharedStateCluster
 from ibisfront.tests import trio_test
 
 
-def _all_connected(cluster: SharedCluster) -> bool:
+def _all_connected(cluster: SharedStateCluster) -> bool:
     count = len(cluster.nodes)
     return all(
         len(node.peers.connected) == count - 1 for node in cluster.nodes.values()
@@ -31,15 +31,15 @@
     async def _run(self, count: int, scenario) -> None:
         clock = Clock()
         async with trio.open_nursery() as nursery:
-            cluster = SharedCluster(
+            cluster = SharedStateCluster(
                 platform=FakePlatform(clock=clock), clock=clock, nursery=nursery
             )
             cluster.start(*range(count))
-            await cluster.until(lambda: _all_connected(cluster))
+            await cluster.wait_until(lambda: _all_connected(cluster))
             await scenario(cluster)
             nursery.cancel_scope.cancel()
 
-    def _count(self, cluster: SharedCluster, reason: str) -> int:
+    def _count(self, cluster: SharedStateCluster, reason: str) -> int:
         return sum(
             node.counters.value(CounterKind.PEER_MESSAGES, reason)
             for node in cluster.nodes.values()
@@ -63,12 +63,12 @@
         """
         clock = Clock()
         async with trio.open_nursery() as nursery:
-            cluster = SharedCluster(
+            cluster = SharedStateCluster(
                 platform=FakePlatform(clock=clock), clock=clock, nursery=nursery
             )
             cluster.network.dial_ms = 150.0
             cluster.start(*range(3))
-            await cluster.until(lambda: _all_connected(cluster))
+            await cluster.wait_until(lambda: _all_connected(cluster))
             await clock.sleep_ms(20_000.0)
             self.assertGreater(self._count(cluster, "second_stream"), 0)
             self.assertEqual(len(cluster.network.open_streams), 3)
@@ -89,7 +89,7 @@
         async def scenario(cluster) -> None:
             cluster.network.silence_streams()
             silent = set(cluster.network.open_streams)
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: (
                     not silent & cluster.network.open_streams
                     and _all_connected(cluster)
@@ -162,7 +162,7 @@
             asked.answer(StatusRequest, lambda name, question: reply)
             found = await asker.ask("i1", StatusRequest(), timeout_ms=1000.0)
             self.assertEqual(found, reply)
-            cluster.cut_zone("z1")
+            cluster.partition_zone("z1")
             found = await asker.ask("i1", StatusRequest(), timeout_ms=1000.0)
             self.assertIsNone(found)
             found = await asker.ask("unknown", StatusRequest(), timeout_ms=1000.0)
@@ -175,11 +175,11 @@
         """Above the full mesh an instance asks one that is no neighbour."""
         clock = Clock()
         async with trio.open_nursery() as nursery:
-            cluster = SharedCluster(
+            cluster = SharedStateCluster(
                 platform=FakePlatform(clock=clock), clock=clock, nursery=nursery
             )
             nodes = cluster.start(*range(18))
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(len(node.members.live()) == 18 for node in nodes)
             )
             await clock.sleep_ms(12_000.0)
--- a/ibisfront/tests/test_shared.py
+++ b/ibisfront/tests/test_shared_state.py
@@ -11,7 +11,7 @@
 from ibisfront.core.table import TABLE_NAME, Purpose, Row, Table
 from ibisfront.testing.platform_state import FakePlatform
 from ibisfront.testing.platform_types import Outage, PlatformFaults
-from ibisfront.testing.shared_cluster import SharedCluster
+from ibisfront.testing.shared_state_cluster import SharedStateCluster
 from ibisfront.tests import trio_test
 
 
@@ -30,15 +30,19 @@
         clock = Clock()
         async with trio.open_nursery() as nursery:
             platform = FakePlatform(clock=clock)
-            cluster = SharedCluster(platform=platform, clock=clock, nursery=nursery)
+            cluster = SharedStateCluster(
+                platform=platform, clock=clock, nursery=nursery
+            )
             await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(1.0))
             nodes = cluster.start(*range(9))
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(len(node.members.live()) == 9 for node in nodes)
             )
-            await cluster.until(lambda: all(node.catalogue.table for node in nodes))
+            await cluster.wait_until(
+                lambda: all(node.catalogue.table for node in nodes)
+            )
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
-            took_ms = await cluster.until(
+            took_ms = await cluster.wait_until(
                 lambda: all(node.catalogue.table_version == version for node in nodes)
             )
             nursery.cancel_scope.cancel()
@@ -55,18 +59,22 @@
         clock = Clock()
         async with trio.open_nursery() as nursery:
             platform = FakePlatform(clock=clock)
-            cluster = SharedCluster(platform=platform, clock=clock, nursery=nursery)
+            cluster = SharedStateCluster(
+                platform=platform, clock=clock, nursery=nursery
+            )
             await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(1.0))
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
             nodes = cluster.start(*range(3))
-            await cluster.until(lambda: all(node.catalogue.table for node in nodes))
-            await cluster.until(
+            await cluster.wait_until(
+                lambda: all(node.catalogue.table for node in nodes)
+            )
+            await cluster.wait_until(
                 lambda: all(len(node.members.live()) == 3 for node in nodes)
             )
             platform.set_faults(PlatformFaults(outage=Outage.HANG))
             await cluster.kill("i1")
             (fresh,) = cluster.start(1)
-            await cluster.until(lambda: fresh.catalogue.table_version == version)
+            await cluster.wait_until(lambda: fresh.catalogue.table_version == version)
             nursery.cancel_scope.cancel()
         self.assertEqual(fresh.catalogue.table_version, version)
 
@@ -81,7 +89,7 @@
             for node in cluster.nodes.values():
                 node.platform.cut_off = node.members.own.zone == "z1"
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
-            took_ms = await cluster.until(lambda: _in_force(cluster, version))
+            took_ms = await cluster.wait_until(lambda: _in_force(cluster, version))
             self.assertLessEqual(took_ms, 1000.0)
 
         await self._run(9, scenario)
@@ -99,7 +107,7 @@
 
         async def scenario(cluster) -> None:
             old = cluster.nodes["i1"].catalogue.table_version
-            cluster.cut_zone("z1")
+            cluster.partition_zone("z1")
             await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(3.0))
             await cluster.clock.sleep_ms(20_000.0)
@@ -108,7 +116,9 @@
                 expected = old if cut else version
                 self.assertEqual(node.catalogue.table_version, expected)
             cluster.network.mend()
-            await cluster.until(lambda: _in_force(cluster, version), within_ms=15_000.0)
+            await cluster.wait_until(
+                lambda: _in_force(cluster, version), within_ms=15_000.0
+            )
             await cluster.clock.sleep_ms(5000.0)
             self.assertTrue(_in_force(cluster, version))
 
@@ -128,7 +138,7 @@
             for number in range(3):
                 await cluster.kill(f"i{number}")
                 cluster.start(number)
-                await cluster.until(lambda: _in_force(cluster, version))
+                await cluster.wait_until(lambda: _in_force(cluster, version))
             self.assertTrue(_in_force(cluster, version))
 
         await self._run(3, scenario)
@@ -145,7 +155,7 @@
         async def scenario(cluster) -> None:
             old = cluster.nodes["i0"].catalogue.table_version
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
-            await cluster.until(lambda: _in_force(cluster, version))
+            await cluster.wait_until(lambda: _in_force(cluster, version))
             cluster.platform.set_faults(PlatformFaults(stale_revisions=1))
             await cluster.kill("i1")
             cluster.network.cut(frozenset({"peer-1"}))
@@ -155,7 +165,7 @@
                 fresh.platform.cut_off = True
 
             fresh.store.subscribe(lose_platform)
-            await cluster.until(lambda: fresh.catalogue.table_version == old)
+            await cluster.wait_until(lambda: fresh.catalogue.table_version == old)
             cluster.network.mend()
             seen = cluster.nodes["i0"].catalogue
             for _ in range(200):
@@ -171,7 +181,9 @@
         async with trio.open_nursery() as nursery:
             platform = FakePlatform(clock=clock)
             platform.set_faults(PlatformFaults(outage=Outage.HANG))
-            cluster = SharedCluster(platform=platform, clock=clock, nursery=nursery)
+            cluster = SharedStateCluster(
+                platform=platform, clock=clock, nursery=nursery
+            )
             (node,) = cluster.start(0)
             await clock.sleep_ms(30_000.0)
             nursery.cancel_scope.cancel()
@@ -182,11 +194,13 @@
         clock = Clock()
         async with trio.open_nursery() as nursery:
             platform = FakePlatform(clock=clock)
-            cluster = SharedCluster(platform=platform, clock=clock, nursery=nursery)
+            cluster = SharedStateCluster(
+                platform=platform, clock=clock, nursery=nursery
+            )
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(1.0))
             nodes = cluster.start(*range(count))
-            await cluster.until(lambda: _in_force(cluster, version))
-            await cluster.until(
+            await cluster.wait_until(lambda: _in_force(cluster, version))
+            await cluster.wait_until(
                 lambda: all(len(node.members.live()) == count for node in nodes)
             )
             await clock.sleep_ms(3000.0)
@@ -194,7 +208,7 @@
             nursery.cancel_scope.cancel()
 
 
-def _in_force(cluster: SharedCluster, version: int) -> bool:
+def _in_force(cluster: SharedStateCluster, version: int) -> bool:
     return all(
         node.catalogue.table_version == version for node in cluster.nodes.values()
     )
--- a/ibisfront/tests/test_shares.py
+++ b/ibisfront/tests/test_shares.py
@@ -46,9 +46,9 @@
 
     def assert_limits_held(self, tier):
         """Check both limits against all that was started."""
-        self.assertLessEqual(tier.worst_rate(1_000.0), MOST_BURSTS)
-        self.assertLessEqual(tier.worst_rate(5_000.0), 1.02)
-        self.assertLessEqual(tier.most_running, tier.row.max_in_flight)
+        self.assertLessEqual(tier.peak_rate_ratio(1_000.0), MOST_BURSTS)
+        self.assertLessEqual(tier.peak_rate_ratio(5_000.0), 1.02)
+        self.assertLessEqual(tier.max_running, tier.row.max_in_flight)
 
     def assert_not_stranded(self, tier, *, part, seconds=2):
         """Check that the tier uses a part of the limit by now."""
@@ -119,7 +119,7 @@
         row = Row("vestry", "bulk", limit_per_s=1_000.0, max_in_flight=3)
         async with cluster(loads=[20.0] * 9, row=row) as tier:
             await tier.clock.sleep_ms(4_000)
-            self.assertEqual(tier.most_running, 3)
+            self.assertEqual(tier.max_running, 3)
             self.assert_not_stranded(tier, part=0.01)
 
 
@@ -176,10 +176,10 @@
         each side gave out the whole limit to those that it sees.
         """
         async with cluster() as tier:
-            tier.cut({"i1", "i2", "i9"})
+            tier.partition({"i1", "i2", "i9"})
             await tier.clock.sleep_ms(6_000)
             self.assert_not_stranded(tier, part=0.7)
-            tier.mend()
+            tier.heal()
             await tier.clock.sleep_ms(4_000)
             self.assert_limits_held(tier)
 
@@ -188,9 +188,9 @@
         async with cluster(seed=5) as tier:
             tier.kill("i4")
             for _ in range(3):
-                tier.cut({"i1", "i3", "i5"})
+                tier.partition({"i1", "i3", "i5"})
                 await tier.clock.sleep_ms(1_900)
-                tier.mend()
+                tier.heal()
                 await tier.clock.sleep_ms(300)
             tier.join("j1").load = Load(100.0, RUN_MS)
             await tier.clock.sleep_ms(3_000)
--- a/ibisfront/tests/test_watch.py
+++ b/ibisfront/tests/test_watch.py
@@ -17,7 +17,7 @@
 from ibisfront.testing.peers import PeerNetwork
 from ibisfront.testing.platform_state import FakePlatform
 from ibisfront.testing.platform_types import Outage, PlatformFaults
-from ibisfront.testing.shared_cluster import SharedCluster
+from ibisfront.testing.shared_state_cluster import SharedStateCluster
 from ibisfront.tests import trio_test
 
 ZONES = 3
@@ -30,12 +30,12 @@
         clock = Clock()
         async with trio.open_nursery() as nursery:
             platform = FakePlatform(clock=clock)
-            cluster = SharedCluster(
+            cluster = SharedStateCluster(
                 platform=platform, clock=clock, nursery=nursery, zones=ZONES
             )
             await cluster.put(ObjectKind.INDEX, "register", {"snapshots": []})
             cluster.start(*range(count))
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(
                     len(node.members.live()) == count for node in cluster.nodes.values()
                 )
@@ -44,7 +44,7 @@
             await scenario(cluster)
             nursery.cancel_scope.cancel()
 
-    async def _reads_in_a_minute(self, cluster: SharedCluster) -> int:
+    async def _reads_in_a_minute(self, cluster: SharedStateCluster) -> int:
         before = cluster.platform.state().reads.total
         await cluster.clock.sleep_ms(60_000.0)
         return cluster.platform.state().reads.total - before
@@ -80,7 +80,7 @@
             waiting = cluster.platform.state().watches_waiting
             self.assertEqual(waiting, ZONES * WATCHERS_PER_ZONE)
             version = await cluster.put(ObjectKind.INDEX, "more", {"snapshots": []})
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(
                     node.store.revision >= version for node in cluster.nodes.values()
                 ),
@@ -106,7 +106,7 @@
             burst = cluster.platform.state().reads.total - before
             self.assertLessEqual(burst, ZONES * WATCHERS_PER_ZONE)
             version = await cluster.put(ObjectKind.INDEX, "more", {"snapshots": []})
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(
                     node.store.revision >= version for node in cluster.nodes.values()
                 ),
--- a/properties/test_limits_properties.py
+++ b/properties/test_limits_properties.py
@@ -70,9 +70,9 @@
         case ChangeKind.LEAVE if len(names) > 2:
             await tier.leave(name)
         case ChangeKind.CUT:
-            tier.cut(set(names[: 1 + change.which % (len(names) - 1)]))
+            tier.partition(set(names[: 1 + change.which % (len(names) - 1)]))
         case ChangeKind.MEND:
-            tier.mend()
+            tier.heal()
         case ChangeKind.PAUSE:
             await tier.pause(name, change.then_ms)
         case _:
@@ -103,7 +103,7 @@
             await tier.clock.sleep_ms(change.then_ms)
         await tier.clock.sleep_ms(SETTLE_MS)
         nursery.cancel_scope.cancel()
-    return most_per_s, tier.most_running
+    return most_per_s, tier.max_running
 
 
 class LimitsPropertyTest(unittest.TestCase):
