--- a/ibisfront/tests/test_admission.py
+++ b/ibisfront/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission: who is let in, refused at once, or given up on."""
+"""Tests of admission: which requests start, are refused or time out."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Caller:
-    """Sends requests and notes how each one went."""
+    """Sends requests and records the outcome of each."""
 
     def __init__(self, admission, clock):
         self.admission = admission
@@ -31,7 +31,7 @@
         self.errors = []
 
     async def send(self, branch, purpose, *, budget_ms=1000.0, run_ms=RUN_MS):
-        """Send one request and hold its place for as long as it runs."""
+        """Send one request and hold its slot while it runs."""
         row = Row(branch, purpose.name, limit_per_s=1e6, max_in_flight=10_000)
         sent_ms = self.clock.now_ms()
         try:
@@ -45,8 +45,8 @@
             self.errors.append(error)
 
 
-def lone_admission(counters):
-    """Return the admission of a tier of one instance."""
+def single_instance_admission(counters):
+    """Return the admission of a tier with a single instance."""
     clock = Clock()
     shares = Shares(
         members=Members(Member("i1", "z1", "", "")),
@@ -59,23 +59,22 @@
 
 
 def new_caller():
-    """Return a caller of a new admission whose run time is known."""
+    """Return a caller of a new admission with a known request duration."""
     clock = Clock()
-    admission = lone_admission(Counters())
+    admission = single_instance_admission(Counters())
     admission.group(BULK).limit.duration_ms = RUN_MS
     return Caller(admission, clock)
 
 
 class AdmissionTest(unittest.TestCase):
-    """Refusals come at once, and places are never lost."""
+    """Refusals are immediate, and slots do not leak."""
 
     @trio_test
-    async def test_urgent_request_finds_a_place_while_bulk_fills_all(self):
-        """A desk check waits behind the bulk run of another branch.
+    async def test_urgent_request_gets_a_slot_while_bulk_fills_all(self):
+        """An urgent request must not wait behind the bulk of another branch.
 
-        Seen: name checks take as long as the bulk queue. Order: a branch
-        sends 300 bulk searches, then another's desk sends one check. Cause:
-        one queue in order of arrival before a fixed number of places.
+        With one FIFO queue for a fixed number of slots, a name check waits for
+        the 300 bulk searches that another branch sent before it.
         """
         caller = new_caller()
         async with trio.open_nursery() as nursery:
@@ -88,12 +87,11 @@
         self.assertEqual(desk.waits_ms, [0.0])
 
     @trio_test
-    async def test_request_that_cannot_make_it_is_refused_at_once(self):
-        """A caller waits out its whole deadline only to be refused.
+    async def test_request_that_would_miss_its_deadline_is_refused_at_once(self):
+        """A request that cannot start before its deadline is refused on arrival.
 
-        Seen: a refusal after two seconds that could have been said at once.
-        Order: the queue holds more work than drains before the deadline, then
-        a request arrives. Cause: the wait was not weighed on arrival.
+        Unless the wait is estimated on arrival, a caller waits until its deadline,
+        two seconds for instance, when the queue holds more work than drains before.
         """
         caller = new_caller()
         async with trio.open_nursery() as nursery:
@@ -110,7 +108,7 @@
         self.assertGreater(error.retry_after_ms, 100)
 
     @trio_test
-    async def test_request_given_up_on_in_the_queue_is_answered_then(self):
+    async def test_request_that_times_out_in_the_queue_is_refused_then(self):
         caller = new_caller()
         async with trio.open_nursery() as nursery:
             for _ in range(18):
@@ -126,12 +124,11 @@
         self.assertAlmostEqual(error.after_ms, 100 - RUN_MS, places=3)
 
     @trio_test
-    async def test_cancelled_requests_give_back_their_places(self):
-        """The tier gets slower with each caller that hangs up.
+    async def test_cancelled_requests_return_their_slots(self):
+        """Disconnecting callers must not leak slots or queue entries.
 
-        Seen: after a wave of callers that disconnect, every request is
-        refused though nothing runs. Order: callers wait or run, then all hang
-        up. Cause: a place or a place in the queue that nobody gives back.
+        If waiting or running requests do not return them when cancelled, every
+        later request is refused although nothing runs.
         """
         caller = new_caller()
         async with trio.open_nursery() as nursery:
@@ -144,12 +141,11 @@
         self.assertEqual(caller.admission.shares.running, 0)
 
     @trio_test
-    async def test_full_queue_refuses_the_flood_and_not_its_victim(self):
-        """One branch's flood fills the queue and shuts every other out.
+    async def test_full_queue_refuses_the_flooding_branch_only(self):
+        """A branch that fills the queue must not lock the others out.
 
-        Seen: a quiet branch is refused although it sends little. Order: a
-        flood fills the bounded queue, then the quiet branch sends. Cause: a
-        full queue refused whoever came last.
+        If a full queue refuses the newest request, a branch that sends little is
+        refused after another branch has flooded the bounded queue.
         """
         caller = new_caller()
         flood = Caller(caller.admission, caller.clock)
@@ -164,12 +160,12 @@
         self.assertTrue(flood.errors)
         for error in flood.errors:
             self.assertIs(error.kind, ErrorKind.OVERLOADED)
-            self.assertLessEqual(error.after_ms, 1.0)  # the quiet one came at 1
+            self.assertLessEqual(error.after_ms, 1.0)  # "quiet" sends at 1 ms
 
     @trio_test
     async def test_refusals_are_counted_by_reason(self):
         counters = Counters()
-        admission = lone_admission(counters)
+        admission = single_instance_admission(counters)
         row = Row("vestry", "bulk", max_in_flight=0)
         with self.assertRaises(IbisfrontError):
             async with admission.admit(row, BULK, deadline_at_ms=1e9):
--- a/ibisfront/tests/test_fair_queue.py
+++ b/ibisfront/tests/test_fair_queue.py
@@ -10,15 +10,15 @@
 
 
 def waiter(branch, purpose="bulk", *, weight=1.0, urgent=False):
-    """Return a waiter of a row."""
+    """Return a waiter of the given row."""
     return Waiter(branch, purpose, weight=weight, urgent=urgent)
 
 
 class FairQueueTest(unittest.TestCase):
-    """Who goes next."""
+    """The order in which requests start."""
 
     @trio_test
-    async def test_turns_follow_the_weights(self):
+    async def test_service_order_follows_the_weights(self):
         queue = FairQueue()
         for _ in range(60):
             queue.push(waiter("vestry", weight=3.0))
@@ -27,7 +27,7 @@
         self.assertEqual(first, {"vestry": 30, "harbour": 10})
 
     @trio_test
-    async def test_an_idle_branch_waits_for_one_turn_of_a_flood_only(self):
+    async def test_an_idle_branch_waits_for_one_request_of_a_flood_only(self):
         queue = FairQueue()
         for _ in range(500):
             queue.push(waiter("flood"))
@@ -38,7 +38,7 @@
         self.assertIn(newcomer, [queue.pop() for _ in range(2)])
 
     @trio_test
-    async def test_an_idle_branch_saves_up_no_turns(self):
+    async def test_an_idle_branch_earns_no_credit(self):
         queue = FairQueue()
         queue.push(waiter("vestry"))
         queue.pop()
@@ -61,18 +61,18 @@
         self.assertIs(queue.pop(), urgent)
 
     @trio_test
-    async def test_a_removed_waiter_never_goes(self):
+    async def test_a_removed_waiter_never_starts(self):
         queue = FairQueue()
-        gone, kept = waiter("vestry"), waiter("vestry")
-        queue.push(gone)
+        removed, kept = waiter("vestry"), waiter("vestry")
+        queue.push(removed)
         queue.push(kept)
-        queue.remove(gone)
+        queue.remove(removed)
         self.assertIs(queue.pop(), kept)
         self.assertIsNone(queue.pop())
         self.assertEqual((queue.waiting, queue.running), (0, 1))
 
     @trio_test
-    async def test_a_full_queue_gives_way_from_the_flood_and_its_bulk_first(self):
+    async def test_a_full_queue_evicts_bulk_of_the_flood_first(self):
         queue = FairQueue()
         queue.push(waiter("flood", "desk", urgent=True))
         newest = waiter("flood")
--- a/ibisfront/tests/test_group_queue.py
+++ b/ibisfront/tests/test_group_queue.py
@@ -1,4 +1,4 @@
-"""Tests of a group's places under a flood and an overload, on a model."""
+"""Tests of a group queue under a flood and under overload, on a simulated backend."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     took_ms: float
 
 
-class Tier:
+class SimulatedTier:
     """One group of services under load from several branches."""
 
     def __init__(self, nursery, *, seed=1):
@@ -50,7 +50,7 @@
         self.refused = 0
 
     def load(self, branch, purpose, rate_per_s, *, budget_ms=1_000.0):
-        """Send requests of a row at random moments; return what ends them."""
+        """Send requests of a row as a Poisson process; return its cancel scope."""
         scope = trio.CancelScope()
         self.nursery.start_soon(
             self._load, scope, branch, purpose, rate_per_s, budget_ms
@@ -58,14 +58,14 @@
         return scope
 
     def rate(self, branch, from_ms):
-        """Return how many requests of a branch a second were answered."""
+        """Return the rate of answered requests of a branch per second."""
         count = sum(
             item.branch == branch for item in self.done if item.at_ms >= from_ms
         )
         return count / (self.clock.now_ms() - from_ms) * 1_000.0
 
     def p99_ms(self, branches, purpose, from_ms):
-        """Return the latency that 99 in 100 requests of some rows met."""
+        """Return the 99th percentile latency of some rows in milliseconds."""
         took_ms = sorted(
             item.took_ms
             for item in self.done
@@ -88,20 +88,20 @@
         try:
             async with self.group.acquire(
                 row, purpose, deadline_at_ms=sent_ms + budget_ms
-            ) as place:
-                place.shed = not await self.backend.run()
+            ) as slot:
+                slot.shed = not await self.backend.run()
         except IbisfrontError:
             self.refused += 1
             return
-        if not place.shed:
+        if not slot.shed:
             now_ms = self.clock.now_ms()
             self.done.append(Done(now_ms, branch, purpose.name, now_ms - sent_ms))
 
 
-async def measured(*, flood):
-    """Run the branches, or one alone, and return the tier and its start."""
+async def measure(*, flood):
+    """Run the branches, or one alone; return the rates by branch and urgent p99."""
     async with trio.open_nursery() as nursery:
-        tier = Tier(nursery)
+        tier = SimulatedTier(nursery)
         for branch in BRANCHES[:3] if flood else BRANCHES[:1]:
             tier.load(branch, BULK, 0.9 * SHARE_PER_S)
             tier.load(branch, DESK, 0.3 * SHARE_PER_S)
@@ -110,8 +110,8 @@
             tier.load("flood", DESK, 1.0 * SHARE_PER_S)
         await tier.clock.sleep_ms(SETTLE_MS)
         from_ms = tier.clock.now_ms()
-        # Alone for three times as long, for as many urgent requests as the
-        # three branches send beside the flood.
+        # One branch alone runs three times as long, to send as many urgent requests
+        # as the three branches send during the flood.
         await tier.clock.sleep_ms(8_000.0 if flood else 24_000.0)
         rates = {branch: tier.rate(branch, from_ms) for branch in BRANCHES}
         p99_ms = tier.p99_ms(BRANCHES[:3], DESK, from_ms)
@@ -120,47 +120,45 @@
 
 
 class FloodTest(unittest.TestCase):
-    """One branch at ten times its share."""
+    """One branch sends ten times its share."""
 
     @trio_test
-    async def test_flood_takes_nothing_from_the_others(self):
-        """One branch's bulk run makes every other branch late.
+    async def test_flood_does_not_slow_the_other_branches(self):
+        """A flooding branch must not slow down the other branches.
 
-        Seen: the others get less than their share, and their urgent checks
-        take several times as long as alone. Order: one branch sends ten times
-        its share, a tenth of it urgent. Cause: requests went to the backend
-        servers as they came.
+        If requests are sent to the backend servers in order of arrival, a branch
+        at ten times its share, a tenth of it urgent, leaves the others less than
+        their share and makes their urgent requests several times slower.
         """
-        _, alone_ms = await measured(flood=False)
-        rates, beside_ms = await measured(flood=True)
+        _, alone_ms = await measure(flood=False)
+        rates, under_flood_ms = await measure(flood=True)
         for branch in BRANCHES[:3]:
             self.assertGreaterEqual(rates[branch], 0.95 * SHARE_PER_S, branch)
-        self.assertLessEqual(beside_ms, 1.2 * alone_ms)
+        self.assertLessEqual(under_flood_ms, 1.2 * alone_ms)
 
 
 class OverloadTest(unittest.TestCase):
-    """Three times what the backend servers can do."""
+    """Load beyond the capacity of the backend servers, and slower servers."""
 
     @trio_test
-    async def test_overload_costs_no_throughput_and_ends_at_once(self):
-        """After a peak the tier refuses requests for long.
+    async def test_overload_keeps_throughput_and_ends_at_once(self):
+        """Overload must not reduce throughput or cause refusals after its end.
 
-        Seen: during a peak less is answered than the servers can do, and
-        refusals go on after it. Order: the load triples for four seconds,
-        then falls to half. Cause: queues at the backend servers, work given
-        up on half way, or a limit that comes back slowly or swings.
+        The load rises to three times the capacity for four seconds, then falls to
+        half of it. Queues at the backend servers, abandoned work, or a limit that
+        recovers slowly or oscillates would lose throughput or prolong refusals.
         """
         async with trio.open_nursery() as nursery:
-            tier = Tier(nursery)
+            tier = SimulatedTier(nursery)
             tier.load("vestry", BULK, 0.5 * CAPACITY_PER_S)
             await tier.clock.sleep_ms(SETTLE_MS)
             peak = tier.load("harbour", BULK, 2.5 * CAPACITY_PER_S)
             await tier.clock.sleep_ms(1_000)
             from_ms = tier.clock.now_ms()
-            places = []
+            slots = []
             for _ in range(30):
                 await tier.clock.sleep_ms(100)
-                places.append(tier.group.limit.places)
+                slots.append(tier.group.limit.places)
             answered = sum(item.at_ms >= from_ms for item in tier.done) / 3.0
             peak.cancel()
             await tier.clock.sleep_ms(1_500)
@@ -169,22 +167,21 @@
             after_ms = tier.p99_ms(("vestry",), BULK, tier.clock.now_ms() - 2_000)
             nursery.cancel_scope.cancel()
         self.assertGreaterEqual(answered, 0.95 * CAPACITY_PER_S)
-        self.assertLessEqual(max(places), 2 * min(places))
+        self.assertLessEqual(max(slots), 2 * min(slots))
         self.assertLessEqual(tier.backend.sheds, 0.02 * len(tier.done))
         self.assertEqual(tier.refused, refused)
         self.assertLessEqual(after_ms, 3.0 * MEDIAN_MS)
 
     @trio_test
     async def test_group_that_becomes_slower_is_not_throttled(self):
-        """A new index version is half as quick, and the tier goes down.
+        """A permanently higher latency must not be mistaken for queueing.
 
-        Seen: most requests are refused though the servers are not full.
-        Order: the service time doubles at two fifths of the capacity. Cause:
-        the rise in latency was taken for queueing, and shrinking the limit
-        did not make it go away.
+        The service time doubles at two fifths of the capacity, as with a new index
+        version. If the limit shrinks although that does not lower the latency, most
+        requests are refused while the servers have free capacity.
         """
         async with trio.open_nursery() as nursery:
-            tier = Tier(nursery)
+            tier = SimulatedTier(nursery)
             tier.load("vestry", BULK, 0.35 * CAPACITY_PER_S)
             await tier.clock.sleep_ms(SETTLE_MS)
             tier.backend.median_ms = 2 * MEDIAN_MS
--- a/ibisfront/tests/test_rate_limit.py
+++ b/ibisfront/tests/test_rate_limit.py
@@ -9,15 +9,15 @@
 
 
 class TokenBucketTest(unittest.TestCase):
-    """A rate that changes earns no second burst."""
+    """A changing rate yields no second burst."""
 
-    def test_it_starts_what_its_rate_gives_and_one_burst(self):
+    def test_it_starts_its_rate_plus_one_burst(self):
         bucket = TokenBucket()
         bucket.set_rate(10.0, now_ms=0.0)
         started = sum(bucket.take(now_ms=float(now)) for now in range(10_000))
         self.assertAlmostEqual(started, 100 + 1, delta=1)
 
-    def test_a_share_that_comes_and_goes_earns_one_burst_only(self):
+    def test_an_alternating_share_yields_one_burst_only(self):
         bucket = TokenBucket()
         started = 0
         for now in range(0, 1_000, 10):
--- a/ibisfront/tests/test_shared_state.py
+++ b/ibisfront/tests/test_shared_state.py
@@ -1,4 +1,4 @@
-"""Tests of what the instances share, over streams in memory."""
+"""Tests of the state shared by instances, over in-memory streams."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     )
 
 
-class SpreadTest(unittest.TestCase):
-    """An accepted edit reaches every instance, and stays."""
+class DisseminationTest(unittest.TestCase):
+    """An accepted edit reaches every instance and is not reverted."""
 
     @trio_test
     async def test_edit_reaches_all_within_a_second(self) -> None:
@@ -49,12 +49,11 @@
         self.assertLessEqual(took_ms, 1000.0)
 
     @trio_test
-    async def test_restart_in_outage_takes_the_table_from_peers(self) -> None:
-        """An instance is replaced while the platform is out.
+    async def test_restart_in_outage_fetches_the_table_from_peers(self) -> None:
+        """An instance is replaced while the platform is unavailable.
 
-        The others hold the newest table, the new instance starts with
-        nothing and cannot read the platform. Without its peers' copy it would
-        refuse every caller until the platform is back.
+        The new instance starts without state. Unless it fetches the newest table
+        from its peers, it refuses every caller until the platform recovers.
         """
         clock = Clock()
         async with trio.open_nursery() as nursery:
@@ -82,7 +81,8 @@
     async def test_edit_reaches_a_zone_that_lost_the_platform_only(self) -> None:
         """A zone loses the platform but not the other zones.
 
-        Its own watchers fail; the edit must come from the others as fast.
+        Its own watchers fail, so the edit must arrive from the other zones within
+        the same bound.
         """
 
         async def scenario(cluster) -> None:
@@ -95,14 +95,14 @@
         await self._run(9, scenario)
 
     @trio_test
-    async def test_cut_zone_keeps_its_table_and_gets_the_newest_afterwards(
+    async def test_partitioned_zone_keeps_its_table_and_gets_the_newest_afterwards(
         self,
     ) -> None:
-        """A zone is cut off from all while the table is edited twice.
+        """A zone is partitioned from everything while the table is edited twice.
 
-        It goes on with the table that it has. When it reaches the other zones
-        again, the platform still being out of its reach, it must get the
-        newest, and must not bring its old one to the others.
+        It continues with its table. Once it reaches the other zones again, still
+        without the platform, it must get the newest table and must not propagate
+        its old one.
         """
 
         async def scenario(cluster) -> None:
@@ -126,10 +126,10 @@
 
     @trio_test
     async def test_all_are_replaced_in_an_outage_and_keep_the_table(self) -> None:
-        """Every instance is replaced, one after the other, in one outage.
+        """Every instance is replaced, one after the other, during one outage.
 
-        Nobody who was there when the platform answered is left at the end.
-        The table has gone from hand to hand.
+        None of the remaining instances has ever reached the platform; each fetched
+        the table from a peer.
         """
 
         async def scenario(cluster) -> None:
@@ -144,12 +144,12 @@
         await self._run(3, scenario)
 
     @trio_test
-    async def test_old_reads_after_a_reconnection_revert_nothing(self) -> None:
-        """The platform comes back from an outage and serves old reads.
+    async def test_stale_reads_after_a_reconnection_revert_nothing(self) -> None:
+        """The platform serves stale reads after an outage.
 
-        An instance that starts anew, with its peers out of reach, lists it,
-        sees an old table and loses the platform again; the others have the new
-        one. When it reaches them the old one must neither stay nor spread.
+        A restarted instance with unreachable peers reads an old table and loses
+        the platform again, while the others have the new one. Once it reaches
+        them, the old table must be neither kept nor propagated.
         """
 
         async def scenario(cluster) -> None:
@@ -176,7 +176,7 @@
         await self._run(3, scenario)
 
     @trio_test
-    async def test_instance_without_any_table_says_so(self) -> None:
+    async def test_instance_without_any_table_has_version_zero(self) -> None:
         clock = Clock()
         async with trio.open_nursery() as nursery:
             platform = FakePlatform(clock=clock)
--- a/ibisfront/tests/test_shared_state_processes.py
+++ b/ibisfront/tests/test_shared_state_processes.py
@@ -1,4 +1,4 @@
-"""Tests of what instances share, with real processes and streams."""
+"""Tests of the state shared by instances, with real processes and streams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from ibisfront.tests import trio_test_real_clock
 
-_GIVE_UP_S = 30.0
+_TIMEOUT_S = 30.0
 _POLL_S = 0.05
 
 
@@ -26,8 +26,8 @@
     return reply.decode(TierStatus)
 
 
-async def _until_all_at(deployment: Deployment, version: int, count: int) -> None:
-    with trio.fail_after(_GIVE_UP_S):
+async def _wait_until_all_at(deployment: Deployment, version: int, count: int) -> None:
+    with trio.fail_after(_TIMEOUT_S):
         while True:
             report = await _status(deployment, deployment.instances[0])
             versions = [reply.table_version for reply in report.instances]
@@ -44,40 +44,40 @@
 
 
 class SharedProcessesTest(unittest.TestCase):
-    """Three instances, their streams and the platform's stand-in."""
+    """Three instances, their streams and a fake platform."""
 
     @trio_test_real_clock
     async def test_edit_restart_in_an_outage_and_pause(self) -> None:
-        """An edit is made, the platform goes out, an instance is killed.
+        """A killed and a paused instance get the newest table.
 
-        It starts anew with nothing while the platform is out, and must have
-        the edited table from its peers. Another is frozen for longer than the
-        others wait for it, and comes back with the table of that time.
+        The first is restarted without state while the platform is unavailable and
+        must fetch the edited table from its peers. The second is paused until the
+        others declare it unreachable, and resumes with an outdated table.
         """
         shape = register_shape(services=1, instances=3)
         async with Deployment(shape) as deployment:
             first, second, third = deployment.instances
             before = (await _status(deployment, first)).instances[0].table_version
             await _edit(deployment, 7.0)
-            version = await self._newer_than(deployment, before)
-            await _until_all_at(deployment, version, 3)
+            version = await self._wait_for_newer(deployment, before)
+            await _wait_until_all_at(deployment, version, 3)
             await deployment.set_platform_faults(outage="refuse")
             second.process.send(signal.SIGKILL)
             await second.process.wait()
             deployment.instances.remove(second)
             await deployment.start_instance(second.name, like=second)
-            await _until_all_at(deployment, version, 3)
+            await _wait_until_all_at(deployment, version, 3)
             third.process.send(signal.SIGSTOP)
-            await self._until_unreachable(deployment, third.name)
+            await self._wait_until_unreachable(deployment, third.name)
             await deployment.set_platform_faults(outage="none")
             await _edit(deployment, 9.0)
-            newest = await self._newer_than(deployment, version)
+            newest = await self._wait_for_newer(deployment, version)
             third.process.send(signal.SIGCONT)
-            await _until_all_at(deployment, newest, 3)
+            await _wait_until_all_at(deployment, newest, 3)
         self.assertGreater(newest, version)
 
-    async def _newer_than(self, deployment: Deployment, version: int) -> int:
-        with trio.fail_after(_GIVE_UP_S):
+    async def _wait_for_newer(self, deployment: Deployment, version: int) -> int:
+        with trio.fail_after(_TIMEOUT_S):
             while True:
                 report = await _status(deployment, deployment.instances[0])
                 found = next(
@@ -89,8 +89,8 @@
                     return found
                 await trio.sleep(_POLL_S)
 
-    async def _until_unreachable(self, deployment: Deployment, name: str) -> None:
-        with trio.fail_after(_GIVE_UP_S):
+    async def _wait_until_unreachable(self, deployment: Deployment, name: str) -> None:
+        with trio.fail_after(_TIMEOUT_S):
             while True:
                 report = await _status(deployment, deployment.instances[0])
                 if name in report.unreachable:
