--- a/ibisfront/testing/shared_state_cluster.py
+++ b/ibisfront/testing/shared_state_cluster.py
@@ -127,7 +127,7 @@
         return started
 
     def run(self, node: SharedStateNode) -> None:
-        """Run one more instance, whatever its name."""
+        """Run one more instance, which may use the name of another."""
         self._nursery.start_soon(partial(node.run, wait_ms=self._wait_ms))
 
     async def kill(self, *names: str) -> None:
