--- a/ibisfront/core/group_queue.py
+++ b/ibisfront/core/group_queue.py
@@ -114,7 +114,7 @@
                 await waiter.settled.wait()
         except BaseException:
             # The request may have been started in the same scheduler step in which
-            # it is cancelled. Its slot must be returned, or the limit shrinks for good.
+            # it is cancelled. Its slot must be returned, or the limit stays reduced.
             self._abandon(waiter)
             raise
         if waiter.refusal is not None:
--- a/ibisfront/tests/test_shared_state.py
+++ b/ibisfront/tests/test_shared_state.py
@@ -112,8 +112,8 @@
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(3.0))
             await cluster.clock.sleep_ms(20_000.0)
             for node in cluster.nodes.values():
-                cut = node.members.own.zone == "z1"
-                expected = old if cut else version
+                is_partitioned = node.members.own.zone == "z1"
+                expected = old if is_partitioned else version
                 self.assertEqual(node.catalogue.table_version, expected)
             cluster.network.mend()
             await cluster.wait_until(
--- a/ibisfront/tests/test_shares.py
+++ b/ibisfront/tests/test_shares.py
@@ -61,13 +61,13 @@
     """Static shares add up to exactly the limits."""
 
     def test_the_remainder_of_the_slots_is_assigned_once(self):
-        for places in (0, 1, 3, 8, 9, 200):
-            row = Row("vestry", "bulk", limit_per_s=10.0, max_in_flight=places)
+        for slots in (0, 1, 3, 8, 9, 200):
+            row = Row("vestry", "bulk", limit_per_s=10.0, max_in_flight=slots)
             shares = [
                 static_share(row, expected=9, position=position)
                 for position in range(9)
             ]
-            self.assertEqual(sum(share.in_flight for share in shares), places)
+            self.assertEqual(sum(share.in_flight for share in shares), slots)
             self.assertAlmostEqual(sum(share.rate_per_s for share in shares), 10.0)
 
 
@@ -92,7 +92,7 @@
 
         Two instances use the whole limit when an idle one gets its part of the
         load. If lent shares were returned only when they expire, its requests
-        would be refused for long.
+        would be refused until then.
         """
         async with cluster(loads=[200.0, 200.0, 0, 0, 0, 0, 0, 0, 0]) as tier:
             tier.nodes["i7"].load = Load(200.0, RUN_MS)
@@ -146,7 +146,7 @@
 
         When another instance becomes the owner, grants of the dead one are still
         in use, and the new owner has no record of them. It could exceed the limit,
-        or refuse at a fraction of it for long.
+        or refuse requests at a fraction of it.
         """
         async with cluster() as tier:
             tier.kill(bucket_owner(tier))
