--- a/ibisfront/adapters/backend.py
+++ b/ibisfront/adapters/backend.py
@@ -277,7 +277,7 @@
         retry_after_ms=headers.retry_after_ms,
         draining=headers.draining,
         snapshots=headers.snapshots,
-        whole_reply=True,
+        complete_reply=True,
         ran=status == _RAN_AND_FAILED,
     )
 
--- a/ibisfront/core/coverage.py
+++ b/ibisfront/core/coverage.py
@@ -1,4 +1,4 @@
-"""What part of a search was answered."""
+"""Coverage of a search: the services that answered and those missing."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class MissingService(msgspec.Struct, frozen=True):
-    """One service that did not answer, and why."""
+    """One service that did not answer, and the reason."""
 
     service: str
     reason: MissingReason
 
 
 class Coverage(msgspec.Struct, frozen=True):
-    """How many of the pinned snapshot's services answered.
+    """The number of services of the pinned snapshot that answered.
 
     Attributes
     ----------
     answered : int
         Services whose rows are in the answer.
     total : int
-        Services of the pinned partition map.
+        Services in the pinned partition map.
     missing : tuple of MissingService
-        The others, each with its reason.
+        The services that did not answer, with reasons.
     """
 
     answered: int
@@ -52,6 +52,6 @@
     missing: tuple[MissingService, ...] = ()
 
     @property
-    def was_shed(self) -> bool:
-        """Whether an overloaded backend server refused a part."""
+    def has_shed_part(self) -> bool:
+        """Whether an overloaded backend server rejected a part of the search."""
         return any(item.reason is MissingReason.SHED for item in self.missing)
--- a/ibisfront/core/link.py
+++ b/ibisfront/core/link.py
@@ -300,7 +300,7 @@
             reply = await held.connection.exchange("search", sub_request)
             keep = True
         except SubRequestError as error:
-            keep = error.whole_reply
+            keep = error.complete_reply
             raise
         except trio.Cancelled:
             now_ms = self._clock.now_ms()
--- a/ibisfront/core/query.py
+++ b/ibisfront/core/query.py
@@ -1,4 +1,4 @@
-"""Requests of callers, sub-requests to backend servers, and their answers."""
+"""Caller requests, sub-requests to backend servers, and their answers."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """One request of a caller, checked and ready to run.
+    """One validated request of a caller.
 
     Attributes
     ----------
     request_id : str
-        The caller's id, or one made here; echoed in the answer.
+        The caller's id, or a generated one; echoed in the answer.
     branch, purpose : str
-        The row of the table it counts against.
+        The row of the table whose limits apply.
     body_json : bytes
-        What to search for or perform; valid JSON.
+        The search or the work to perform; valid JSON.
     deadline_at_ms : float
-        When the caller stops waiting, by the tier's clock.
+        When the caller stops waiting, on the tier's clock.
     """
 
     request_id: str
@@ -40,16 +40,16 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer to a search.
+    """The merged answer to a search.
 
     Attributes
     ----------
     request_id : str
-        The id of the request it answers.
+        The id of the request.
     snapshot : str
-        The one snapshot that every row comes from.
+        The snapshot that all rows come from.
     coverage : Coverage
-        Which services it covers.
+        The services that answered and those that are missing.
     results : tuple of msgspec.Raw
         The rows, best first.
     """
@@ -66,16 +66,16 @@
     Attributes
     ----------
     request_id : str
-        The id of the request it answers.
+        The id of the request.
     key : str
-        Its idempotency key.
+        The idempotency key.
     result_json : msgspec.Raw
-        What the backend server answered.
+        The answer of the backend server.
     repeated : bool
-        Whether this is the kept outcome of an earlier copy.
+        Whether this is the stored outcome of an earlier copy.
     result_kept : bool
-        False if it ran but its result was too large to keep; the result is
-        then null.
+        False if the request ran but its result was too large to store; the
+        result is then null.
     """
 
     request_id: str
@@ -91,21 +91,22 @@
     Attributes
     ----------
     sub_request_id : str
-        Never used twice; ties the reply to it.
+        Unique; matches the reply to the sub-request.
     service : str
-        The service asked.
+        The target service.
     body_json : bytes
-        The caller's request.
+        The body of the caller's request.
     deadline_at_ms : float
-        When its answer is no longer of use, by the tier's clock.
+        When the answer is no longer needed, on the tier's clock.
     snapshot : str or None
         The pinned snapshot; None for non-idempotent work.
     branch : str
-        Whose request it is; branches take turns for connections.
+        The caller's branch; connections are shared fairly among branches.
     urgent : bool
-        Whether it goes before the others in the queue for connections.
+        Whether it has priority in the queue for connections.
     fingerprint : str
-        The same for every copy of a request; tells one that crashes servers.
+        Identical for every copy of a request; identifies requests that crash
+        servers.
     """
 
     sub_request_id: str
@@ -124,11 +125,11 @@
     Attributes
     ----------
     body_json : bytes
-        The reply's body.
+        The body of the reply.
     snapshots : tuple of str
-        The snapshots that the server says it holds, oldest first.
+        The snapshots that the server reports holding, oldest first.
     draining : bool
-        Whether the server says that it is leaving.
+        Whether the server reports that it is draining.
     """
 
     body_json: JsonBytes
@@ -137,25 +138,25 @@
 
 
 class SubRequestError(Exception):
-    """A sub-request that brought no usable reply.
+    """A sub-request that failed without a usable reply.
 
     Parameters
     ----------
     reason : MissingReason
-        Why.
+        The cause.
     not_run : bool
-        Whether it is certain that the server did not run it.
+        Whether it is certain that the server did not run the sub-request.
     retry_after_ms : float, optional
-        When the server says to come back.
+        The delay that the server requests before a retry.
     draining : bool, optional
-        Whether the server said that it is leaving.
+        Whether the server reported that it is draining.
     snapshots : tuple of str, optional
-        The snapshots that the server says it holds.
-    whole_reply : bool, optional
-        Whether a whole reply that belongs to the sub-request said so; the
-        connection may then be used again.
+        The snapshots that the server reports holding.
+    complete_reply : bool, optional
+        Whether the error was read from a complete reply that matches the
+        sub-request; the connection may then be reused.
     ran : bool, optional
-        Whether the server said that it ran the sub-request and failed.
+        Whether the server reported that it ran the sub-request and failed.
     """
 
     def __init__(
@@ -166,7 +167,7 @@
         retry_after_ms: float | None = None,
         draining: bool = False,
         snapshots: tuple[str, ...] = (),
-        whole_reply: bool = False,
+        complete_reply: bool = False,
         ran: bool = False,
     ) -> None:
         super().__init__(f"{reason.value} ({'not run' if not_run else 'maybe run'})")
@@ -175,5 +176,5 @@
         self.retry_after_ms = retry_after_ms
         self.draining = draining
         self.snapshots = snapshots
-        self.whole_reply = whole_reply
+        self.complete_reply = complete_reply
         self.ran = ran
--- a/ibisfront/core/query_settings.py
+++ b/ibisfront/core/query_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the query path: budgets, bounds and the policy's name."""
+"""Settings of the query path: policy, budgets and timeouts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BackendSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How backend servers are reached."""
+    """Connections to backend servers."""
 
     connections_per_server: Annotated[
         int,
@@ -24,14 +24,14 @@
     ] = 25
     connect_timeout_ms: Annotated[
         float,
-        Meta(ge=1, le=60_000, description="How long opening a connection may take."),
+        Meta(ge=1, le=60_000, description="Timeout for opening a connection."),
     ] = 1_000.0
     silent_timeout_ms: Annotated[
         int,
         Meta(
             ge=100,
             le=600_000,
-            description="After how long without acknowledgement the system gives up"
+            description="Time without acknowledgement after which the system closes"
             " a connection (`TCP_USER_TIMEOUT`).",
         ),
     ] = 5_000
@@ -40,13 +40,13 @@
 class QuerySettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """The policy of searches."""
+    """The search policy."""
 
     policy: Annotated[
         Literal["adaptive", "baseline"],
         Meta(
-            description="`adaptive`, or `baseline`: round-robin, plain retries and no"
-            " hedging, to measure against."
+            description="`adaptive`, or `baseline` for comparison: round-robin,"
+            " retries without a budget and no hedging."
         ),
     ] = "adaptive"
     hedge_fraction: Annotated[
@@ -54,7 +54,7 @@
         Meta(
             ge=0,
             le=1,
-            description="Hedged requests for each first one to a service.",
+            description="Hedged requests allowed per primary sub-request.",
         ),
     ] = 0.03
     hedge_after_fraction: Annotated[
@@ -62,8 +62,8 @@
         Meta(
             ge=0.5,
             le=1,
-            description="A sub-request is hedged once it is slower than this share"
-            " of the service's.",
+            description="A sub-request is hedged once it is slower than this fraction"
+            " of the service's sub-requests.",
         ),
     ] = 0.98
     retry_fraction: Annotated[
@@ -71,8 +71,8 @@
         Meta(
             ge=0,
             le=1,
-            description="Extra sub-requests of every cause, hedged ones too,"
-            " for each first one to a service.",
+            description="Retries and hedged requests allowed per primary"
+            " sub-request to a service.",
         ),
     ] = 0.1
     way_back_ms: Annotated[
@@ -80,8 +80,8 @@
         Meta(
             ge=0,
             le=1_000,
-            description="What is kept of a deadline for merging the answer and"
-            " its way back.",
+            description="Part of a deadline reserved for merging the answer and"
+            " returning it.",
         ),
     ] = 5.0
     straggler_quorum_fraction: Annotated[
@@ -89,7 +89,7 @@
         Meta(
             ge=0,
             le=1,
-            description="The share of services that must have answered before a"
+            description="Fraction of services that must have answered before a"
             " search that prefers latency may return without the"
             " rest.",
         ),
@@ -99,7 +99,7 @@
         Meta(
             ge=0,
             le=600_000,
-            description="Such a search waits at least this long.",
+            description="Minimum wait before such a search returns without the rest.",
         ),
     ] = 150.0
     cross_zone_ms: Annotated[
@@ -107,7 +107,7 @@
         Meta(
             ge=0,
             le=1_000,
-            description="What the way to another zone and back costs.",
+            description="Round-trip time to another zone.",
         ),
     ] = 3.0
     slots_per_server: Annotated[
@@ -115,7 +115,7 @@
         Meta(
             ge=1,
             le=1_000,
-            description="How many requests a backend server runs at once.",
+            description="Number of requests that a backend server runs concurrently.",
         ),
     ] = 2
     ejection_base_ms: Annotated[
@@ -123,7 +123,7 @@
         Meta(
             ge=1,
             le=600_000,
-            description="After how long a server that was left out is probed first.",
+            description="Delay before the first probe of an ejected server.",
         ),
     ] = 500.0
     ejection_longest_ms: Annotated[
@@ -131,8 +131,8 @@
         Meta(
             ge=1,
             le=600_000,
-            description="After how long it is probed at the latest; the time"
-            " doubles up to this.",
+            description="Maximum delay between probes; the delay doubles up to"
+            " this value.",
         ),
     ] = 10_000.0
     slow_start_ms: Annotated[
@@ -140,7 +140,7 @@
         Meta(
             ge=0,
             le=600_000,
-            description="How long a server that comes back gets less than its part.",
+            description="How long a readmitted server receives a reduced load.",
         ),
     ] = 3_000.0
     silence_bound_ms: Annotated[
@@ -148,7 +148,8 @@
         Meta(
             ge=1,
             le=600_000,
-            description="A search without a byte for this long has its server probed.",
+            description="A server is probed when a search receives no byte for this"
+            " long.",
         ),
     ] = 300.0
     probe_timeout_ms: Annotated[
@@ -156,7 +157,7 @@
         Meta(
             ge=1,
             le=600_000,
-            description="How long a probe may take.",
+            description="Timeout of a probe.",
         ),
     ] = 500.0
     idle_ms: Annotated[
@@ -164,7 +165,7 @@
         Meta(
             ge=1,
             le=3_600_000,
-            description="After how long an idle connection is closed.",
+            description="Time after which an idle connection is closed.",
         ),
     ] = 10_000.0
     warm_connections_per_server: Annotated[
@@ -172,7 +173,7 @@
         Meta(
             ge=0,
             le=1_000,
-            description="How many idle connections to each server stay open.",
+            description="Number of idle connections kept open to each server.",
         ),
     ] = 2
     quarantine_base_ms: Annotated[
@@ -180,8 +181,8 @@
         Meta(
             ge=0,
             le=600_000,
-            description="How long a request that crashes servers is refused at"
-            " first; four times as long each time after.",
+            description="Duration of the first quarantine of a request that crashes"
+            " servers; each further one lasts four times as long.",
         ),
     ] = 5_000.0
     quarantine_longest_ms: Annotated[
@@ -189,6 +190,6 @@
         Meta(
             ge=0,
             le=86_400_000,
-            description="How long it is refused at most.",
+            description="Maximum duration of a quarantine.",
         ),
     ] = 600_000.0
--- a/ibisfront/core/server_health.py
+++ b/ibisfront/core/server_health.py
@@ -150,7 +150,7 @@
         now_ms : float
             The time.
         """
-        if error.not_run and error.whole_reply:
+        if error.not_run and error.complete_reply:
             self._note_any_reply(now_ms)
         self._note_snapshots(error.snapshots, now_ms)
         if error.draining or error.reason is MissingReason.DRAINING:
--- a/ibisfront/core/snapshot.py
+++ b/ibisfront/core/snapshot.py
@@ -8,14 +8,14 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One published state of an index, with its partition map.
+    """One published snapshot of an index, with its partition map.
 
     Attributes
     ----------
     name : str
-        The name that backend servers know it by.
+        The name of the snapshot on the backend servers.
     services : tuple of str
-        The services that hold its parts; each row is in exactly one.
+        The services that hold its partitions; each row is in exactly one.
     """
 
     name: str
@@ -23,6 +23,6 @@
 
 
 class Index(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a search covers: its snapshots, oldest first."""
+    """A searchable index: its published snapshots, oldest first."""
 
     snapshots: tuple[Snapshot, ...] = ()
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -196,7 +196,7 @@
             row, purpose, deadline_at_ms=request.deadline_at_ms
         ) as place:
             answer = await self.fanout.search(request, purpose)
-            place.shed = answer.coverage.was_shed
+            place.shed = answer.coverage.has_shed_part
             return answer
 
     async def perform(self, request: CallerRequest, key: str) -> PerformAnswer:
--- a/ibisfront/testing/connections.py
+++ b/ibisfront/testing/connections.py
@@ -180,5 +180,5 @@
         retry_after_ms=reply.retry_after_ms,
         draining=reply.draining,
         snapshots=reply.snapshots,
-        whole_reply=True,
+        complete_reply=True,
     )
--- a/ibisfront/tests/test_adapters_backend.py
+++ b/ibisfront/tests/test_adapters_backend.py
@@ -119,7 +119,7 @@
                 await connection.exchange("search", sub_request("ours", clock))
             await connection.aclose()
         self.assertIs(caught.exception.reason, MissingReason.WRONG_REPLY)
-        self.assertFalse(caught.exception.whole_reply)
+        self.assertFalse(caught.exception.complete_reply)
 
     @trio_test_real_clock
     async def test_an_address_that_is_none_counts_as_a_failed_connection(self):
@@ -185,7 +185,9 @@
                 await connection.exchange("search", sub_request("ours", clock))
             self.assertIs(caught.exception.reason, MissingReason.SHED)
             self.assertEqual(caught.exception.retry_after_ms, 40.0)
-            self.assertTrue(caught.exception.not_run and caught.exception.whole_reply)
+            self.assertTrue(
+                caught.exception.not_run and caught.exception.complete_reply
+            )
             self.assertTrue(connection.is_usable())
             await connection.exchange("search", sub_request("next", clock))
             await connection.aclose()
--- a/ibisfront/tests/test_server_choice.py
+++ b/ibisfront/tests/test_server_choice.py
@@ -202,7 +202,7 @@
     async def test_burst_of_sheds_cuts_the_window_once(self):
         link = make_link("near", "z1")
         shed = SubRequestError(
-            MissingReason.SHED, not_run=True, retry_after_ms=100.0, whole_reply=True
+            MissingReason.SHED, not_run=True, retry_after_ms=100.0, complete_reply=True
         )
         before = link.health.window
         for _ in range(10):
