--- a/benchmarks/fanout_cost.py
+++ b/benchmarks/fanout_cost.py
@@ -217,7 +217,7 @@
     )
     fanout = Fanout(
         catalogue=catalogue,
-        links=links,
+        pools=links,
         quarantine=Quarantine(clock=clock, counters=counters, settings=query),
         clock=clock,
         counters=counters,
--- a/ibisfront/adapters/peer_codec.py
+++ b/ibisfront/adapters/peer_codec.py
@@ -14,7 +14,7 @@
 from ibisfront.core.ledger_messages import AttemptAnswer, AttemptQuestion
 from ibisfront.core.membership import MemberNews, ViewsCompared
 from ibisfront.core.peers import PeerMessage
-from ibisfront.core.quarantine import CrashSeen
+from ibisfront.core.quarantine import CrashReport
 from ibisfront.core.server_signs import ServerSignNews
 from ibisfront.core.share_messages import ShareGrants, ShareReport
 from ibisfront.core.spread import NewestKnown, ObjectsChanged, ObjectsWanted
@@ -37,7 +37,7 @@
     | ObjectsWanted
     | NewestKnown
     | ServerSignNews
-    | CrashSeen
+    | CrashReport
     | ShareReport
     | ShareGrants
     | StatusRequest
--- a/ibisfront/core/fanout.py
+++ b/ibisfront/core/fanout.py
@@ -1,4 +1,4 @@
-"""Asking every service of a snapshot and putting one answer together."""
+"""Scatter-gather search over the services of one snapshot."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.coverage import Coverage, MissingReason, MissingService
 from ibisfront.core.errors import ErrorKind, IbisfrontError
-from ibisfront.core.planner import expected_coverage, pin_snapshot, snapshots_of
-from ibisfront.core.policies import policy_of
+from ibisfront.core.planner import expected_coverage, pin_snapshot, published_snapshots
+from ibisfront.core.policies import make_policy
 from ibisfront.core.quarantine import fingerprint_of
 from ibisfront.core.query import Answer
-from ibisfront.core.replies import merged_rows
+from ibisfront.core.replies import merge_rows
 from ibisfront.core.retry_budget import RetryBudget
 from ibisfront.core.search_run import SearchRun, SearchTask
 from ibisfront.core.service_state import RecentLatency, ServiceState
@@ -37,12 +37,12 @@
 __all__ = ["HEDGE_BURST", "Fanout"]
 
 HEDGE_BURST = 20.0
-"""Hedged requests at once after a quiet time, over all services."""
+"""Maximum burst of hedged requests, over all services."""
 
-_MOST_RESTARTS = 2
-_RESTART_SHARE = 0.1
+_MAX_RESTARTS = 2
+_RESTART_RATIO = 0.1
 _RESTART_BURST = 10.0
-_NAME_LENGTH = 8
+_ID_PREFIX_LENGTH = 8
 
 
 class Fanout:
@@ -52,36 +52,36 @@
     ----------
     catalogue : Catalogue
         The table, services and indexes in force.
-    links : BackendLinks
-        The backend servers.
+    pools : BackendLinks
+        The connections to the backend servers.
     quarantine : Quarantine
         The requests that crash servers.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where sub-requests and missing services are counted.
+        Counts sub-requests and missing services.
     zone : str
-        This instance's availability zone; its backend servers go first.
+        This instance's availability zone; its backend servers are preferred.
     settings : QuerySettings
-        The policy.
+        The settings of the policy.
     seed : int, optional
-        Makes the policy's random choices repeatable.
+        Seed of the policy's random choices.
     """
 
     __slots__ = (
         "_catalogue",
         "_clock",
         "_counters",
-        "_hedges",
+        "_hedge_budget",
+        "_id_prefix",
         "_ids",
         "_index_latencies",
-        "_links",
-        "_name",
         "_policy",
+        "_pools",
         "_quarantine",
-        "_restarts",
+        "_restart_budget",
+        "_service_states",
         "_settings",
-        "_states",
         "_zone",
     )
 
@@ -89,7 +89,7 @@
         self,
         *,
         catalogue: Catalogue,
-        links: BackendLinks,
+        pools: BackendLinks,
         quarantine: Quarantine,
         clock: Clock,
         counters: Counters,
@@ -98,41 +98,43 @@
         seed: int | None = None,
     ) -> None:
         self._catalogue = catalogue
-        self._links = links
+        self._pools = pools
         self._quarantine = quarantine
         self._clock = clock
         self._counters = counters
         self._zone = zone
         self._settings = settings
-        self._policy = policy_of(settings, seed=seed)
-        self._states: dict[str, ServiceState] = {}
+        self._policy = make_policy(settings, seed=seed)
+        self._service_states: dict[str, ServiceState] = {}
         self._index_latencies: dict[str, RecentLatency] = {}
-        self._hedges = RetryBudget(share=settings.hedge_fraction, burst=HEDGE_BURST)
-        self._restarts = RetryBudget(share=_RESTART_SHARE, burst=_RESTART_BURST)
+        self._hedge_budget = RetryBudget(
+            ratio=settings.hedge_fraction, burst=HEDGE_BURST
+        )
+        self._restart_budget = RetryBudget(ratio=_RESTART_RATIO, burst=_RESTART_BURST)
         self._ids = itertools.count(1)
-        # Callers choose request ids and may use one twice, also at two
-        # instances; a late reply would then pass for the reply to the copy.
-        self._name = uuid.uuid4().hex[:_NAME_LENGTH]
+        # Callers choose request ids and may reuse one, even on two instances;
+        # a late reply could then be mistaken for the reply to the copy.
+        self._id_prefix = uuid.uuid4().hex[:_ID_PREFIX_LENGTH]
 
     async def search(self, request: CallerRequest, purpose: Purpose) -> Answer:
-        """Return one whole answer from one snapshot.
+        """Return the merged answer of all services for one snapshot.
 
         Raises
         ------
         IbisfrontError
             If no snapshot is known, no service answered, or the request is
-            refused because it crashes servers.
+            quarantined because it crashes servers.
         """
         fingerprint = fingerprint_of(purpose.name, request.body_json)
         trial_service = None
-        if self._policy.sheds_load:
-            trial_service = self._quarantine.trial_service(fingerprint)
+        if self._policy.is_adaptive:
+            trial_service = self._quarantine.begin_trial(fingerprint)
         try:
             run = await self._run(request, purpose, fingerprint, trial_service)
         finally:
             if trial_service is not None:
                 self._quarantine.end_trial(fingerprint)
-        return self._answer(request, run)
+        return self._build_answer(request, run)
 
     async def _run(
         self,
@@ -140,13 +142,13 @@
         purpose: Purpose,
         fingerprint: str,
         trial_service: str | None,
-    ) -> _FinishedRun:
-        """Run a search, and again on another snapshot if that covers more."""
+    ) -> _CompletedRun:
+        """Run a search; restart it on another snapshot if that covers more."""
         deadline_at_ms = request.deadline_at_ms - self._settings.way_back_ms
-        self._restarts.earn()
-        given_up: list[str] = []
+        self._restart_budget.deposit()
+        abandoned: list[str] = []
         while True:
-            snapshot = self._pin(purpose, given_up)
+            snapshot = self._pin_snapshot(purpose, abandoned)
             task = SearchTask(
                 request=request,
                 purpose=purpose,
@@ -157,102 +159,103 @@
                     trial_service if trial_service in snapshot.services else None
                 ),
             )
-            may_restart = len(given_up) < _MOST_RESTARTS
-            run = self._start(task, given_up, may_restart=may_restart)
+            may_restart = len(abandoned) < _MAX_RESTARTS
+            run = self._make_run(task, abandoned, may_restart=may_restart)
             await run.run()
             self._count_requests(run)
-            if not run.restart:
+            if not run.restart_requested:
                 self._count_missing(run)
-                return _FinishedRun(snapshot, run)
-            given_up.append(snapshot.name)
+                return _CompletedRun(snapshot, run)
+            abandoned.append(snapshot.name)
             self._counters.add(CounterKind.RETRIES, "snapshot_restart")
 
-    def _start(
-        self, task: SearchTask, given_up: Sequence[str], *, may_restart: bool
+    def _make_run(
+        self, task: SearchTask, abandoned: Sequence[str], *, may_restart: bool
     ) -> SearchRun:
-        def wants_restart(run: SearchRun) -> bool:
-            return may_restart and self._is_restart_better(task, run, given_up)
+        def should_restart(run: SearchRun) -> bool:
+            return may_restart and self._is_restart_better(task, run, abandoned)
 
         return SearchRun(
             task,
-            links=self._links,
-            state_of=partial(self._state_of, task.purpose.index or ""),
+            pools=self._pools,
+            service_state=partial(self._service_state, task.purpose.index or ""),
             next_id=self._next_id,
-            hedge_budget=self._hedges,
+            hedge_budget=self._hedge_budget,
             quarantine=self._quarantine,
             policy=self._policy,
             zone=self._zone,
             clock=self._clock,
             counters=self._counters,
-            wants_restart=wants_restart,
+            should_restart=should_restart,
         )
 
-    def _pin(self, purpose: Purpose, given_up: Sequence[str]) -> Snapshot:
-        snapshots = snapshots_of(self._catalogue, purpose)
-        if not self._policy.sheds_load:
+    def _pin_snapshot(self, purpose: Purpose, abandoned: Sequence[str]) -> Snapshot:
+        snapshots = published_snapshots(self._catalogue, purpose)
+        if not self._policy.is_adaptive:
             return snapshots[-1]
-        fresh = tuple(item for item in snapshots if item.name not in given_up)
-        return pin_snapshot(fresh or snapshots, holds=self._holds)
+        remaining = tuple(item for item in snapshots if item.name not in abandoned)
+        return pin_snapshot(remaining or snapshots, may_hold=self._may_hold)
 
     def _is_restart_better(
-        self, task: SearchTask, run: SearchRun, given_up: Sequence[str]
+        self, task: SearchTask, run: SearchRun, abandoned: Sequence[str]
     ) -> bool:
-        """Return whether to start again on another snapshot.
+        """Return whether to restart on another snapshot.
 
-        Only if that may cover more than the run still can, if as much time is
-        left as the run has taken, and inside a budget: when a snapshot is
-        dropped everywhere at once, each search in flight would double.
+        True if the other snapshot may cover more than the run still can, more
+        time remains than the run has taken, and the restart budget allows it.
+        Without a budget, a snapshot that is dropped everywhere at once would
+        double every search in flight.
         """
-        if not self._policy.sheds_load:
+        if not self._policy.is_adaptive:
             return False
-        excluded = (*given_up, task.snapshot.name)
+        excluded = (*abandoned, task.snapshot.name)
         others = [
             item
-            for item in snapshots_of(self._catalogue, task.purpose)
+            for item in published_snapshots(self._catalogue, task.purpose)
             if item.name not in excluded
         ]
         coverage = max(
-            (expected_coverage(item, holds=self._holds) for item in others),
+            (expected_coverage(item, may_hold=self._may_hold) for item in others),
             default=0.0,
         )
         remaining_ms = task.deadline_at_ms - self._clock.now_ms()
-        if coverage <= run.reachable or remaining_ms <= run.elapsed_ms:
+        if coverage <= run.attainable_coverage or remaining_ms <= run.elapsed_ms:
             return False
-        return self._restarts.try_spend()
+        return self._restart_budget.try_withdraw()
 
-    def _holds(self, service: str, snapshot: str) -> bool:
+    def _may_hold(self, service: str, snapshot: str) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            link.health.may_hold(snapshot, now_ms) and not link.is_leaving
-            for link in self._links.of_service(service)
+            pool.health.may_hold(snapshot, now_ms) and not pool.is_leaving
+            for pool in self._pools.of_service(service)
         )
 
-    def _state_of(self, index: str, service: str) -> ServiceState:
-        state = self._states.get(service)
+    def _service_state(self, index: str, service: str) -> ServiceState:
+        state = self._service_states.get(service)
         if state is None:
             index_latency = self._index_latencies.get(index)
             if index_latency is None:
                 index_latency = RecentLatency(self._settings)
                 self._index_latencies[index] = index_latency
             state = ServiceState(self._settings, index_latency=index_latency)
-            self._states[service] = state
+            self._service_states[service] = state
         return state
 
     def _next_id(self) -> str:
-        return f"{self._name}-{next(self._ids)}"
+        return f"{self._id_prefix}-{next(self._ids)}"
 
     def _count_requests(self, run: SearchRun) -> None:
-        requests = sum(part.requests for part in run.parts)
-        self._counters.add(CounterKind.SUB_REQUESTS, "search", requests)
+        sub_request_count = sum(part.sub_request_count for part in run.parts)
+        self._counters.add(CounterKind.SUB_REQUESTS, "search", sub_request_count)
 
     def _count_missing(self, run: SearchRun) -> None:
         for part in run.parts:
             if part.missing is not None:
                 self._counters.add(CounterKind.MISSING, part.missing.value)
 
-    def _answer(self, request: CallerRequest, finished: _FinishedRun) -> Answer:
-        """Put one answer together, counting only what the pinned map names."""
-        parts = finished.run.parts
+    def _build_answer(self, request: CallerRequest, completed: _CompletedRun) -> Answer:
+        """Merge the parts; coverage counts only the pinned map's services."""
+        parts = completed.run.parts
         replies = [part.rows for part in parts if part.rows is not None]
         missing = tuple(
             MissingService(part.service, part.missing)
@@ -260,20 +263,20 @@
             if part.missing is not None
         )
         if not replies:
-            raise _no_answer(missing)
+            raise _no_answer_error(missing)
         coverage = Coverage(len(replies), len(parts), missing)
-        rows = merged_rows(replies)
-        return Answer(request.request_id, finished.snapshot.name, coverage, rows)
+        rows = merge_rows(replies)
+        return Answer(request.request_id, completed.snapshot.name, coverage, rows)
 
 
-class _FinishedRun(msgspec.Struct, frozen=True):
-    """A run that was not given up, and its snapshot."""
+class _CompletedRun(msgspec.Struct, frozen=True):
+    """A run that was not restarted, and its snapshot."""
 
     snapshot: Snapshot
     run: SearchRun
 
 
-def _no_answer(missing: Sequence[MissingService]) -> IbisfrontError:
+def _no_answer_error(missing: Sequence[MissingService]) -> IbisfrontError:
     reasons = sorted({item.reason.value for item in missing})
     detail = f"none of {len(missing)} services answered: {', '.join(reasons)}"
     if MissingReason.QUARANTINED.value in reasons:
--- a/ibisfront/core/perform_sender.py
+++ b/ibisfront/core/perform_sender.py
@@ -1,4 +1,4 @@
-"""Sending non-idempotent requests, each on a connection of its own."""
+"""Sending of non-idempotent requests, each on a new connection."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
 _AVOID_AFTER_FAILURE_MS = 1_000.0
 
 
-class _ServerUse:
-    """What this instance has at one backend server."""
+class _ServerState:
+    """Connections and failures of this instance at one backend server."""
 
-    __slots__ = ("avoid_until_ms", "places")
+    __slots__ = ("avoid_until_ms", "connection_slots")
 
     def __init__(self, maximum_connections: int) -> None:
-        self.places = trio.CapacityLimiter(maximum_connections)
+        self.connection_slots = trio.CapacityLimiter(maximum_connections)
         self.avoid_until_ms = 0.0
 
 
 class PerformSender:
     """Sends claimed requests to backend servers.
 
-    A kept connection may have gone silent, or be closed by the server just
-    when the request is on its way, and the tier could not tell whether it
-    ran. A fresh one costs a few milliseconds and shows before the first byte
-    that the server is there.
+    Each request uses a new connection. A pooled connection may be silent, or
+    be closed by the server while the request is in transit, and the tier
+    could not tell whether the request ran. A new connection costs a few
+    milliseconds and shows before the first byte that the server is reachable.
 
     Parameters
     ----------
@@ -60,15 +60,15 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where sends are counted.
+        Counts the requests sent.
     zone : str
-        This instance's availability zone; its servers go first.
+        This instance's availability zone; its servers are preferred.
     maximum_connections : int
-        How many connections this instance may hold to a server.
-    signs : ServerSigns, optional
-        Which servers leave, as any instance has heard.
+        Maximum number of connections of this instance to a server.
+    server_statuses : ServerSigns, optional
+        The draining servers, as reported to any instance.
     quarantine : Quarantine, optional
-        Which requests crash the servers that run them.
+        The requests that crash the servers that run them.
     """
 
     __slots__ = (
@@ -79,8 +79,8 @@
         "_open_connection",
         "_quarantine",
         "_random",
-        "_signs",
-        "_uses",
+        "_server_states",
+        "_server_statuses",
         "_zone",
     )
 
@@ -93,7 +93,7 @@
         counters: Counters,
         zone: str,
         maximum_connections: int,
-        signs: ServerSigns | None = None,
+        server_statuses: ServerSigns | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self._catalogue = catalogue
@@ -102,19 +102,19 @@
         self._counters = counters
         self._zone = zone
         self._maximum_connections = maximum_connections
-        self._uses: dict[str, _ServerUse] = {}
+        self._server_states: dict[str, _ServerState] = {}
         self._random = random.Random(zone)
-        self._signs = signs
+        self._server_statuses = server_statuses
         self._quarantine = quarantine
 
     async def send(self, run: ClaimedRun) -> SubReply:
         """Send a claimed request to one backend server; see ``RunOnce``."""
-        server = self._choose(run)
+        server = self._choose_server(run)
         run.tried.add(server.name)
-        async with self._use(server).places:
+        async with self._server_state(server).connection_slots:
             connection = await self._connect(server)
             try:
-                with self._out_of_quarantine(run):
+                with self._quarantine_guard(run):
                     return await self._exchange(connection, server, run)
             finally:
                 with trio.CancelScope(shield=True):
@@ -129,18 +129,18 @@
         try:
             reply = await connection.exchange("perform", sub_request)
         except SubRequestError as error:
-            self._note_error(error, server, run)
+            self._record_error(error, server, run)
             raise
         if self._quarantine is not None:
-            self._quarantine.note_answered(_fingerprint(run), run.purpose.service or "")
+            self._quarantine.record_answer(_fingerprint(run), run.purpose.service or "")
         return reply
 
     @contextmanager
-    def _out_of_quarantine(self, run: ClaimedRun) -> Iterator[None]:
-        """Refuse a request that crashes servers; one copy at a time may try.
+    def _quarantine_guard(self, run: ClaimedRun) -> Iterator[None]:
+        """Reject a quarantined request; allow one trial of it at a time.
 
-        A key is sent once only, but its caller may send the same body again
-        under a new key, and each of them could take down one more server.
+        A key is sent only once, but its caller may send the same body again
+        under a new key, and each copy could crash another server.
 
         Raises
         ------
@@ -152,7 +152,7 @@
             return
         fingerprint = _fingerprint(run)
         try:
-            trial_service = self._quarantine.trial_service(fingerprint)
+            trial_service = self._quarantine.begin_trial(fingerprint)
         except IbisfrontError as error:
             raise SubRequestError(MissingReason.QUARANTINED, not_run=True) from error
         try:
@@ -161,15 +161,15 @@
             if trial_service is not None:
                 self._quarantine.end_trial(fingerprint)
 
-    def _note_error(
+    def _record_error(
         self, error: SubRequestError, server: BackendServer, run: ClaimedRun
     ) -> None:
-        if error.reason is MissingReason.DRAINING and self._signs is not None:
-            self._signs.note_draining(server)
+        if error.reason is MissingReason.DRAINING and self._server_statuses is not None:
+            self._server_statuses.note_draining(server)
         lost = error.reason is MissingReason.CONNECTION_LOST and not error.not_run
         if lost and self._quarantine is not None:
             service = run.purpose.service or ""
-            self._quarantine.note_lost(_fingerprint(run), service, server.name)
+            self._quarantine.record_loss(_fingerprint(run), service, server.name)
 
     async def _connect(self, server: BackendServer) -> BackendConnection:
         try:
@@ -183,41 +183,45 @@
 
     def _avoid(self, server: BackendServer) -> None:
         until_ms = self._clock.now_ms() + _AVOID_AFTER_FAILURE_MS
-        self._use(server).avoid_until_ms = until_ms
+        self._server_state(server).avoid_until_ms = until_ms
 
-    def _choose(self, run: ClaimedRun) -> BackendServer:
+    def _choose_server(self, run: ClaimedRun) -> BackendServer:
         service = self._catalogue.service(run.purpose.service or "")
         servers = () if service is None else service.backend_servers
-        left = [
+        candidates = [
             server
             for server in servers
-            if server.name not in run.tried and self._takes_work(server)
+            if server.name not in run.tried and self._accepts_work(server)
         ]
-        if not left:
+        if not candidates:
             raise SubRequestError(MissingReason.NO_SERVER, not_run=True)
-        return min(left, key=self._rank)
+        return min(candidates, key=self._rank)
 
-    def _takes_work(self, server: BackendServer) -> bool:
-        # A server that told another instance that it drains still stands as
-        # live in the register, which lags and may be out of reach.
-        if self._signs is not None and self._signs.is_leaving(server):
+    def _accepts_work(self, server: BackendServer) -> bool:
+        # The platform's register lags and may be unreachable; it may list a server
+        # as live that has reported to another instance that it is draining.
+        if self._server_statuses is not None and self._server_statuses.is_leaving(
+            server
+        ):
             return False
         return server.state == "live"
 
     def _rank(self, server: BackendServer) -> tuple[bool, int, bool, float]:
-        use = self._use(server)
+        state = self._server_state(server)
         return (
-            self._clock.now_ms() < use.avoid_until_ms,
-            use.places.borrowed_tokens,
+            self._clock.now_ms() < state.avoid_until_ms,
+            state.connection_slots.borrowed_tokens,
             server.zone != self._zone,
             self._random.random(),
         )
 
-    def _use(self, server: BackendServer) -> _ServerUse:
-        use = self._uses.get(server.name)
-        if use is None:
-            use = self._uses[server.name] = _ServerUse(self._maximum_connections)
-        return use
+    def _server_state(self, server: BackendServer) -> _ServerState:
+        state = self._server_states.get(server.name)
+        if state is None:
+            state = self._server_states[server.name] = _ServerState(
+                self._maximum_connections
+            )
+        return state
 
 
 def _fingerprint(run: ClaimedRun) -> str:
--- a/ibisfront/core/planner.py
+++ b/ibisfront/core/planner.py
@@ -1,4 +1,4 @@
-"""Choosing the one snapshot that a search is pinned to."""
+"""Selection of the snapshot that a search is pinned to."""
 
 from __future__ import annotations
 
@@ -12,19 +12,24 @@
     from ibisfront.core.snapshot import Snapshot
     from ibisfront.core.table import Purpose
 
-__all__ = ["HoldsSnapshot", "expected_coverage", "pin_snapshot", "snapshots_of"]
+__all__ = [
+    "MayHoldSnapshot",
+    "expected_coverage",
+    "pin_snapshot",
+    "published_snapshots",
+]
 
-HoldsSnapshot: TypeAlias = Callable[[str, str], bool]
-"""Whether some server of a service may hold a snapshot, by their names."""
+MayHoldSnapshot: TypeAlias = Callable[[str, str], bool]
+"""Takes the names of a service and a snapshot; whether a server may hold it."""
 
 
-def snapshots_of(catalogue: Catalogue, purpose: Purpose) -> tuple[Snapshot, ...]:
-    """Return the published snapshots of what a purpose searches, oldest first.
+def published_snapshots(catalogue: Catalogue, purpose: Purpose) -> tuple[Snapshot, ...]:
+    """Return the published snapshots of a purpose's index, oldest first.
 
     Raises
     ------
     IbisfrontError
-        ``no_snapshot`` if there is none yet.
+        ``no_snapshot`` if none is published yet.
     """
     index = None if purpose.index is None else catalogue.index(purpose.index)
     if index is None or not index.snapshots:
@@ -35,24 +40,26 @@
     return index.snapshots
 
 
-def pin_snapshot(snapshots: tuple[Snapshot, ...], *, holds: HoldsSnapshot) -> Snapshot:
-    """Return the snapshot that covers most, the newest one among equals.
+def pin_snapshot(
+    snapshots: tuple[Snapshot, ...], *, may_hold: MayHoldSnapshot
+) -> Snapshot:
+    """Return the snapshot with the highest expected coverage, preferring new ones.
 
     The newest snapshot is published before every server has loaded it, and
-    the oldest is dropped by some servers before others, so neither end of the
-    list is always the one that all can answer.
+    the oldest is dropped by some servers before others, so neither is always
+    held by all services.
 
     Parameters
     ----------
     snapshots : tuple of Snapshot
         Oldest first; not empty.
-    holds : callable
-        Whether a service may hold a snapshot.
+    may_hold : callable
+        Whether a server of a service may hold a snapshot.
     """
     best = snapshots[-1]
     best_coverage = -1.0
     for snapshot in reversed(snapshots):
-        coverage = expected_coverage(snapshot, holds=holds)
+        coverage = expected_coverage(snapshot, may_hold=may_hold)
         if coverage > best_coverage:
             best, best_coverage = snapshot, coverage
         if best_coverage >= 1.0:
@@ -60,9 +67,9 @@
     return best
 
 
-def expected_coverage(snapshot: Snapshot, *, holds: HoldsSnapshot) -> float:
-    """Return the share of a snapshot's services that may answer for it."""
+def expected_coverage(snapshot: Snapshot, *, may_hold: MayHoldSnapshot) -> float:
+    """Return the fraction of a snapshot's services that may hold it."""
     if not snapshot.services:
         return 0.0
-    held = sum(holds(service, snapshot.name) for service in snapshot.services)
+    held = sum(may_hold(service, snapshot.name) for service in snapshot.services)
     return held / len(snapshot.services)
--- a/ibisfront/core/policies.py
+++ b/ibisfront/core/policies.py
@@ -1,4 +1,4 @@
-"""The two policies of searches: ours, and the baseline it is measured by."""
+"""The two search policies: adaptive, and a baseline for comparison."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from ibisfront.core.settings import QuerySettings
 from ibisfront.core.table import Purpose
 
-__all__ = ["Progress", "QueryPolicy", "policy_of"]
+__all__ = ["QueryPolicy", "SearchProgress", "make_policy"]
 
-_OTHER_SERVER_DELAY_MS = 1.0
-_SAME_SERVER_DELAY_MS = 10.0
+_OTHER_SERVER_MAX_DELAY_MS = 1.0
+_SAME_SERVER_MAX_DELAY_MS = 10.0
 _STRAGGLER_FACTOR = 4.0
 _NEVER_RETRIED = frozenset(
     (
@@ -31,17 +31,17 @@
 )
 
 
-class Progress(msgspec.Struct):
-    """How far a search has come.
+class SearchProgress(msgspec.Struct):
+    """The progress of a running search.
 
     Attributes
     ----------
     total : int
-        Services asked.
+        Services queried.
     answered : int
         Services that have answered.
     elapsed_ms : float
-        Time since the search began.
+        Time since the search started.
     """
 
     total: int
@@ -54,38 +54,39 @@
 
     Attributes
     ----------
-    choose : callable
+    choose_server : callable
         Picks the server of a sub-request.
     hedge_delay_ms : callable
-        After how long a sub-request to a service is hedged.
+        The time after which a sub-request to a service is hedged.
     allow_retry : callable
-        Whether a service may be asked again after an error; takes the retry
+        Whether a service may be retried after an error; withdraws the retry
         from the service's budget.
     retry_delay_ms : callable
-        How long to wait first; told whether the same server is asked again.
+        The delay before a retry; takes whether the same server is retried.
     straggler_limit_ms : callable
-        After how long a search of a purpose returns without the rest.
-    sheds_load : bool
-        Whether crash quarantine and back-off from servers are on.
+        The time after which a search returns without its stragglers.
+    is_adaptive : bool
+        Whether crash quarantine, backoff from servers, the choice among
+        snapshots and the handling of unreachable servers are enabled.
     """
 
-    choose: ChooseServer
+    choose_server: ChooseServer
     hedge_delay_ms: Callable[[ServiceState], float]
     allow_retry: Callable[[ServiceState, SubRequestError], bool]
     retry_delay_ms: Callable[[bool], float]
-    straggler_limit_ms: Callable[[Purpose, Progress], float]
-    sheds_load: bool
+    straggler_limit_ms: Callable[[Purpose, SearchProgress], float]
+    is_adaptive: bool
 
 
-def policy_of(settings: QuerySettings, *, seed: int | None = None) -> QueryPolicy:
-    """Return the policy that the settings name.
+def make_policy(settings: QuerySettings, *, seed: int | None = None) -> QueryPolicy:
+    """Return the policy selected in the settings.
 
     Parameters
     ----------
     settings : QuerySettings
         The settings.
     seed : int, optional
-        Makes random choices repeatable.
+        Seed of the random choices.
     """
     if settings.policy == "baseline":
         return _baseline_policy()
@@ -94,12 +95,12 @@
 
 def _baseline_policy() -> QueryPolicy:
     return QueryPolicy(
-        choose=round_robin(),
+        choose_server=round_robin(),
         hedge_delay_ms=lambda _service: math.inf,
         allow_retry=lambda _service, error: error.reason not in _NEVER_RETRIED,
         retry_delay_ms=lambda _same_server: 0.0,
         straggler_limit_ms=lambda _purpose, _progress: math.inf,
-        sheds_load=False,
+        is_adaptive=False,
     )
 
 
@@ -109,21 +110,23 @@
     def allow_retry(service: ServiceState, error: SubRequestError) -> bool:
         if error.reason in _NEVER_RETRIED:
             return False
-        return service.retry_budget.try_spend()
+        return service.retry_budget.try_withdraw()
 
     def retry_delay_ms(same_server: bool) -> float:
-        longest_ms = _SAME_SERVER_DELAY_MS if same_server else _OTHER_SERVER_DELAY_MS
-        return generator.uniform(0.0, longest_ms)
+        max_delay_ms = (
+            _SAME_SERVER_MAX_DELAY_MS if same_server else _OTHER_SERVER_MAX_DELAY_MS
+        )
+        return generator.uniform(0.0, max_delay_ms)
 
-    def straggler_limit_ms(purpose: Purpose, progress: Progress) -> float:
+    def straggler_limit_ms(purpose: Purpose, progress: SearchProgress) -> float:
         quorum = math.ceil(settings.straggler_quorum_fraction * progress.total)
         if purpose.prefers == "coverage" or progress.answered < quorum:
             return math.inf
-        waited_ms = _STRAGGLER_FACTOR * progress.elapsed_ms
-        return max(waited_ms, settings.straggler_floor_ms)
+        limit_ms = _STRAGGLER_FACTOR * progress.elapsed_ms
+        return max(limit_ms, settings.straggler_floor_ms)
 
     return QueryPolicy(
-        choose=two_choices(
+        choose_server=two_choices(
             cross_zone_ms=settings.cross_zone_ms,
             slots_per_server=settings.slots_per_server,
             seed=seed,
@@ -132,5 +135,5 @@
         allow_retry=allow_retry,
         retry_delay_ms=retry_delay_ms,
         straggler_limit_ms=straggler_limit_ms,
-        sheds_load=True,
+        is_adaptive=True,
     )
--- a/ibisfront/core/replies.py
+++ b/ibisfront/core/replies.py
@@ -1,4 +1,4 @@
-"""Checking the replies of backend servers and merging their rows."""
+"""Validation of backend servers' replies and merging of their rows."""
 
 from __future__ import annotations
 
@@ -14,65 +14,65 @@
 if TYPE_CHECKING:
     from ibisfront.core.query import SubReply
 
-__all__ = ["SearchRows", "checked_rows", "merged_rows"]
+__all__ = ["SearchRows", "decode_rows", "merge_rows"]
 
 
 class _RawReply(msgspec.Struct):
-    """The body of a backend server's reply to a search."""
+    """The body of a search reply, its rows undecoded."""
 
     snapshot: str
     rows: list[msgspec.Raw]
 
 
-class _Scored(msgspec.Struct):
-    """The part of a row that orders it."""
+class _RowScore(msgspec.Struct):
+    """The sort key of a row."""
 
     score: float = 0.0
 
 
-class _ScoredReply(msgspec.Struct):
-    """The same body, for the scores of its rows."""
+class _ScoresReply(msgspec.Struct):
+    """The body of a search reply, only the scores of its rows."""
 
-    rows: list[_Scored]
+    rows: list[_RowScore]
 
 
 class SearchRows(msgspec.Struct, frozen=True):
-    """The rows of one service's reply, each with its score."""
+    """The rows of one service's reply and their scores."""
 
     rows: list[msgspec.Raw]
-    scores: list[_Scored]
+    scores: list[_RowScore]
 
 
 _RAW_DECODER = msgspec.json.Decoder(_RawReply)
-_SCORE_DECODER = msgspec.json.Decoder(_ScoredReply)
+_SCORE_DECODER = msgspec.json.Decoder(_ScoresReply)
 
 
-def checked_rows(reply: SubReply, snapshot: str) -> SearchRows:
-    """Return the rows of a reply that belongs to the pinned snapshot.
+def decode_rows(reply: SubReply, snapshot: str) -> SearchRows:
+    """Return the rows of a reply, checked against the pinned snapshot.
 
-    The body is decoded twice, once for the rows as they are and once for
-    their scores: two passes over a body cost less than one over each row.
+    The body is decoded twice, once for the raw rows and once for their
+    scores: two passes over the body cost less than decoding each row.
 
     Raises
     ------
     SubRequestError
         ``wrong_reply`` if the body is not a search result, ``snapshot_gone``
-        if it is one of another snapshot.
+        if it comes from another snapshot.
     """
     try:
         decoded = _RAW_DECODER.decode(reply.body_json)
         scored = _SCORE_DECODER.decode(reply.body_json)
     except msgspec.MsgspecError as error:
         raise SubRequestError(MissingReason.WRONG_REPLY, not_run=False) from error
-    # A server that has dropped the pinned snapshot may answer from the one
-    # that it has instead. Its rows would make the answer a mix.
+    # A server that has dropped the pinned snapshot may answer from another
+    # one; its rows would mix two snapshots in one answer.
     if decoded.snapshot != snapshot:
         raise SubRequestError(MissingReason.SNAPSHOT_GONE, not_run=False)
     return SearchRows(decoded.rows, scored.rows)
 
 
-def merged_rows(replies: Iterable[SearchRows]) -> tuple[msgspec.Raw, ...]:
-    """Return all rows, best first."""
+def merge_rows(replies: Iterable[SearchRows]) -> tuple[msgspec.Raw, ...]:
+    """Return the rows of all replies, best first."""
     scored = [
         (-score.score, row)
         for reply in replies
--- a/ibisfront/core/retry_budget.py
+++ b/ibisfront/core/retry_budget.py
@@ -1,4 +1,4 @@
-"""Budgets that keep extra sub-requests to a share of the first ones."""
+"""Budgets that limit extra attempts to a fraction of the primary ones."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class RetryBudget:
-    """A token bucket filled by first attempts and emptied by extra ones.
+    """A token bucket filled by primary attempts and drained by extra ones.
 
-    Over any stretch of work the extra attempts number at most ``share`` of
-    the first attempts plus ``burst``, so that a service that fails altogether
-    is not asked twice as often just when it can do least.
+    Over any period the number of extra attempts is at most ``ratio`` times
+    the number of primary attempts plus ``burst``, so that retries do not
+    double the load of a service that fails completely.
 
     Parameters
     ----------
-    share : float
-        How many extra attempts one first attempt allows; 0.1 is one in ten.
+    ratio : float
+        Extra attempts allowed per primary attempt.
     burst : float
-        How many may come at once after a quiet time.
+        Maximum balance: extra attempts allowed at once after an idle period.
     """
 
-    __slots__ = ("_burst", "_share", "_tokens")
+    __slots__ = ("_balance", "_burst", "_ratio")
 
-    def __init__(self, *, share: float, burst: float) -> None:
-        self._share = share
+    def __init__(self, *, ratio: float, burst: float) -> None:
+        self._ratio = ratio
         self._burst = burst
-        self._tokens = burst
+        self._balance = burst
 
     @property
-    def tokens(self) -> float:
-        """How many extra attempts are allowed now."""
-        return self._tokens
+    def balance(self) -> float:
+        """The number of extra attempts currently allowed."""
+        return self._balance
 
-    def earn(self) -> None:
-        """Note one first attempt."""
-        self._tokens = min(self._burst, self._tokens + self._share)
+    def deposit(self) -> None:
+        """Record one primary attempt."""
+        self._balance = min(self._burst, self._balance + self._ratio)
 
-    def try_spend(self) -> bool:
-        """Take one extra attempt; return False if none is left."""
-        if self._tokens < 1.0:
+    def try_withdraw(self) -> bool:
+        """Withdraw one extra attempt; return False if the balance is too low."""
+        if self._balance < 1.0:
             return False
-        self._tokens -= 1.0
+        self._balance -= 1.0
         return True
--- a/ibisfront/core/search_part.py
+++ b/ibisfront/core/search_part.py
@@ -1,4 +1,4 @@
-"""One service's part of one search, while it runs."""
+"""The state of one service's part of a running search."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Attempt:
-    """One task that tries to get a part, one server after the other."""
+    """One task that queries the servers of a service one after the other."""
 
-    __slots__ = ("link", "scope", "sent_at_ms")
+    __slots__ = ("pool", "scope", "sent_at_ms")
 
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
-        self.link: BackendLink | None = None
+        self.pool: BackendLink | None = None
         self.sent_at_ms = 0.0
 
 
@@ -34,33 +34,33 @@
     service : str
         The service.
     state : ServiceState
-        What was measured of it.
+        The measured state of the service.
     attempts : list of Attempt
-        The tasks that try now: the first one, and hedged ones.
+        The running attempts: the primary one, hedged requests and retries.
     tried : tuple of BackendLink
-        The links tried so far.
-    requests : int
-        How many sub-requests were sent for it.
-    hedged : bool
-        Whether a hedged request was considered already.
-    freed : bool
-        Whether it was asked again because its server or connection was given
-        up.
+        The pools tried so far.
+    sub_request_count : int
+        Number of sub-requests sent.
+    hedge_considered : bool
+        Whether a hedged request has been sent or ruled out.
+    retried_after_stall : bool
+        Whether a retry was considered because the server or the connection
+        failed.
     rows : SearchRows or None
-        Its answer.
+        The answer of the service.
     missing : MissingReason or None
-        Why it has none, once that is settled.
+        Why the service is missing from the answer.
     """
 
     __slots__ = (
         "attempts",
-        "freed",
-        "hedged",
+        "hedge_considered",
         "missing",
-        "requests",
+        "retried_after_stall",
         "rows",
         "service",
         "state",
+        "sub_request_count",
         "tried",
     )
 
@@ -69,34 +69,34 @@
         self.state = state
         self.attempts: list[Attempt] = []
         self.tried: tuple[BackendLink, ...] = ()
-        self.requests = 0
-        self.hedged = False
-        self.freed = False
+        self.sub_request_count = 0
+        self.hedge_considered = False
+        self.retried_after_stall = False
         self.rows: SearchRows | None = None
         self.missing: MissingReason | None = None
 
     @property
     def is_settled(self) -> bool:
-        """Whether it is answered or missing for good."""
+        """Whether the part is answered or finally missing."""
         return self.rows is not None or self.missing is not None
 
     @property
-    def is_stranded(self) -> bool:
-        """Whether every try waits at a server or connection that was given up."""
+    def is_stalled(self) -> bool:
+        """Whether all attempts wait at a failed server or retired connection."""
         return bool(self.attempts) and all(
-            attempt.link is not None and attempt.link.is_given_up(attempt.sent_at_ms)
+            attempt.pool is not None and attempt.pool.is_given_up(attempt.sent_at_ms)
             for attempt in self.attempts
         )
 
     def is_unreachable(self, now_ms: float) -> bool:
-        """Return whether every try has waited long enough at a silent server."""
+        """Return whether all attempts exceeded the bound at silent servers."""
         if not self.attempts:
             return False
         first_sent_at_ms = min(attempt.sent_at_ms for attempt in self.attempts)
         waited_ms = now_ms - first_sent_at_ms
         return all(
-            attempt.link is not None
-            and attempt.link.is_silent_since(attempt.sent_at_ms)
-            and waited_ms >= attempt.link.silence_bound_ms
+            attempt.pool is not None
+            and attempt.pool.is_silent_since(attempt.sent_at_ms)
+            and waited_ms >= attempt.pool.silence_bound_ms
             for attempt in self.attempts
         )
--- a/ibisfront/core/search_run.py
+++ b/ibisfront/core/search_run.py
@@ -11,9 +11,9 @@
 
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.coverage import MissingReason
-from ibisfront.core.policies import Progress, QueryPolicy
+from ibisfront.core.policies import QueryPolicy, SearchProgress
 from ibisfront.core.query import CallerRequest, SubRequest, SubRequestError
-from ibisfront.core.replies import checked_rows
+from ibisfront.core.replies import decode_rows
 from ibisfront.core.search_part import Attempt, SearchPart
 from ibisfront.core.server_choice import Choice
 from ibisfront.core.snapshot import Snapshot
@@ -31,28 +31,28 @@
 
 __all__ = ["SearchRun", "SearchTask"]
 
-_MOST_REQUESTS = 3
-_WATCH_MS = 50.0
-_SHORTEST_WATCH_MS = 1.0
+_MAX_SUB_REQUESTS = 3
+_POLL_INTERVAL_MS = 50.0
+_MIN_POLL_INTERVAL_MS = 1.0
 
 
 class SearchTask(msgspec.Struct, frozen=True):
-    """What one run is to do.
+    """The search that one run executes.
 
     Attributes
     ----------
     request : CallerRequest
         The caller's request.
     purpose : Purpose
-        Its purpose.
+        The purpose of the request.
     snapshot : Snapshot
         The pinned snapshot; its services are the partition map.
     fingerprint : str
-        The same for every copy of the request.
+        Identical for every copy of the request.
     deadline_at_ms : float
-        When the answer must be ready to be sent back.
+        When the answer must be complete, before it is sent back.
     trial_service : str or None
-        The service that must answer before any other is asked.
+        The service that must answer before any other service is queried.
     """
 
     request: CallerRequest
@@ -64,66 +64,66 @@
 
 
 class SearchRun:
-    """One search while it runs; used once.
+    """The execution of one search; not reusable.
 
     Parameters
     ----------
     task : SearchTask
-        What to do.
-    links : BackendLinks
-        The servers.
-    state_of : callable
-        Returns what was measured of a service.
+        The search.
+    pools : BackendLinks
+        The connections to the backend servers.
+    service_state : callable
+        Returns the measured state of a service.
     next_id : callable
-        Returns an id that no other sub-request has.
+        Returns a unique sub-request id.
     hedge_budget : RetryBudget
-        Hedged requests of all services together; each of them also counts
-        against its service's own budget of extra sub-requests.
+        Budget for hedged requests to all services; each of them also counts
+        against the retry budget of its service.
     quarantine : Quarantine
-        Where lost servers are noted.
+        Records the servers lost while they ran the request.
     policy : QueryPolicy
-        The decisions.
+        The policy for server choice, hedging, retries and stragglers.
     zone : str
         This instance's availability zone.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where retries, hedges and cancellations are counted.
-    wants_restart : callable
-        Told of a service that does not hold the snapshot; returns whether to
-        give the run up for another snapshot.
+        Counts retries, hedged requests and cancellations.
+    should_restart : callable
+        Called when no server of a service holds the snapshot; returns whether
+        to abandon the run and restart on another snapshot.
     """
 
     __slots__ = (
-        "_answered",
+        "_answered_count",
         "_clock",
+        "_connection_loss_lock",
         "_counters",
         "_hedge_budget",
-        "_links",
-        "_loss_is_harmless",
-        "_lost_turn",
         "_next_id",
         "_nursery",
-        "_open",
+        "_pending_count",
         "_policy",
+        "_pools",
         "_quarantine",
+        "_retry_after_loss_succeeded",
+        "_service_state",
+        "_should_restart",
         "_started_ms",
-        "_state_of",
-        "_straggler_at_ms",
+        "_straggler_cutoff_at_ms",
         "_task",
         "_trial_passed",
-        "_wants_restart",
         "_zone",
         "parts",
-        "restart",
+        "restart_requested",
     )
 
     def __init__(
         self,
         task: SearchTask,
         *,
-        links: BackendLinks,
-        state_of: Callable[[str], ServiceState],
+        pools: BackendLinks,
+        service_state: Callable[[str], ServiceState],
         next_id: Callable[[], str],
         hedge_budget: RetryBudget,
         quarantine: Quarantine,
@@ -131,11 +131,11 @@
         zone: str,
         clock: Clock,
         counters: Counters,
-        wants_restart: Callable[[SearchRun], bool],
+        should_restart: Callable[[SearchRun], bool],
     ) -> None:
         self._task = task
-        self._links = links
-        self._state_of = state_of
+        self._pools = pools
+        self._service_state = service_state
         self._next_id = next_id
         self._hedge_budget = hedge_budget
         self._quarantine = quarantine
@@ -143,36 +143,36 @@
         self._zone = zone
         self._clock = clock
         self._counters = counters
-        self._wants_restart = wants_restart
-        self._loss_is_harmless = False
-        self._lost_turn = trio.Lock()
+        self._should_restart = should_restart
+        self._retry_after_loss_succeeded = False
+        self._connection_loss_lock = trio.Lock()
         self._trial_passed: trio.Event | None = None
-        self._straggler_at_ms = math.inf
-        self._answered = 0
-        self._open = 0
+        self._straggler_cutoff_at_ms = math.inf
+        self._answered_count = 0
+        self._pending_count = 0
         self._started_ms = 0.0
         self.parts: list[SearchPart] = []
-        self.restart = False
+        self.restart_requested = False
 
     @property
-    def reachable(self) -> float:
-        """The share of the services that have answered or still may."""
+    def attainable_coverage(self) -> float:
+        """The fraction of the services that have answered or still may."""
         missing = sum(part.missing is not None for part in self.parts)
         return 1.0 - missing / max(1, len(self.parts))
 
     @property
     def elapsed_ms(self) -> float:
-        """How long the run has taken so far."""
+        """The time since the run started."""
         return self._clock.now_ms() - self._started_ms
 
     async def run(self) -> None:
-        """Ask every service; on return each part is answered or missing."""
+        """Query every service; on return each part is answered or missing."""
         self._started_ms = self._clock.now_ms()
         self.parts = [
-            SearchPart(service, self._state_of(service))
+            SearchPart(service, self._service_state(service))
             for service in self._task.snapshot.services
         ]
-        self._open = len(self.parts)
+        self._pending_count = len(self.parts)
         if self._task.trial_service is not None:
             self._trial_passed = trio.Event()
         remaining_ms = self._task.deadline_at_ms - self._started_ms
@@ -180,51 +180,55 @@
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 for part in self.parts:
-                    nursery.start_soon(self._ask_first, part)
-                await self._watch()
+                    nursery.start_soon(self._send_primary, part)
+                await self._monitor_parts()
                 nursery.cancel_scope.cancel()
-        refused = self._trial_passed is not None and not self._trial_passed.is_set()
-        rest = MissingReason.QUARANTINED if refused else MissingReason.TIMED_OUT
+        trial_failed = (
+            self._trial_passed is not None and not self._trial_passed.is_set()
+        )
+        default_reason = (
+            MissingReason.QUARANTINED if trial_failed else MissingReason.TIMED_OUT
+        )
         for part in self.parts:
             if not part.is_settled:
-                part.missing = rest
+                part.missing = default_reason
 
-    async def _ask_first(self, part: SearchPart) -> None:
+    async def _send_primary(self, part: SearchPart) -> None:
         if self._trial_passed is not None and part.service != self._task.trial_service:
             await self._trial_passed.wait()
-        part.state.retry_budget.earn()
-        self._hedge_budget.earn()
+        part.state.retry_budget.deposit()
+        self._hedge_budget.deposit()
         await self._attempt(part)
 
     async def _attempt(self, part: SearchPart) -> None:
-        """Try to get a part until it is answered or not to be had."""
+        """Send sub-requests for a part until it is answered or given up."""
         attempt = Attempt()
         part.attempts.append(attempt)
         with attempt.scope:
             while not part.is_settled:
                 try:
-                    rows = await self._ask(part, attempt)
+                    rows = await self._send_sub_request(part, attempt)
                 except SubRequestError as error:
                     if len(part.attempts) > 1:
                         break
-                    if not await self._may_go_on(part, attempt, error):
-                        self._settle_missing(part, self._why_missing(error))
+                    if not await self._should_retry(part, attempt, error):
+                        self._settle_missing(part, self._missing_reason(error))
                 else:
                     self._settle_answered(part, attempt, rows)
         part.attempts.remove(attempt)
 
-    async def _ask(self, part: SearchPart, attempt: Attempt) -> SearchRows:
+    async def _send_sub_request(self, part: SearchPart, attempt: Attempt) -> SearchRows:
         """Send one sub-request and return its rows."""
-        link = await self._choose(part)
+        pool = await self._choose_pool(part)
         task = self._task
         now_ms = self._clock.now_ms()
-        # Work that cannot be answered in time takes a slot from work that can.
+        # Work that cannot finish in time would occupy a slot that other work needs.
         if now_ms + part.state.quick_ms >= task.deadline_at_ms:
             raise SubRequestError(MissingReason.NO_BUDGET, not_run=True)
-        attempt.link = link
+        attempt.pool = pool
         attempt.sent_at_ms = now_ms
-        part.tried += (link,)
-        part.requests += 1
+        part.tried += (pool,)
+        part.sub_request_count += 1
         sub_request = SubRequest(
             sub_request_id=self._next_id(),
             service=part.service,
@@ -236,42 +240,42 @@
             fingerprint=task.fingerprint,
         )
         try:
-            reply = await link.call(sub_request)
-            rows = checked_rows(reply, task.snapshot.name)
+            reply = await pool.call(sub_request)
+            rows = decode_rows(reply, task.snapshot.name)
         except SubRequestError as error:
             if error.reason is MissingReason.CONNECTION_LOST:
-                self._note_lost(part, link)
+                self._record_connection_loss(part, pool)
             raise
         now_ms = self._clock.now_ms()
         part.state.record_ms(now_ms - attempt.sent_at_ms, now_ms)
-        self._note_answered(part)
+        self._record_answer(part)
         return rows
 
-    async def _choose(self, part: SearchPart) -> BackendLink:
+    async def _choose_pool(self, part: SearchPart) -> BackendLink:
         now_ms = self._clock.now_ms()
         choice = Choice(self._zone, now_ms, self._task.snapshot.name, part.tried)
-        links = self._links.of_service(part.service)
-        link = self._policy.choose(links, choice)
-        if link is None:
-            raise SubRequestError(self._why_none(links), not_run=True)
-        wait_ms = link.health.not_before_ms - now_ms
-        if self._policy.sheds_load and wait_ms > 0.0:
-            await self._back_off(part, wait_ms)
-        return link
-
-    def _why_none(self, links: tuple[BackendLink, ...]) -> MissingReason:
-        if not links:
+        pools = self._pools.of_service(part.service)
+        pool = self._policy.choose_server(pools, choice)
+        if pool is None:
+            raise SubRequestError(self._no_pool_reason(pools), not_run=True)
+        wait_ms = pool.health.not_before_ms - now_ms
+        if self._policy.is_adaptive and wait_ms > 0.0:
+            await self._wait_for_backoff(part, wait_ms)
+        return pool
+
+    def _no_pool_reason(self, pools: tuple[BackendLink, ...]) -> MissingReason:
+        if not pools:
             return MissingReason.NO_SERVER
-        if all(link.is_leaving for link in links):
+        if all(pool.is_leaving for pool in pools):
             return MissingReason.DRAINING
         return MissingReason.SNAPSHOT_GONE
 
-    async def _back_off(self, part: SearchPart, wait_ms: float) -> None:
-        """Wait until a server that shed may be asked again.
+    async def _wait_for_backoff(self, part: SearchPart, wait_ms: float) -> None:
+        """Wait until a server that shed load accepts requests again.
 
-        Every server of the service has asked to be left alone. Asking now
-        would only be shed again and feed the overload; a sub-request that
-        cannot wait that long is not sent.
+        Every server of the service has asked for backoff. A request sent now
+        would be shed again and add to the overload. A sub-request whose
+        deadline does not allow the wait is not sent.
         """
         wait_ms += self._policy.retry_delay_ms(True)
         now_ms = self._clock.now_ms()
@@ -279,69 +283,74 @@
             raise SubRequestError(MissingReason.SHED, not_run=True)
         await self._clock.sleep_ms(wait_ms)
 
-    async def _may_go_on(
+    async def _should_retry(
         self, part: SearchPart, attempt: Attempt, error: SubRequestError
     ) -> bool:
-        """Return whether to ask again, after the wait before it."""
-        if part.requests >= _MOST_REQUESTS or not part.tried:
+        """Return whether to retry, after waiting for the retry delay."""
+        if part.sub_request_count >= _MAX_SUB_REQUESTS or not part.tried:
             return False
-        if error.reason is MissingReason.SNAPSHOT_GONE and not self._has_holder(part):
+        if (
+            error.reason is MissingReason.SNAPSHOT_GONE
+            and not self._has_snapshot_holder(part)
+        ):
             return False
         if not self._policy.allow_retry(part.state, error):
             self._counters.add(CounterKind.RETRIES_WITHHELD, error.reason.value)
             return False
-        if error.reason is MissingReason.CONNECTION_LOST and self._policy.sheds_load:
-            return await self._retry_lost(part, attempt)
+        if error.reason is MissingReason.CONNECTION_LOST and self._policy.is_adaptive:
+            return await self._retry_after_connection_loss(part, attempt)
         self._counters.add(CounterKind.RETRIES, error.reason.value)
-        links = self._links.of_service(part.service)
-        same_server = all(link in part.tried for link in links)
+        pools = self._pools.of_service(part.service)
+        same_server = all(pool in part.tried for pool in pools)
         await self._clock.sleep_ms(self._policy.retry_delay_ms(same_server))
         return True
 
-    async def _retry_lost(self, part: SearchPart, attempt: Attempt) -> bool:
-        """Return whether to ask again after a lost connection.
+    async def _retry_after_connection_loss(
+        self, part: SearchPart, attempt: Attempt
+    ) -> bool:
+        """Return whether to continue after a lost connection.
 
-        A request that crashes servers shows as connections lost, at several
-        services at once. Retrying all of them together would crash the
-        second server of each; so one part goes first, and the others wait
-        for what becomes of it.
+        A request that crashes servers loses its connections to several
+        services at once. Retrying all of them together would crash a second
+        server of each service, so one part retries first and the others wait
+        for the result.
         """
-        async with self._lost_turn:
-            if self._loss_is_harmless:
+        async with self._connection_loss_lock:
+            if self._retry_after_loss_succeeded:
                 return True
-            if self._quarantine.is_refused(self._task.fingerprint):
+            if self._quarantine.is_quarantined(self._task.fingerprint):
                 return False
             self._counters.add(CounterKind.RETRIES, "connection_lost")
             try:
-                rows = await self._ask(part, attempt)
+                rows = await self._send_sub_request(part, attempt)
             except SubRequestError:
                 return False
-            self._loss_is_harmless = True
+            self._retry_after_loss_succeeded = True
             self._settle_answered(part, attempt, rows)
         return True
 
-    def _why_missing(self, error: SubRequestError) -> MissingReason:
+    def _missing_reason(self, error: SubRequestError) -> MissingReason:
         lost = error.reason is MissingReason.CONNECTION_LOST
-        if lost and self._quarantine.is_refused(self._task.fingerprint):
+        if lost and self._quarantine.is_quarantined(self._task.fingerprint):
             return MissingReason.QUARANTINED
         return error.reason
 
-    def _has_holder(self, part: SearchPart) -> bool:
+    def _has_snapshot_holder(self, part: SearchPart) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            link.health.may_hold(self._task.snapshot.name, now_ms)
-            and not link.is_leaving
-            for link in self._links.of_service(part.service)
+            pool.health.may_hold(self._task.snapshot.name, now_ms)
+            and not pool.is_leaving
+            for pool in self._pools.of_service(part.service)
         )
 
-    def _note_lost(self, part: SearchPart, link: BackendLink) -> None:
-        if self._policy.sheds_load:
-            self._quarantine.note_lost(
-                self._task.fingerprint, part.service, link.server.name
+    def _record_connection_loss(self, part: SearchPart, pool: BackendLink) -> None:
+        if self._policy.is_adaptive:
+            self._quarantine.record_loss(
+                self._task.fingerprint, part.service, pool.server.name
             )
 
-    def _note_answered(self, part: SearchPart) -> None:
-        self._quarantine.note_answered(self._task.fingerprint, part.service)
+    def _record_answer(self, part: SearchPart) -> None:
+        self._quarantine.record_answer(self._task.fingerprint, part.service)
         if self._trial_passed is not None:
             self._trial_passed.set()
 
@@ -351,140 +360,144 @@
         if part.is_settled:
             return
         part.rows = rows
-        self._answered += 1
+        self._answered_count += 1
         for attempt in part.attempts:
             if attempt is not winner:
                 self._counters.add(CounterKind.CANCELLATIONS, "hedge_lost")
                 attempt.scope.cancel()
-        self._settled(part)
-        progress = Progress(len(self.parts), self._answered, self.elapsed_ms)
-        if self._straggler_at_ms == math.inf:
+        self._on_part_settled(part)
+        progress = SearchProgress(
+            len(self.parts), self._answered_count, self.elapsed_ms
+        )
+        if self._straggler_cutoff_at_ms == math.inf:
             limit_ms = self._policy.straggler_limit_ms(self._task.purpose, progress)
-            self._straggler_at_ms = self._started_ms + limit_ms
+            self._straggler_cutoff_at_ms = self._started_ms + limit_ms
 
     def _settle_missing(self, part: SearchPart, reason: MissingReason) -> None:
         part.missing = reason
-        self._settled(part)
-        gone = reason is MissingReason.SNAPSHOT_GONE
-        if gone and self._wants_restart(self):
-            self.restart = True
+        self._on_part_settled(part)
+        snapshot_gone = reason is MissingReason.SNAPSHOT_GONE
+        if snapshot_gone and self._should_restart(self):
+            self.restart_requested = True
             self._nursery.cancel_scope.cancel()
         if self._trial_passed is not None and not self._trial_passed.is_set():
             self._nursery.cancel_scope.cancel()
 
-    def _settled(self, part: SearchPart) -> None:
-        self._open -= 1
-        if not self._open:
+    def _on_part_settled(self, part: SearchPart) -> None:
+        self._pending_count -= 1
+        if not self._pending_count:
             self._nursery.cancel_scope.cancel()
 
-    async def _watch(self) -> None:
-        """Hedge slow parts, free stranded ones and cut off stragglers."""
-        waits = self._hedge_times()
-        while self._open:
+    async def _monitor_parts(self) -> None:
+        """Hedge slow parts, retry stalled ones and stop waiting for stragglers."""
+        scheduled = self._hedge_schedule()
+        while self._pending_count:
             now_ms = self._clock.now_ms()
-            if now_ms >= self._straggler_at_ms:
-                self._counters.add(CounterKind.CANCELLATIONS, "straggler", self._open)
+            if now_ms >= self._straggler_cutoff_at_ms:
+                self._counters.add(
+                    CounterKind.CANCELLATIONS, "straggler", self._pending_count
+                )
                 return
-            while waits and waits[-1].at_ms <= now_ms:
-                self._hedge(waits.pop().part)
-            if waits and waits[-1].part.is_settled:
-                waits.pop()
+            while scheduled and scheduled[-1].at_ms <= now_ms:
+                self._hedge(scheduled.pop().part)
+            if scheduled and scheduled[-1].part.is_settled:
+                scheduled.pop()
                 continue
-            if self._policy.sheds_load:
-                self._give_up_unreachable(now_ms)
-                self._free_stranded()
-            wake_at_ms = min(now_ms + _WATCH_MS, self._straggler_at_ms)
-            if waits:
-                wake_at_ms = min(wake_at_ms, waits[-1].at_ms)
-            await self._clock.sleep_ms(max(wake_at_ms - now_ms, _SHORTEST_WATCH_MS))
-
-    def _hedge_times(self) -> list[_HedgeTime]:
-        """Return when each part is to be hedged, the soonest last."""
-        times = [
-            _HedgeTime(self._started_ms + delay_ms, part)
+            if self._policy.is_adaptive:
+                self._abandon_unreachable_parts(now_ms)
+                self._retry_stalled_parts()
+            wake_at_ms = min(now_ms + _POLL_INTERVAL_MS, self._straggler_cutoff_at_ms)
+            if scheduled:
+                wake_at_ms = min(wake_at_ms, scheduled[-1].at_ms)
+            await self._clock.sleep_ms(max(wake_at_ms - now_ms, _MIN_POLL_INTERVAL_MS))
+
+    def _hedge_schedule(self) -> list[_ScheduledHedge]:
+        """Return when each part is hedged, the earliest last."""
+        schedule = [
+            _ScheduledHedge(self._started_ms + delay_ms, part)
             for part in self.parts
             if (delay_ms := self._policy.hedge_delay_ms(part.state)) != math.inf
         ]
-        times.sort(key=_hedge_at_ms, reverse=True)
-        return times
+        schedule.sort(key=_hedge_at_ms, reverse=True)
+        return schedule
 
     def _hedge(self, part: SearchPart) -> None:
-        if part.is_settled or not part.attempts or part.hedged:
+        if part.is_settled or not part.attempts or part.hedge_considered:
             return
-        part.hedged = True
-        if not self._has_other(part):
+        part.hedge_considered = True
+        if not self._has_hedge_target(part):
             return
-        if not self._try_hedge(part):
+        if not self._try_withdraw_hedge(part):
             self._counters.add(CounterKind.HEDGES_WITHHELD, "budget")
             return
         self._counters.add(CounterKind.HEDGES, "slow")
         self._nursery.start_soon(self._attempt, part)
 
-    def _try_hedge(self, part: SearchPart) -> bool:
-        """Take a hedged request from both budgets, or from none."""
+    def _try_withdraw_hedge(self, part: SearchPart) -> bool:
+        """Withdraw a hedged request from both budgets, or from neither."""
         retry_budget = part.state.retry_budget
-        if retry_budget.tokens < 1.0 or not self._hedge_budget.try_spend():
+        if retry_budget.balance < 1.0 or not self._hedge_budget.try_withdraw():
             return False
-        return retry_budget.try_spend()
+        return retry_budget.try_withdraw()
 
-    def _has_other(self, part: SearchPart) -> bool:
-        """Return whether a server that was not tried can take a hedged request."""
+    def _has_hedge_target(self, part: SearchPart) -> bool:
+        """Return whether an untried server can receive a hedged request."""
         now_ms = self._clock.now_ms()
         return any(
-            link not in part.tried
-            and not link.health.ejected
-            and not link.is_leaving
-            and link.health.not_before_ms <= now_ms
-            and link.health.may_hold(self._task.snapshot.name, now_ms)
-            for link in self._links.of_service(part.service)
+            pool not in part.tried
+            and not pool.health.ejected
+            and not pool.is_leaving
+            and pool.health.not_before_ms <= now_ms
+            and pool.health.may_hold(self._task.snapshot.name, now_ms)
+            for pool in self._pools.of_service(part.service)
         )
 
-    def _give_up_unreachable(self, now_ms: float) -> None:
-        """Report services as missing none of whose servers answers.
+    def _abandon_unreachable_parts(self, now_ms: float) -> None:
+        """Mark a service as missing if none of its servers responds.
 
-        When a zone is cut off, or all replicas freeze, every search of the
-        service would wait for its deadline, and the rest of its answer with
-        it. Ejected servers are still asked when there is no other, so that
-        the first search after the fault is answered, but no longer than it
-        takes to suspect a silence. A server that answers anything meanwhile
-        is slow and not gone, and is waited for.
+        When a zone is partitioned or all replicas freeze, every search of the
+        service would otherwise wait until its deadline before it returns its
+        other parts. Ejected servers still receive requests if there is no
+        other server, so that the first search after the fault is answered,
+        but are waited for only up to the silence bound. A server that answers
+        anything meanwhile is slow rather than unreachable and is waited for.
         """
         for part in self.parts:
             if part.is_settled or not part.is_unreachable(now_ms):
                 continue
-            if self._has_server_in_use(part):
+            if self._has_available_server(part):
                 continue
             self._counters.add(CounterKind.CANCELLATIONS, "unreachable")
             for attempt in part.attempts:
                 attempt.scope.cancel()
             self._settle_missing(part, MissingReason.TIMED_OUT)
 
-    def _has_server_in_use(self, part: SearchPart) -> bool:
+    def _has_available_server(self, part: SearchPart) -> bool:
         return any(
-            not link.health.ejected and not link.is_leaving
-            for link in self._links.of_service(part.service)
+            not pool.health.ejected and not pool.is_leaving
+            for pool in self._pools.of_service(part.service)
         )
 
-    def _free_stranded(self) -> None:
-        """Ask again for parts whose server or connection was given up.
+    def _retry_stalled_parts(self) -> None:
+        """Retry parts that wait at a failed server or a retired connection.
 
-        A connection that went silent, or a server that froze, brings neither
-        an answer nor an error; what waits there would wait for its deadline.
-        The first try goes on beside, in case its answer still comes.
+        A silent connection or a frozen server returns neither an answer nor
+        an error, so the attempt would wait until its deadline. The first
+        attempt continues in parallel, in case its answer still arrives.
         """
         for part in self.parts:
-            if part.is_settled or part.freed or not part.is_stranded:
+            if part.is_settled or part.retried_after_stall or not part.is_stalled:
                 continue
-            part.freed = True
-            if part.state.retry_budget.try_spend():
+            part.retried_after_stall = True
+            if part.state.retry_budget.try_withdraw():
                 self._counters.add(CounterKind.RETRIES, "silent")
                 self._nursery.start_soon(self._attempt, part)
             else:
                 self._counters.add(CounterKind.RETRIES_WITHHELD, "silent")
 
 
-class _HedgeTime:
-    """When a part is to be hedged."""
+class _ScheduledHedge:
+    """The time at which a part is hedged."""
 
     __slots__ = ("at_ms", "part")
 
@@ -493,5 +506,5 @@
         self.part = part
 
 
-def _hedge_at_ms(time: _HedgeTime) -> float:
-    return time.at_ms
+def _hedge_at_ms(hedge: _ScheduledHedge) -> float:
+    return hedge.at_ms
--- a/ibisfront/core/service_state.py
+++ b/ibisfront/core/service_state.py
@@ -103,7 +103,7 @@
         self._latency = RecentLatency(settings)
         self._index_latency = index_latency
         self.retry_budget = RetryBudget(
-            share=settings.retry_fraction, burst=RETRY_BURST
+            ratio=settings.retry_fraction, burst=RETRY_BURST
         )
 
     @property
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -108,7 +108,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            links=self.links,
+            pools=self.links,
             quarantine=self.quarantine,
             clock=clock,
             counters=self.counters,
@@ -128,7 +128,7 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            signs=self.shared.signs,
+            server_statuses=self.shared.signs,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
--- a/ibisfront/testing/search_fixture.py
+++ b/ibisfront/testing/search_fixture.py
@@ -1,4 +1,4 @@
-"""The query path of one instance over backend stand-ins in one process."""
+"""The query path of one instance over fake backend servers in one process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from ibisfront.core.table import Purpose
 from ibisfront.testing.backend_state import FIRST_SNAPSHOT, FakeBackend
 from ibisfront.testing.backend_types import BackendFaults
-from ibisfront.testing.backend_types import BackendSettings as StandInSettings
+from ibisfront.testing.backend_types import BackendSettings as FakeBackendSettings
 from ibisfront.testing.connections import BackendNetwork
 
 if TYPE_CHECKING:
@@ -36,31 +36,33 @@
     from ibisfront.core.query import Answer
     from ibisfront.core.server_signs import ServerSigns
 
-__all__ = ["INDEX", "SearchFixture", "address_of"]
+__all__ = ["INDEX", "SearchFixture", "server_address"]
 
 INDEX = "register"
-"""The one index of the fixture."""
+"""The only index of the fixture."""
 
 _ZONES = ("z1", "z2", "z3")
 
 
 class SearchFixture:
-    """One instance's query path, with the servers that it asks.
+    """The query path of one instance and its fake backend servers.
 
     Parameters
     ----------
     services : int
-        How many services hold the index.
+        Number of services that hold the index.
     servers : int
-        How many backend servers run each service, spread over three zones.
+        Number of backend servers of each service, spread over three zones.
     query : QuerySettings, optional
-        The policy.
+        The search policy.
     backend : BackendSettings, optional
-        How servers are reached.
-    stand_in : BackendSettings, optional
-        Size and speed of the stand-ins.
+        The settings of connections to servers.
+    fake_settings : BackendSettings, optional
+        Capacity and speed of the fake servers.
     peers : Peers, optional
         The other instances.
+    seed : int, optional
+        Seed of the policy's random choices.
     """
 
     def __init__(
@@ -70,7 +72,7 @@
         servers: int = 2,
         query: QuerySettings | None = None,
         backend: BackendSettings | None = None,
-        stand_in: StandInSettings | None = None,
+        fake_settings: FakeBackendSettings | None = None,
         peers: Peers | None = None,
         seed: int = 1,
     ) -> None:
@@ -83,24 +85,24 @@
         self.services = tuple(f"s{number}" for number in range(services))
         self.members = Members(Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2"))
         self._version = 0
-        self._stand_in = stand_in or StandInSettings(service_sigma=0.0)
+        self._fake_settings = fake_settings or FakeBackendSettings(service_sigma=0.0)
         for service in self.services:
-            self._add_service(service, servers)
+            self._register_service(service, servers)
         self.publish((FIRST_SNAPSHOT, self.services))
         self._backend = backend or BackendSettings()
         self._seed = seed
         self._peers = peers
         self._open_connection: OpenConnection = self.network.open_connection
-        self.follow_signs(None)
+        self.use_server_statuses(None)
 
-    def connect_by(self, open_connection: OpenConnection) -> None:
-        """Start the query path anew, over other connections."""
+    def reconnect_with(self, open_connection: OpenConnection) -> None:
+        """Restart the query path with another connection factory."""
         self._open_connection = open_connection
-        self.follow_signs(None)
+        self.use_server_statuses(None)
 
-    def follow_signs(self, signs: ServerSigns | None) -> None:
-        """Start the query path anew, following these signs of leaving servers."""
-        self.links = BackendLinks(
+    def use_server_statuses(self, server_statuses: ServerSigns | None) -> None:
+        """Restart the query path with these statuses of draining servers."""
+        self.pools = BackendLinks(
             catalogue=self.catalogue,
             members=self.members,
             open_connection=self._open_connection,
@@ -108,7 +110,7 @@
             counters=self.counters,
             backend=self._backend,
             query=self.query,
-            signs=signs,
+            signs=server_statuses,
         )
         self.quarantine = Quarantine(
             clock=self.clock,
@@ -118,7 +120,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            links=self.links,
+            pools=self.pools,
             quarantine=self.quarantine,
             clock=self.clock,
             counters=self.counters,
@@ -128,40 +130,40 @@
         )
 
     @asynccontextmanager
-    async def upkeep(self) -> AsyncIterator[None]:
-        """Run the upkeep of the links while the context is open."""
+    async def maintenance(self) -> AsyncIterator[None]:
+        """Run the maintenance of the connection pools inside the context."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.links.keep_up)
+            nursery.start_soon(self.pools.keep_up)
             yield
             nursery.cancel_scope.cancel()
 
     def publish(self, *snapshots: tuple[str, tuple[str, ...]]) -> None:
-        """Publish the index with these snapshots, oldest first."""
+        """Publish the index with the given snapshots, oldest first."""
         index = Index(tuple(Snapshot(name, services) for name, services in snapshots))
         self._put(ObjectKind.INDEX, INDEX, index)
 
     def publish_service(self, name: str, servers: tuple[BackendServer, ...]) -> None:
-        """Register a service with these backend servers."""
+        """Register a service with the given backend servers."""
         self._put(ObjectKind.SERVICE, name, Service(servers))
 
     def server(self, service: str, number: int) -> FakeBackend:
-        """Return the stand-in of one server."""
-        return self.network.backends[address_of(service, number)]
+        """Return the fake of one server."""
+        return self.network.backends[server_address(service, number)]
 
-    def link(self, service: str, number: int) -> BackendLink:
-        """Return the link to one server."""
-        return self.links.of_service(service)[number]
+    def pool(self, service: str, number: int) -> BackendLink:
+        """Return the connection pool of one server."""
+        return self.pools.of_service(service)[number]
 
     def set_faults(self, service: str, number: int, **faults: Any) -> None:
-        """Set the faults of one server; those left out are off."""
+        """Set the faults of one server; omitted faults are disabled."""
         self.server(service, number).set_faults(BackendFaults(**faults))
 
     def count(self, kind: CounterKind, reason: str) -> int:
-        """Return one counter."""
+        """Return the value of one counter."""
         return self.counters.value(kind, reason)
 
-    def extra_sent(self, searches: int) -> int:
-        """Return how many sub-requests were sent beyond the first ones."""
+    def extra_sub_requests(self, searches: int) -> int:
+        """Return the number of sub-requests beyond the primary ones."""
         return self.network.sent.total() - searches * len(self.services)
 
     async def search(
@@ -190,14 +192,14 @@
         )
         return await self.fanout.search(request, purpose)
 
-    def _add_service(self, service: str, servers: int) -> None:
+    def _register_service(self, service: str, servers: int) -> None:
         registered = []
         for number in range(servers):
-            name, address = f"{service}-{number}", address_of(service, number)
+            name, address = f"{service}-{number}", server_address(service, number)
             zone = _ZONES[number % len(_ZONES)]
             registered.append(BackendServer(name, address, zone))
             backend = FakeBackend(
-                service, name, settings=self._stand_in, clock=self.clock
+                service, name, settings=self._fake_settings, clock=self.clock
             )
             self.network.add(address, backend)
         self.publish_service(service, tuple(registered))
@@ -208,6 +210,6 @@
         self.store.merge([VersionedObject(kind, name, self._version, encoded)])
 
 
-def address_of(service: str, number: int) -> str:
-    """Return the made-up address of a server."""
+def server_address(service: str, number: int) -> str:
+    """Return the fictitious address of a server."""
     return f"{service}-{number}:1"
--- a/ibisfront/tests/test_fanout.py
+++ b/ibisfront/tests/test_fanout.py
@@ -1,4 +1,4 @@
-"""Tests of whole searches: snapshots, coverage, deadlines, retries, tail."""
+"""Tests of complete searches: snapshots, coverage, deadlines, retries, tail."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     return [msgspec.json.decode(row, type=SearchRow) for row in answer.results]
 
 
-def missing_of(answer):
-    """Return the reasons of what is missing, by service."""
+def missing_reasons(answer):
+    """Return the reason for each missing service."""
     return {item.service: item.reason for item in answer.coverage.missing}
 
 
 class SnapshotTest(unittest.TestCase):
-    """Every answer comes from one snapshot and says what it covers."""
+    """Every answer comes from one snapshot and reports its coverage."""
 
     @trio_test
     async def test_search_starts_again_when_its_snapshot_is_dropped(self):
-        """A buyer sees half of the listings after each publication.
+        """Guards against partial answers after each publication.
 
-        The servers of ``s1`` have dropped the pinned snapshot and hold the
-        next one; ``s0`` holds both. Its part was reported missing although a
-        whole answer from the other snapshot was to be had in time.
+        The servers of ``s1`` do not hold the pinned snapshot but another one;
+        those of ``s0`` hold both. The part of ``s1`` was reported missing,
+        although the other snapshot gives a complete answer in time.
         """
         fixture = SearchFixture()
         names = fixture.services
@@ -53,7 +53,7 @@
         self.assertEqual(fixture.count(CounterKind.RETRIES, "snapshot_restart"), 1)
 
     @trio_test
-    async def test_what_servers_say_they_hold_decides_the_next_pin(self):
+    async def test_reported_snapshots_determine_the_next_pin(self):
         fixture = SearchFixture()
         names = fixture.services
         for number in range(2):
@@ -72,15 +72,16 @@
         for number in range(2):
             fixture.server("s1", number).set_snapshots(("unpublished",))
         answer = await fixture.search()
-        self.assertEqual(missing_of(answer), {"s1": MissingReason.SNAPSHOT_GONE})
+        self.assertEqual(missing_reasons(answer), {"s1": MissingReason.SNAPSHOT_GONE})
         self.assertEqual((answer.coverage.answered, answer.coverage.total), (1, 2))
 
     @trio_test
     async def test_other_replica_that_holds_the_snapshot_is_asked(self):
-        """A household is missing while one replica still loads the register.
+        """Guards against a missing part while one replica loads the index.
 
-        One server of ``s1`` does not hold the snapshot yet and says so; the
-        other one does. The part was reported missing without asking it.
+        One server of ``s1`` reports that it does not hold the snapshot yet;
+        the other one does. The part was reported missing without a retry on
+        the other server.
         """
         fixture = SearchFixture()
         fixture.server("s1", 0).set_snapshots(("unpublished",))
@@ -90,10 +91,10 @@
 
     @trio_test
     async def test_repartition_while_a_search_runs_keeps_its_map(self):
-        """A register is split from two services into three during a search.
+        """Guards against duplicate rows when an index is split during a search.
 
-        Coverage was to be counted from the map in force at the start: rows of
-        the new partition would be doubles of rows that the old ones gave.
+        Coverage is counted from the partition map pinned at the start: rows of
+        the new partition would duplicate rows of the old ones.
         """
         fixture = SearchFixture(services=3)
         fixture.publish(("snapshot-1", ("s0", "s1")))
@@ -111,64 +112,65 @@
 
     @trio_test
     async def test_a_row_without_a_usable_score_is_a_wrong_reply(self):
-        """One faulty server fails a whole search with an internal error.
+        """Guards against one faulty server failing a search with a 500.
 
-        Its rows carry a text as score. The error surfaced only when all rows
-        were sorted, and the caller got a 500 in place of the other parts.
+        Its rows have a string as score. The error was raised only when all
+        rows were sorted, and the caller lost the other parts as well.
         """
         fixture = SearchFixture()
         for number in range(2):
             faulty = _FaultyBackend("s1", f"s1-{number}", clock=fixture.clock)
             fixture.network.add(f"s1-{number}:1", faulty)
         answer = await fixture.search()
-        self.assertEqual(missing_of(answer), {"s1": MissingReason.WRONG_REPLY})
+        self.assertEqual(missing_reasons(answer), {"s1": MissingReason.WRONG_REPLY})
 
 
-class _BadRow(msgspec.Struct):
+class _InvalidRow(msgspec.Struct):
     score: str
 
 
-class _BadResult(msgspec.Struct):
+class _InvalidResult(msgspec.Struct):
     snapshot: str
-    rows: list[_BadRow]
+    rows: list[_InvalidRow]
 
 
 class _FaultyBackend(FakeBackend):
-    """Answers with a text where the score should be."""
+    """Answers with a string instead of a numeric score."""
 
     def _search(self, work):
-        return _BadResult(work.snapshot, [_BadRow("x")])
+        return _InvalidResult(work.snapshot, [_InvalidRow("x")])
 
 
 class OwnRepliesTest(unittest.TestCase):
-    """A caller never gets a part of another's answer."""
+    """A caller never gets a part of another caller's answer."""
 
     @trio_test
     async def test_cancelled_search_closes_its_connections(self):
-        """A reply that comes after its caller left reaches the next caller.
+        """Guards against delivering a late reply to the next caller.
 
-        The first caller disconnects while both servers work. Its connections
-        will bring its replies later; they are closed and not used again.
+        The first caller disconnects while both servers work. Its replies will
+        still arrive on its connections, so these are closed and not reused.
         """
         fixture = SearchFixture(servers=1)
         with fixture.clock.timeout_ms(8.0):
             await fixture.search("left")
-        used = [
+        open_connections = [
             connection
             for address in fixture.network.backends
             for connection in fixture.network.open_to(address)
         ]
-        self.assertEqual(used, [])
-        self.assertEqual([link.in_flight for link in links_of(fixture)], [0, 0])
+        self.assertEqual(open_connections, [])
+        self.assertEqual([pool.in_flight for pool in pools_of(fixture)], [0, 0])
         answer = await fixture.search("stays")
         self.assertEqual({row.request for row in rows_of(answer)}, {"stays"})
 
     @trio_test
     async def test_ids_are_never_used_twice(self):
-        """Two copies of one request carry the same X-Request-Id.
+        """Guards against mixing up replies to two copies of one request.
 
-        The caller chose it. Were the sub-requests named after it alone, a
-        late reply to the first copy would pass for one to the second.
+        Both copies carry the X-Request-Id that the caller chose. If it alone
+        identified the sub-requests, a late reply to the first copy would be
+        accepted for the second.
         """
         fixture = SearchFixture(servers=1)
         await fixture.search()
@@ -180,14 +182,14 @@
 
 
 class DeadlineTest(unittest.TestCase):
-    """Answers come in time, and work that cannot is not sent."""
+    """Answers arrive in time; work that cannot finish in time is not sent."""
 
     @trio_test
     async def test_partial_answer_comes_before_the_deadline(self):
-        """A lookup misses the van although most of the register answered.
+        """Guards against partial answers that arrive after the deadline.
 
-        One service is frozen. The search ended at the caller's deadline, when
-        the caller had already gone; it has to end before, less the way back.
+        One service is frozen. A search that waits until the caller's deadline
+        answers too late; it must end earlier by the time to return the answer.
         """
         fixture = SearchFixture()
         for number in range(2):
@@ -195,14 +197,14 @@
         started_ms = fixture.clock.now_ms()
         answer = await fixture.search(deadline_ms=500.0)
         self.assertLessEqual(fixture.clock.now_ms() - started_ms, 495.0 + 1e-6)
-        self.assertEqual(missing_of(answer), {"s1": MissingReason.TIMED_OUT})
+        self.assertEqual(missing_reasons(answer), {"s1": MissingReason.TIMED_OUT})
 
     @trio_test
-    async def test_work_that_cannot_make_it_is_not_sent(self):
-        """Servers work on answers that nobody will wait for.
+    async def test_work_that_cannot_finish_in_time_is_not_sent(self):
+        """Guards against backend work on answers that will be too late.
 
-        A service never answers in less than 5 ms. A search that has 3 ms left
-        was sent all the same and took slots from searches with more time.
+        A service never answers in less than 5 ms. A search with 3 ms left was
+        sent nevertheless and occupied slots that other searches needed.
         """
         fixture = SearchFixture()
         for _ in range(120):
@@ -214,11 +216,11 @@
         self.assertEqual(fixture.network.sent.total(), sent)
 
     @trio_test
-    async def test_search_that_prefers_latency_leaves_a_straggler(self):
-        """The desk waits two seconds for one service of twenty.
+    async def test_search_that_prefers_latency_does_not_wait_for_a_straggler(self):
+        """Guards against waiting two seconds for one service of twenty.
 
-        Nineteen have answered within milliseconds and one hangs. A purpose
-        that prefers latency returns without it and says so; one that prefers
+        Nineteen services answer within milliseconds and one hangs. A purpose
+        that prefers latency returns a partial answer; one that prefers
         coverage waits until its deadline.
         """
         fixture = SearchFixture(services=20)
@@ -234,15 +236,15 @@
 
 
 class RetryTest(unittest.TestCase):
-    """Retries where they help, inside one budget."""
+    """Retries are sent where they help, within one budget."""
 
     @trio_test
     async def test_killed_server_costs_no_coverage(self):
-        """Households vanish from answers whenever one replica dies.
+        """Guards against partial answers whenever one replica dies.
 
-        One of two servers is killed between searches. Connecting to it is
-        refused, which cannot have run anything, so the other one is asked and
-        the dead one is left alone.
+        One of two servers is killed between searches. A refused connection
+        cannot have run the request, so the other server is tried and the dead
+        one gets no further requests.
         """
         fixture = SearchFixture()
         await fixture.search()
@@ -250,15 +252,15 @@
         for _ in range(10):
             answer = await fixture.search()
             self.assertEqual(answer.coverage.answered, 2)
-        self.assertLessEqual(fixture.extra_sent(11), 2)
+        self.assertLessEqual(fixture.extra_sub_requests(11), 2)
 
     @trio_test
     async def test_outage_of_a_service_adds_at_most_a_tenth(self):
-        """A service that is down gets three times its usual load.
+        """Guards against retries that triple the load of a failing service.
 
-        Every server of ``s1`` fails each request, and each failure was tried
-        again: just when the service could do least. The budget keeps the
-        extra sub-requests to a tenth of the first ones.
+        Every server of ``s1`` fails each request. Without a budget each
+        failure is retried; the budget limits the extra sub-requests to a
+        tenth of the primary ones.
         """
         searches = 400
         for policy, bound in (("adaptive", 0.1), ("baseline", None)):
@@ -268,7 +270,7 @@
                     fixture.set_faults("s1", number, fail_fraction=1.0)
                 for _ in range(searches):
                     await fixture.search()
-                extra = fixture.extra_sent(searches)
+                extra = fixture.extra_sub_requests(searches)
                 if bound is None:
                     self.assertEqual(extra, 2 * searches)
                 else:
@@ -277,10 +279,10 @@
 
     @trio_test
     async def test_draining_server_gets_no_new_work(self):
-        """A leaving server goes on getting lookups and refuses them.
+        """Guards against searches sent to a server that is draining.
 
-        It refuses one request as ``draining``; that one is answered by the
-        other server, and no further one is sent to the leaving one.
+        It refuses one request as ``draining``; the other server answers that
+        request, and no further one is sent to the draining server.
         """
         fixture = SearchFixture()
         fixture.set_faults("s1", 0, draining=True)
@@ -290,10 +292,10 @@
         self.assertLessEqual(fixture.server("s1", 0).state().counts.refused_draining, 1)
 
     @trio_test
-    async def test_draining_server_told_by_another_part_gets_no_new_work(self):
+    async def test_draining_server_reported_by_another_part_gets_no_new_work(self):
         fixture = SearchFixture()
         await fixture.search()
-        fixture.links.note_draining("s1-0")
+        fixture.pools.note_draining("s1-0")
         sent = fixture.network.sent["s1-0:1"]
         for _ in range(10):
             await fixture.search()
@@ -322,10 +324,10 @@
         for number in range(2):
             fixture.server("s1", number).service = "other"
         answer = await fixture.search()
-        self.assertEqual(missing_of(answer), {"s1": MissingReason.REFUSED})
-        self.assertEqual(fixture.extra_sent(1), 0)
+        self.assertEqual(missing_reasons(answer), {"s1": MissingReason.REFUSED})
+        self.assertEqual(fixture.extra_sub_requests(1), 0)
 
 
-def links_of(fixture):
-    """Return the first link of each service."""
-    return [fixture.link(service, 0) for service in fixture.services]
+def pools_of(fixture):
+    """Return the first connection pool of each service."""
+    return [fixture.pool(service, 0) for service in fixture.services]
--- a/ibisfront/tests/test_links.py
+++ b/ibisfront/tests/test_links.py
@@ -48,7 +48,7 @@
         idle ones went on being used, each for one more search that hung.
         """
         fixture = SearchFixture()
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=30)
             old = fixture.network.open_to("s1-0:1")
             self.assertTrue(old)
@@ -59,7 +59,7 @@
             sent = fixture.network.sent["s1-0:1"]
             await search_steadily(fixture, searches=50)
             self.assertGreater(fixture.network.sent["s1-0:1"], sent)
-            self.assertFalse(fixture.link("s1", 0).health.ejected)
+            self.assertFalse(fixture.pool("s1", 0).health.ejected)
 
     @trio_test
     async def test_frozen_server_is_left_out_and_comes_back(self):
@@ -70,15 +70,15 @@
         answers a probe.
         """
         fixture = SearchFixture()
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=30)
             fixture.set_faults("s1", 0, frozen=True)
             answered = await search_steadily(fixture, searches=150)
-            self.assertTrue(fixture.link("s1", 0).health.ejected)
+            self.assertTrue(fixture.pool("s1", 0).health.ejected)
             self.assertEqual(set(answered), {2})
             fixture.set_faults("s1", 0)
             await fixture.clock.sleep_ms(10_000.0)
-            self.assertFalse(fixture.link("s1", 0).health.ejected)
+            self.assertFalse(fixture.pool("s1", 0).health.ejected)
 
     @trio_test
     async def test_slow_search_is_not_taken_for_silence(self):
@@ -89,14 +89,14 @@
         itself goes on and its answer counts.
         """
         fixture = SearchFixture(servers=1)
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=20)
             fixture.set_faults("s1", 0, straggle_fraction=1.0, straggle_factor=160.0)
             started_ms = fixture.clock.now_ms()
             answer = await fixture.search(deadline_ms=2_000.0)
             self.assertEqual(answer.coverage.answered, 2)
             self.assertLess(fixture.clock.now_ms() - started_ms, 810.0)
-            self.assertLessEqual(fixture.extra_sent(21), 1)
+            self.assertLessEqual(fixture.extra_sub_requests(21), 1)
 
     @trio_test
     async def test_slow_servers_are_not_retired_or_ejected_in_a_loop(self):
@@ -109,7 +109,7 @@
         what is slow already.
         """
         fixture = SearchFixture()
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=50)
             for number in range(2):
                 fixture.set_faults(
@@ -132,7 +132,7 @@
         the next search has to be whole again.
         """
         fixture = SearchFixture()
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=30)
             for number in range(2):
                 fixture.set_faults("s1", number, frozen=True)
@@ -165,7 +165,7 @@
             self.assertEqual(answer.coverage.answered, 8)
             durations_ms.append(fixture.clock.now_ms() - started_ms)
 
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=30)
             for service in fixture.services:
                 fixture.set_faults(service, 0, frozen=True)
@@ -193,9 +193,9 @@
         at once, but a smaller one only when it has lasted.
         """
         fixture = SearchFixture()
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             await search_steadily(fixture, searches=2)
-            link = fixture.link("s0", 0)
+            link = fixture.pool("s0", 0)
             self.assertEqual(link.share, 25)
             others = [Member(f"i{n}", "z2", f"a:{n}", f"b:{n}") for n in range(2, 6)]
             for member in others:
@@ -219,7 +219,7 @@
         time to open one.
         """
         fixture = SearchFixture(services=1, servers=1)
-        async with fixture.upkeep():
+        async with fixture.maintenance():
             async with trio.open_nursery() as nursery:
                 for _ in range(4):
                     nursery.start_soon(fixture.search)
@@ -277,7 +277,7 @@
         Each search asked them at once and again; now a search that cannot
         wait is not sent, and afterwards every search is answered again.
         """
-        fixture = SearchFixture(stand_in=StandInSettings(retry_after_ms=200))
+        fixture = SearchFixture(fake_settings=StandInSettings(retry_after_ms=200))
         await search_steadily(fixture, searches=5)
         for number in range(2):
             fixture.set_faults("s1", number, shedding=True)
@@ -310,8 +310,8 @@
                 )
                 for name in ("i1", "i2")
             ]
-            fixture.follow_signs(signs[0])
-            async with fixture.upkeep():
+            fixture.use_server_statuses(signs[0])
+            async with fixture.maintenance():
                 await search_steadily(fixture, searches=5)
                 signs[1].note_draining(SERVER)
                 await fixture.clock.sleep_ms(10.0)
@@ -331,7 +331,7 @@
                 )
                 for name in ("i1", "i2")
             ]
-            fixture.follow_signs(signs[0])
+            fixture.use_server_statuses(signs[0])
             fixture.set_faults("s1", 0, draining=True)
             await search_steadily(fixture, searches=20)
             self.assertTrue(signs[1].is_leaving(SERVER))
--- a/ibisfront/tests/test_perform_sender.py
+++ b/ibisfront/tests/test_perform_sender.py
@@ -1,4 +1,4 @@
-"""Tests of sending claimed requests: leaving servers and crashing requests."""
+"""Tests of sending claimed requests: draining servers and crashing requests."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class _Setup:
-    """A sender, its servers, and the signs of this and another instance."""
+    """A sender, its servers, and the server statuses of two instances."""
 
     def __init__(self, nursery):
         self.fixture = SearchFixture(servers=SERVERS)
         self.clock = self.fixture.clock
         network = PeerNetwork(clock=self.clock, nursery=nursery)
-        self.signs, self.others_signs = (
+        self.server_statuses, self.peer_statuses = (
             ServerSigns(self.fixture.store, peers=network.join(name), clock=self.clock)
             for name in ("i1", "i2")
         )
@@ -48,13 +48,13 @@
             counters=self.fixture.counters,
             zone="z1",
             maximum_connections=4,
-            signs=self.signs,
+            server_statuses=self.server_statuses,
             quarantine=self.fixture.quarantine,
         )
         self._numbers = count()
 
     async def perform(self, body=None):
-        """Send one claimed request under a key of its own; return its record."""
+        """Send one claimed request under a new key; return its claim record."""
         number = next(self._numbers)
         deadline_at_ms = self.clock.now_ms() + 1_000.0
         attempt = Attempt(
@@ -74,35 +74,35 @@
         return await run_claimed(run, self.sender.send, self.clock)
 
     def sent_to(self, number):
-        """Return how many requests were sent to a server."""
+        """Return the number of requests sent to a server."""
         return self.fixture.network.sent[f"s1-{number}:1"]
 
 
-class LeavingServerTest(unittest.TestCase):
-    """A server that leaves gets no new non-idempotent work either."""
+class DrainingServerTest(unittest.TestCase):
+    """A draining server gets no new non-idempotent work."""
 
     @trio_test
-    async def test_drain_heard_by_another_instance_stops_new_work_here(self):
-        """A leaving print server goes on getting envelopes.
+    async def test_drain_reported_to_another_instance_stops_new_work_here(self):
+        """Guards against new work for a server that drains.
 
-        It told another instance that it drains; the register, which lags,
-        still has it as live. Each request was sent there first, refused, and
-        sent again to another server.
+        The server has reported the drain to another instance, but the
+        register lags and still lists it as live. Each request was sent to it
+        first, refused, and retried on another server.
         """
         async with trio.open_nursery() as nursery:
             setup = _Setup(nursery)
-            setup.others_signs.note_draining(SERVER)
+            setup.peer_statuses.note_draining(SERVER)
             await setup.clock.sleep_ms(10.0)
             records = [await setup.perform() for _ in range(20)]
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
             self.assertEqual(setup.sent_to(0), 0)
 
     @trio_test
-    async def test_drain_heard_here_is_told(self):
-        """A leaving print server has to refuse each request of each instance.
+    async def test_drain_received_here_is_published(self):
+        """Guards against a draining server refusing every single request.
 
-        It refuses one as draining. That word was used for this request only
-        and told to nobody.
+        The server refuses one request as draining. If the drain only affects
+        that request, later requests of every instance are sent and refused.
         """
         async with trio.open_nursery() as nursery:
             setup = _Setup(nursery)
@@ -111,18 +111,18 @@
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
             self.assertEqual(setup.sent_to(0), 1)
             await setup.clock.sleep_ms(10.0)
-            self.assertTrue(setup.others_signs.is_leaving(SERVER))
+            self.assertTrue(setup.peer_statuses.is_leaving(SERVER))
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """A request that crashes servers, sent again under new keys."""
+    """A request that crashes servers is repeated under new keys."""
 
     @trio_test
     async def test_new_keys_of_a_crashing_body_stop_at_the_second_server(self):
-        """One alert takes every server of the alerts down.
+        """Guards against one request that crashes every server of a service.
 
-        It crashes the server that runs it. A key is sent once only, but its
-        caller makes a new key for each try, and each try met another server.
+        Each key is sent only once, but the caller creates a new key for each
+        attempt, and each attempt reaches another server.
         """
         async with trio.open_nursery() as nursery:
             setup = _Setup(nursery)
--- a/properties/test_query_properties.py
+++ b/properties/test_query_properties.py
@@ -1,4 +1,7 @@
-"""Whatever servers do, no answer is a mix, overstated or somebody else's."""
+"""Properties of answers under arbitrary server faults.
+
+No answer mixes snapshots, overstates its coverage or belongs to another caller.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from ibisfront.core.errors import IbisfrontError
 from ibisfront.testing.backend_types import SearchRow
 from ibisfront.testing.faulty_server import FaultyNetwork, FaultyServer, ReplyFault
-from ibisfront.testing.search_fixture import SearchFixture, address_of
+from ibisfront.testing.search_fixture import SearchFixture, server_address
 
 SNAPSHOTS = ("snapshot-0", "snapshot-1", "snapshot-2")
 SERVICES = 4
@@ -30,14 +33,14 @@
 
 
 class Publication(NamedTuple):
-    """An index published at a time: its snapshots with their maps."""
+    """The publication of an index: its snapshots with their partition maps."""
 
     at_ms: float
     snapshots: tuple[tuple[str, tuple[str, ...]], ...]
 
 
-class Change(NamedTuple):
-    """A server that holds other snapshots from a time on."""
+class SnapshotChange(NamedTuple):
+    """A change of the snapshots that a server holds."""
 
     at_ms: float
     server: int
@@ -61,14 +64,16 @@
         unique_by=lambda item: item[0],
     ).map(tuple),
 )
-changes = st.builds(Change, times_ms, st.integers(0, SERVICES * SERVERS - 1), held)
+changes = st.builds(
+    SnapshotChange, times_ms, st.integers(0, SERVICES * SERVERS - 1), held
+)
 searches = st.builds(
     Search, times_ms, st.floats(20.0, 400.0), st.sampled_from(("latency", "coverage"))
 )
 
 
-class Story(NamedTuple):
-    """Everything that happens in one run."""
+class Scenario(NamedTuple):
+    """The events of one run."""
 
     scripts: list
     held: list
@@ -77,8 +82,8 @@
     searches: list
 
 
-stories = st.builds(
-    Story,
+scenarios = st.builds(
+    Scenario,
     st.lists(scripts, min_size=SERVICES * SERVERS, max_size=SERVICES * SERVERS),
     st.lists(held, min_size=SERVICES * SERVERS, max_size=SERVICES * SERVERS),
     st.lists(publications, max_size=4),
@@ -87,42 +92,42 @@
 )
 
 
-class Play:
-    """Plays one story and checks each answer."""
+class ScenarioRun:
+    """Runs one scenario and checks each answer."""
 
-    def __init__(self, test, story):
+    def __init__(self, test, scenario):
         self.test = test
-        self.story = story
+        self.scenario = scenario
         self.fixture = SearchFixture(services=SERVICES, servers=SERVERS)
         self.maps = {("snapshot-1", self.fixture.services)}
         self.servers = []
 
     async def run(self):
-        """Play the story to its end."""
+        """Run the scenario to its end."""
         async with trio.open_nursery() as nursery:
             network = FaultyNetwork(self.fixture.clock, nursery)
-            self.make_servers(network)
-            async with self.fixture.upkeep(), trio.open_nursery() as events:
-                for publication in self.story.publications:
+            self.add_servers(network)
+            async with self.fixture.maintenance(), trio.open_nursery() as events:
+                for publication in self.scenario.publications:
                     events.start_soon(self.publish, publication)
-                for change in self.story.changes:
+                for change in self.scenario.changes:
                     events.start_soon(self.change, change)
-                for number, search in enumerate(self.story.searches):
+                for number, search in enumerate(self.scenario.searches):
                     events.start_soon(self.search, f"m{number}", search)
             nursery.cancel_scope.cancel()
 
-    def make_servers(self, network):
-        """Put the servers of the story behind the fixture."""
+    def add_servers(self, network):
+        """Connect the fixture to the servers of the scenario."""
         for number, (faults, snapshots) in enumerate(
-            zip(self.story.scripts, self.story.held, strict=True)
+            zip(self.scenario.scripts, self.scenario.held, strict=True)
         ):
             service = f"s{number // SERVERS}"
             server = FaultyServer(
                 service, snapshots=snapshots, faults=faults, clock=self.fixture.clock
             )
             self.servers.append(server)
-            network.servers[address_of(service, number % SERVERS)] = server
-        self.fixture.connect_by(network.open_connection)
+            network.servers[server_address(service, number % SERVERS)] = server
+        self.fixture.reconnect_with(network.open_connection)
 
     async def publish(self, publication):
         """Publish an index."""
@@ -131,7 +136,7 @@
         self.fixture.publish(*publication.snapshots)
 
     async def change(self, change):
-        """Let a server hold other snapshots."""
+        """Change the snapshots that a server holds."""
         await self.fixture.clock.sleep_ms(change.at_ms)
         self.servers[change.server].snapshots = change.held
 
@@ -151,7 +156,7 @@
         self.check(marker, answer)
 
     def check(self, marker, answer):
-        """Check that an answer is whole, true and the caller's own."""
+        """Check that an answer is consistent, accurate and the caller's own."""
         rows = [msgspec.json.decode(row, type=SearchRow) for row in answer.results]
         answered = sorted(row.service for row in rows)
         missing = [item.service for item in answer.coverage.missing]
@@ -161,12 +166,12 @@
         test.assertEqual(len(set(answered)), len(answered))
         test.assertEqual(answer.coverage.answered, len(answered))
         test.assertEqual(answer.coverage.total, answer.coverage.answered + len(missing))
-        whole = tuple(sorted([*answered, *missing]))
-        test.assertIn((answer.snapshot, whole), self.maps)
+        services = tuple(sorted([*answered, *missing]))
+        test.assertIn((answer.snapshot, services), self.maps)
 
 
 class AnswerPropertiesTest(unittest.TestCase):
-    """Random interleavings of replies, losses, doubles and repartitions."""
+    """Random interleavings of replies, losses, duplicates and repartitions."""
 
     @settings(
         max_examples=100,
@@ -174,14 +179,14 @@
         derandomize=True,
         suppress_health_check=[HealthCheck.too_slow],
     )
-    @given(stories)
-    def test_answers_are_whole_true_and_the_callers_own(self, story):
-        """A buyer sees rows of two versions, or of somebody else's search.
-
-        Replies come late, twice, crossed or not at all, servers answer from
-        other snapshots, and the index is repartitioned meanwhile. Whatever
-        comes, an answer holds one snapshot's rows for its own request, and
-        its coverage counts just the services whose rows it holds.
+    @given(scenarios)
+    def test_answers_are_consistent_accurate_and_the_callers_own(self, scenario):
+        """Guards against rows of two snapshots, or of another caller's search.
+
+        Replies arrive late, twice, swapped or never, servers answer from other
+        snapshots, and the index is repartitioned during searches. Each answer
+        must hold rows of one snapshot for its own request only, and its
+        coverage must count exactly the services whose rows it holds.
         """
         clock = trio.testing.MockClock(autojump_threshold=0.0)
-        trio.run(Play(self, story).run, clock=clock)
+        trio.run(ScenarioRun(self, scenario).run, clock=clock)
