--- a/ibisfront/tests/test_quarantine.py
+++ b/ibisfront/tests/test_quarantine.py
@@ -116,7 +116,7 @@
 
     @trio_test
     async def test_popular_search_is_cleared_by_its_answer(self):
-        """Guards against refusing a harmless search that ran beside a crash.
+        """Guards against refusing a harmless search that ran during a crash.
 
         The search was in flight at two servers that another request crashed.
         Its quarantine is short, and the answer to its next copy clears it.
