--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -108,7 +108,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            links=self.links,
+            pools=self.links,
             quarantine=self.quarantine,
             clock=clock,
             counters=self.counters,
@@ -128,7 +128,7 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            signs=self.shared.server_statuses,
+            server_statuses=self.shared.server_statuses,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
@@ -196,7 +196,7 @@
             row, purpose, deadline_at_ms=request.deadline_at_ms
         ) as place:
             answer = await self.fanout.search(request, purpose)
-            place.shed = answer.coverage.was_shed
+            place.shed = answer.coverage.has_shed_part
             return answer
 
     async def perform(self, request: CallerRequest, key: str) -> PerformAnswer:
