--- a/benchmarks/fanout_cost.py
+++ b/benchmarks/fanout_cost.py
@@ -18,11 +18,11 @@
 import trio
 
 from ibisfront.adapters.backend import connection_opener
+from ibisfront.core.backend_pools import BackendPools
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import Counters
 from ibisfront.core.fanout import Fanout
-from ibisfront.core.links import BackendLinks
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
 from ibisfront.core.quarantine import Quarantine
@@ -193,7 +193,7 @@
 
 def _make_fanout(
     addresses: dict[str, str], clock: Clock
-) -> tuple[Fanout, BackendLinks]:
+) -> tuple[Fanout, BackendPools]:
     counters = Counters()
     store = ObjectStore()
     catalogue = Catalogue(store, counters)
@@ -206,7 +206,7 @@
     index = Index((Snapshot(SNAPSHOT, tuple(addresses)),))
     store.merge([*objects, _object(ObjectKind.INDEX, INDEX, index)])
     query = QuerySettings()
-    links = BackendLinks(
+    links = BackendPools(
         catalogue=catalogue,
         members=Members(Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2")),
         open_connection=connection_opener(clock, BackendSettings()),
@@ -217,7 +217,7 @@
     )
     fanout = Fanout(
         catalogue=catalogue,
-        links=links,
+        pools=links,
         quarantine=Quarantine(clock=clock, counters=counters, settings=query),
         clock=clock,
         counters=counters,
--- a/benchmarks/link_costs.py
+++ b/benchmarks/link_costs.py
@@ -21,10 +21,10 @@
 import trio
 
 from ibisfront.adapters.backend import connection_opener
+from ibisfront.core.backend_pools import BackendPools, connection_share
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.clock import MILLISECONDS_PER_SECOND, Clock
 from ibisfront.core.counters import Counters
-from ibisfront.core.links import BackendLinks, connection_share
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
 from ibisfront.core.query import SubRequest
@@ -111,7 +111,7 @@
     tracemalloc.stop()
     clock_ms = UPKEEP_ROUNDS * UPKEEP_MS
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(links.keep_up)
+        nursery.start_soon(links.maintain)
         await trio.sleep(UPKEEP_MS / MILLISECONDS_PER_SECOND / 2)
         started_s = time.process_time()
         await trio.sleep(clock_ms / MILLISECONDS_PER_SECOND)
@@ -126,7 +126,7 @@
     )
 
 
-def _make_links(services: int) -> tuple[BackendLinks, list[str]]:
+def _make_links(services: int) -> tuple[BackendPools, list[str]]:
     store = ObjectStore()
     counters = Counters()
     catalogue = Catalogue(store, counters)
@@ -134,7 +134,7 @@
     store.merge(_service(name) for name in names)
     clock = Clock()
     backend = BackendSettings()
-    links = BackendLinks(
+    links = BackendPools(
         catalogue=catalogue,
         members=Members(Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2")),
         open_connection=connection_opener(clock, backend),
--- a/ibisfront/adapters/peer_codec.py
+++ b/ibisfront/adapters/peer_codec.py
@@ -15,7 +15,7 @@
 from ibisfront.core.membership import MemberNews, ViewsCompared
 from ibisfront.core.peers import PeerMessage
 from ibisfront.core.quarantine import CrashSeen
-from ibisfront.core.server_signs import ServerSignNews
+from ibisfront.core.server_status import ServerStatusUpdate
 from ibisfront.core.share_messages import ShareGrants, ShareReport
 from ibisfront.core.spread import NewestKnown, ObjectsChanged, ObjectsWanted
 from ibisfront.core.status import StatusReply, StatusRequest
@@ -36,7 +36,7 @@
     | ObjectsChanged
     | ObjectsWanted
     | NewestKnown
-    | ServerSignNews
+    | ServerStatusUpdate
     | CrashSeen
     | ShareReport
     | ShareGrants
--- a/ibisfront/core/backend_connection.py
+++ b/ibisfront/core/backend_connection.py
@@ -1,4 +1,4 @@
-"""What a link asks of a connection to a backend server."""
+"""The interface of a connection to a backend server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BackendConnection(Protocol):
-    """One open connection to a backend server; one exchange at a time."""
+    """An open connection to a backend server; one exchange at a time."""
 
     async def exchange(self, work: Work, sub_request: SubRequest) -> SubReply:
         """Send a sub-request and return its reply.
@@ -28,7 +28,7 @@
         ...
 
     async def probe(self) -> bool:
-        """Return whether the server answers on this connection at all."""
+        """Return whether the server answers on this connection."""
         ...
 
     def is_usable(self) -> bool:
@@ -36,7 +36,7 @@
         ...
 
     async def aclose(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         ...
 
 
--- a/ibisfront/core/backoff.py
+++ b/ibisfront/core/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between attempts: exponential, bounded and with full jitter."""
+"""Exponential backoff with a maximum and full jitter."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Backoff:
-    """The waits of one series of attempts.
+    """The delays of one series of attempts.
 
-    Each wait is drawn evenly from zero up to a bound that doubles, so that
-    instances that failed at the same moment do not come back together.
+    Each delay is drawn uniformly between zero and a bound that doubles, so that
+    instances that failed at the same time do not retry in lockstep.
 
     Parameters
     ----------
     first_ms, maximum_ms : float
-        The first bound and the largest.
+        The initial and the maximum bound.
     random : random.Random
-        Where the waits are drawn from.
+        Source of randomness.
     """
 
     __slots__ = ("_bound_ms", "_first_ms", "_maximum_ms", "_random")
@@ -33,11 +33,11 @@
         self._bound_ms = first_ms
 
     def next_ms(self) -> float:
-        """Return the wait before the next attempt, in milliseconds."""
-        wait_ms = self._random.uniform(0.0, self._bound_ms)
+        """Return the delay before the next attempt, in milliseconds."""
+        delay_ms = self._random.uniform(0.0, self._bound_ms)
         self._bound_ms = min(self._bound_ms * 2, self._maximum_ms)
-        return wait_ms
+        return delay_ms
 
     def reset(self) -> None:
-        """Start over after a success."""
+        """Reset the bound after a success."""
         self._bound_ms = self._first_ms
--- a/ibisfront/core/catalogue.py
+++ b/ibisfront/core/catalogue.py
@@ -1,4 +1,4 @@
-"""The decoded table, services and indexes that are in force here."""
+"""The decoded table, services and indexes in force at this instance."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 _LOG = part_logger(LogPart.TABLE)
 
 
-class _Good(msgspec.Struct, frozen=True):
-    """The newest value of an object that could be decoded, and its version."""
+class _ValidValue(msgspec.Struct, frozen=True):
+    """The newest valid value of an object, and its version."""
 
     version: Version
     value: object
@@ -41,23 +41,23 @@
 class Catalogue:
     """Typed access to the objects of a store, each version decoded once.
 
-    A value that is no table, service or index never replaces a good one: the
-    last good value stays in force until a good one comes.
+    An invalid value never replaces a valid one: the last valid value stays in
+    force until a newer valid one arrives.
 
     Parameters
     ----------
     store : ObjectStore
-        Where the objects are; the catalogue follows its changes.
+        Holds the objects; the catalogue subscribes to its changes.
     counters : Counters, optional
         Where changes of the table are counted by outcome.
     """
 
-    __slots__ = ("_counters", "_good", "_store")
+    __slots__ = ("_counters", "_store", "_valid_values")
 
     def __init__(self, store: ObjectStore, counters: Counters | None = None) -> None:
         self._store = store
         self._counters = Counters() if counters is None else counters
-        self._good: dict[ObjectName, _Good] = {}
+        self._valid_values: dict[ObjectName, _ValidValue] = {}
         store.subscribe(self._object_changed)
 
     @property
@@ -68,7 +68,7 @@
     @property
     def table_version(self) -> Version:
         """The version of the table in force; 0 if none is known."""
-        found = self._good.get(ObjectName(ObjectKind.TABLE, TABLE_NAME))
+        found = self._valid_values.get(ObjectName(ObjectKind.TABLE, TABLE_NAME))
         return 0 if found is None else found.version
 
     def service(self, name: str) -> Service | None:
@@ -86,40 +86,40 @@
     def _get(
         self, kind: ObjectKind, name: str, decoded_type: type[_Decoded]
     ) -> _Decoded | None:
-        good = self._good.get(ObjectName(kind, name))
-        if good is None or not isinstance(good.value, decoded_type):
+        valid = self._valid_values.get(ObjectName(kind, name))
+        if valid is None or not isinstance(valid.value, decoded_type):
             return None
-        return good.value
+        return valid.value
 
     def _object_changed(self, changed: VersionedObject) -> None:
         name = ObjectName(changed.kind, changed.name)
         if changed.value_json is None:
-            self._object_deleted(name, changed.version)
+            self._handle_deletion(name, changed.version)
             return
-        # An operator's tool of another release, or a hand, can write a value
-        # that is no table. It shows here first; putting it in force would
-        # refuse every request of every branch, so that the last good one stays.
+        # An operator's tool of another release, or a manual write, can store an
+        # invalid table. Putting it in force would reject every request of every
+        # branch, so the last valid one stays in force.
         try:
             value = _decode(changed)
         except msgspec.MsgspecError as error:
-            self._refused(name, changed.version, str(error))
+            self._reject(name, changed.version, str(error))
             return
         problems = table_problems(value) if isinstance(value, Table) else []
         if problems:
-            self._refused(name, changed.version, " ".join(problems))
+            self._reject(name, changed.version, " ".join(problems))
             return
-        self._good[name] = _Good(changed.version, value)
+        self._valid_values[name] = _ValidValue(changed.version, value)
         if changed.kind is ObjectKind.TABLE:
             self._counters.add(CounterKind.TABLE_CHANGES, "in_force")
             _LOG.info("Version %d is in force.", changed.version)
 
-    def _object_deleted(self, name: ObjectName, version: Version) -> None:
+    def _handle_deletion(self, name: ObjectName, version: Version) -> None:
         if name.kind is ObjectKind.TABLE:
-            self._refused(name, version, "it was deleted; the last one stays")
+            self._reject(name, version, "deleted; the last version stays in force")
             return
-        self._good.pop(name, None)
+        self._valid_values.pop(name, None)
 
-    def _refused(self, name: ObjectName, version: Version, reason: str) -> None:
+    def _reject(self, name: ObjectName, version: Version, reason: str) -> None:
         self._counters.add(CounterKind.TABLE_CHANGES, f"refused_{name.kind}")
         _LOG.error(
             "Version %d of %s %s is not put in force: %s",
--- a/ibisfront/core/concurrency.py
+++ b/ibisfront/core/concurrency.py
@@ -1,11 +1,10 @@
-"""How many requests may run at once, learned from latency and sheds.
-
-The limit of places before one group of services. It grows while requests are
-as quick as when the group is not busy, and shrinks when they queue at the
-backend servers (their latency rises) or are shed. One decision is taken for
-each window, on the requests that started after the last decision took effect,
-so that the answer to one decision is not taken for the cause of the next; that
-is what keeps it from oscillating.
+"""An adaptive concurrency limit, derived from latency and shed requests.
+
+The limit on the concurrent requests of one group of services. It increases
+while latency stays near its baseline, and decreases when requests queue at the
+backend servers (their latency rises) or are shed. It is evaluated once per
+window, only on requests that started after the last change took effect, so that
+the effect of one change does not trigger the next; this prevents oscillation.
 """
 
 from __future__ import annotations
@@ -14,75 +13,77 @@
 
 __all__ = ["ConcurrencyLimit"]
 
-LEAST_PLACES = 2
-MOST_PLACES = 1_024
-_FIRST_PLACES = 16
+MIN_PERMITS = 2
+MAX_PERMITS = 1_024
+_INITIAL_PERMITS = 16
 _WINDOW_MS = 100.0
-_LEAST_SAMPLES = 8
-_SMOOTHING = 0.1
-_GROWTH = 1.1
-_SHRINK_ON_SHED = 0.8
-_LEAST_SHRINK = 0.7
-_SHED_PART = 0.02
-_QUEUED_LATENCY = 1.15
-_FALLING_BASE = 0.5
-_RISING_BASE = 0.002
-_RISING_BASE_IN_VAIN = 0.3
-_SHRUNK_PART = 0.7
-_HELPED = 0.85
+_MIN_SAMPLES = 8
+_EWMA_WEIGHT = 0.1
+_GROWTH_FACTOR = 1.1
+_SHED_DECREASE_FACTOR = 0.8
+_MIN_DECREASE_FACTOR = 0.7
+_SHED_FRACTION = 0.02
+_QUEUEING_LATENCY_FACTOR = 1.15
+_BASELINE_FALL_WEIGHT = 0.5
+_BASELINE_RISE_WEIGHT = 0.002
+_BASELINE_FAST_RISE_WEIGHT = 0.3
+_DECREASED_FRACTION = 0.7
+_IMPROVEMENT_FACTOR = 0.85
 
 
 class ConcurrencyLimit:
-    """The number of requests of one group that may run here at once.
+    """The number of concurrent requests of one group, counted in permits.
+
+    A permit is the right to run one request.
 
     Parameters
     ----------
-    places : int, optional
-        The first limit.
+    permits : int, optional
+        The initial limit.
     """
 
     __slots__ = (
-        "_base_ms",
+        "_baseline_ms",
         "_busy",
         "_changed_at_ms",
         "_mean_before_ms",
-        "_places",
-        "_places_before",
+        "_permits",
+        "_permits_before",
         "_samples",
         "_sheds",
         "_total_ms",
-        "_window_from_ms",
+        "_window_start_ms",
         "duration_ms",
     )
 
-    def __init__(self, *, places: int = _FIRST_PLACES) -> None:
-        self._places = float(places)
-        self._base_ms = math.inf
+    def __init__(self, *, permits: int = _INITIAL_PERMITS) -> None:
+        self._permits = float(permits)
+        self._baseline_ms = math.inf
         self._changed_at_ms = -math.inf
-        self._window_from_ms = -math.inf
+        self._window_start_ms = -math.inf
         self._mean_before_ms = math.inf
-        self._places_before = 0.0
+        self._permits_before = 0.0
         self._samples = 0
         self._sheds = 0
         self._total_ms = 0.0
         self._busy = False
         self.duration_ms = 0.0
-        """How long a request runs, smoothed; 0 while nothing is known."""
+        """Smoothed duration of a request; 0 until the first one has ended."""
 
     @property
-    def places(self) -> int:
-        """How many requests may run now."""
-        return int(self._places)
+    def permits(self) -> int:
+        """How many requests may run concurrently."""
+        return int(self._permits)
 
     @property
     def interval_ms(self) -> float:
-        """The time from one end of a request to the next while all run."""
-        return self.duration_ms / self.places
+        """The mean time between completions while all permits are in use."""
+        return self.duration_ms / self.permits
 
     def record(
         self, *, now_ms: float, duration_ms: float, running: int, shed: bool
     ) -> None:
-        """Take in one request that has ended.
+        """Record a completed request.
 
         Parameters
         ----------
@@ -91,65 +92,67 @@
         duration_ms : float
             How long it ran.
         running : int
-            How many ran beside it, itself included, when it started.
+            How many requests, including this one, were running when it started.
         shed : bool
-            Whether a backend server refused part of its work.
+            Whether a backend server shed part of its work.
         """
         if not shed:
             if self.duration_ms == 0.0:
                 self.duration_ms = duration_ms
-            self.duration_ms += _SMOOTHING * (duration_ms - self.duration_ms)
+            self.duration_ms += _EWMA_WEIGHT * (duration_ms - self.duration_ms)
         if now_ms - duration_ms < self._changed_at_ms:
-            return  # it started under another limit and says nothing of this one
+            return  # it started under another limit
         if not self._samples:
-            self._window_from_ms = now_ms
+            self._window_start_ms = now_ms
         self._samples += 1
         self._sheds += shed
         self._total_ms += duration_ms
-        self._busy = self._busy or running >= self.places
-        # A shed request gives its place back at once to the next one, which is
-        # shed too; waiting for the window's end would shed hundreds.
-        window_over = now_ms >= self._window_from_ms + _WINDOW_MS
-        overrun = self._sheds >= _LEAST_SAMPLES
-        if self._samples >= _LEAST_SAMPLES and (window_over or overrun):
+        self._busy = self._busy or running >= self.permits
+        # A shed request immediately releases its permit to the next one, which
+        # is shed too; waiting for the end of the window would shed hundreds.
+        window_over = now_ms >= self._window_start_ms + _WINDOW_MS
+        many_shed = self._sheds >= _MIN_SAMPLES
+        if self._samples >= _MIN_SAMPLES and (window_over or many_shed):
             self._decide(now_ms)
 
     def _decide(self, now_ms: float) -> None:
         mean_ms = self._total_ms / self._samples
-        self._follow_base(mean_ms)
-        before = self.places
-        if self._sheds > _SHED_PART * self._samples:
-            self._set(self._places * _SHRINK_ON_SHED)
-        elif mean_ms > _QUEUED_LATENCY * self._base_ms:
+        self._update_baseline(mean_ms)
+        before = self.permits
+        if self._sheds > _SHED_FRACTION * self._samples:
+            self._set(self._permits * _SHED_DECREASE_FACTOR)
+        elif mean_ms > _QUEUEING_LATENCY_FACTOR * self._baseline_ms:
             if math.isinf(self._mean_before_ms):
                 self._mean_before_ms = mean_ms
-                self._places_before = self._places
-            wanted = _QUEUED_LATENCY * self._base_ms / mean_ms
-            self._set(self._places * max(_LEAST_SHRINK, wanted))
+                self._permits_before = self._permits
+            wanted = _QUEUEING_LATENCY_FACTOR * self._baseline_ms / mean_ms
+            self._set(self._permits * max(_MIN_DECREASE_FACTOR, wanted))
         else:
             self._mean_before_ms = math.inf
             if self._busy:
-                self._set(max(self._places * _GROWTH, self._places + 1.0))
-        if self.places != before:
+                self._set(max(self._permits * _GROWTH_FACTOR, self._permits + 1.0))
+        if self.permits != before:
             self._changed_at_ms = now_ms
         self._samples = 0
         self._sheds = 0
         self._total_ms = 0.0
         self._busy = False
 
-    def _follow_base(self, mean_ms: float) -> None:
-        # The latency without queueing. It falls at once to what is seen, and
-        # rises slowly, so that an overload is not taken for it. A group that
-        # has really become slower shows in that shrinking does not help; then
-        # it rises fast, or the limit would fall to its least and stay there.
-        if mean_ms < self._base_ms:
-            low_ms = mean_ms if math.isinf(self._base_ms) else self._base_ms
-            self._base_ms = low_ms + _FALLING_BASE * (mean_ms - low_ms)
+    def _update_baseline(self, mean_ms: float) -> None:
+        # The baseline is the latency without queueing. It falls quickly and
+        # rises slowly, so that an overload does not raise it. If decreasing
+        # the limit does not reduce latency, the group has become slower; the
+        # baseline then rises fast, or the limit would stay at its minimum.
+        if mean_ms < self._baseline_ms:
+            low_ms = mean_ms if math.isinf(self._baseline_ms) else self._baseline_ms
+            self._baseline_ms = low_ms + _BASELINE_FALL_WEIGHT * (mean_ms - low_ms)
             return
-        shrunk = self._places <= _SHRUNK_PART * self._places_before
-        in_vain = shrunk and mean_ms > _HELPED * self._mean_before_ms
-        rising = _RISING_BASE_IN_VAIN if in_vain else _RISING_BASE
-        self._base_ms += rising * (mean_ms - self._base_ms)
-
-    def _set(self, places: float) -> None:
-        self._places = min(max(places, LEAST_PLACES), MOST_PLACES)
+        was_decreased = self._permits <= _DECREASED_FRACTION * self._permits_before
+        is_ineffective = (
+            was_decreased and mean_ms > _IMPROVEMENT_FACTOR * self._mean_before_ms
+        )
+        weight = _BASELINE_FAST_RISE_WEIGHT if is_ineffective else _BASELINE_RISE_WEIGHT
+        self._baseline_ms += weight * (mean_ms - self._baseline_ms)
+
+    def _set(self, permits: float) -> None:
+        self._permits = min(max(permits, MIN_PERMITS), MAX_PERMITS)
--- a/ibisfront/core/fanout.py
+++ b/ibisfront/core/fanout.py
@@ -24,10 +24,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from ibisfront.core.backend_pools import BackendPools
     from ibisfront.core.catalogue import Catalogue
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.core.links import BackendLinks
     from ibisfront.core.quarantine import Quarantine
     from ibisfront.core.query import CallerRequest
     from ibisfront.core.settings import QuerySettings
@@ -52,7 +52,7 @@
     ----------
     catalogue : Catalogue
         The table, services and indexes in force.
-    links : BackendLinks
+    pools : BackendPools
         The backend servers.
     quarantine : Quarantine
         The requests that crash servers.
@@ -75,9 +75,9 @@
         "_hedges",
         "_ids",
         "_index_latencies",
-        "_links",
         "_name",
         "_policy",
+        "_pools",
         "_quarantine",
         "_restarts",
         "_settings",
@@ -89,7 +89,7 @@
         self,
         *,
         catalogue: Catalogue,
-        links: BackendLinks,
+        pools: BackendPools,
         quarantine: Quarantine,
         clock: Clock,
         counters: Counters,
@@ -98,7 +98,7 @@
         seed: int | None = None,
     ) -> None:
         self._catalogue = catalogue
-        self._links = links
+        self._pools = pools
         self._quarantine = quarantine
         self._clock = clock
         self._counters = counters
@@ -175,7 +175,7 @@
 
         return SearchRun(
             task,
-            links=self._links,
+            pools=self._pools,
             state_of=partial(self._state_of, task.purpose.index or ""),
             next_id=self._next_id,
             hedge_budget=self._hedges,
@@ -223,8 +223,8 @@
     def _holds(self, service: str, snapshot: str) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            link.health.may_hold(snapshot, now_ms) and not link.is_leaving
-            for link in self._links.of_service(service)
+            pool.health.may_have_snapshot(snapshot, now_ms) and not pool.is_draining
+            for pool in self._pools.of_service(service)
         )
 
     def _state_of(self, index: str, service: str) -> ServiceState:
--- a/ibisfront/core/group_queue.py
+++ b/ibisfront/core/group_queue.py
@@ -127,7 +127,7 @@
 
     def _start_waiters(self) -> None:
         queue = self.queue
-        places = self.limit.places
+        places = self.limit.permits
         while queue.waiting and queue.running < places and queue.pop():
             pass
         # A flood of bulk work fills every place. Urgent requests of a branch
--- a/ibisfront/core/latencies.py
+++ b/ibisfront/core/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies of callers' requests, by branch and purpose."""
+"""Latencies of callers' requests, by branch and purpose or by route."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 __all__ = ["Latencies", "LatencyValue", "RouteLatencies"]
 
 
-_MOST_RECORDED = 64
-"""Histograms beyond which routes share them. One takes 21.7 KB: 4,200 routes with
-one each, 91 MB, and as many to be summed up each time that metrics are read."""
+_MAX_HISTOGRAMS = 64
+"""The number of histograms beyond which routes share one per reason. Each takes
+21.7 KB: for 4,200 routes that is 91 MB, all of it evaluated when metrics are read."""
 
 _OTHER_ROUTES = "(other)"
-"""The label of the routes that share histograms; no route is named so."""
+"""The label of the routes that share histograms; no route has this name."""
 
 
 class LatencyValue(msgspec.Struct, frozen=True):
@@ -36,8 +36,8 @@
     p999_ms: float
 
 
-class _Recorded:
-    """The durations of one kind of request."""
+class _DurationRecorder:
+    """The histogram and the sum of the durations of one kind of request."""
 
     __slots__ = ("histogram", "sum_ms")
 
@@ -51,7 +51,7 @@
         self.sum_ms += duration_ms
 
     def sample(self, *labels: MetricLabel) -> LatencySample:
-        """Return what was recorded, as a metric."""
+        """Return the recorded durations as a metric sample."""
         percentile_ms = self.histogram.percentile_ms
         return LatencySample(
             labels=labels,
@@ -67,69 +67,71 @@
 class Latencies:
     """Records durations by branch and purpose.
 
-    Only answered requests are recorded: their branch and purpose stand in the
-    table. Names that callers make up would grow the memory without bound.
+    Only answered requests are recorded, because their branch and purpose are in
+    the table. Arbitrary names sent by callers would use unbounded memory.
     """
 
-    __slots__ = ("_recorded",)
+    __slots__ = ("_recorders",)
 
     def __init__(self) -> None:
-        self._recorded: dict[tuple[str, str], _Recorded] = {}
+        self._recorders: dict[tuple[str, str], _DurationRecorder] = {}
 
     def record_ms(self, branch: str, purpose: str, duration_ms: float) -> None:
         """Record the duration of one answered request."""
-        self._recorded.setdefault((branch, purpose), _Recorded()).record_ms(duration_ms)
+        self._recorders.setdefault((branch, purpose), _DurationRecorder()).record_ms(
+            duration_ms
+        )
 
     def samples(self) -> list[LatencySample]:
         """Return the latencies as metrics, in order."""
         return [
-            recorded.sample(
+            recorder.sample(
                 MetricLabel("branch", branch), MetricLabel("purpose", purpose)
             )
-            for (branch, purpose), recorded in sorted(self._recorded.items())
+            for (branch, purpose), recorder in sorted(self._recorders.items())
         ]
 
     def values(self) -> list[LatencyValue]:
         """Return the latencies of each branch and purpose, in order."""
         return [
-            _value(branch, purpose, recorded.sample())
-            for (branch, purpose), recorded in sorted(self._recorded.items())
+            _value(branch, purpose, recorder.sample())
+            for (branch, purpose), recorder in sorted(self._recorders.items())
         ]
 
 
 class RouteLatencies:
-    """Records durations by route and by what the caller was told.
+    """Records durations by route and by the reason reported to the caller.
 
-    Reasons are a closed list, and routes may be thousands: those that are asked
-    first stand by themselves, as long as they are there, and the others together.
+    Reasons are a closed set, but there may be thousands of routes: the first
+    ones in use have their own histograms while they exist; the others share.
     """
 
-    __slots__ = ("_recorded",)
+    __slots__ = ("_recorders",)
 
     def __init__(self) -> None:
-        self._recorded: dict[tuple[str, str], _Recorded] = {}
+        self._recorders: dict[tuple[str, str], _DurationRecorder] = {}
 
     def record_ms(self, route: str, reason: str, duration_ms: float) -> None:
         """Record the duration of one request."""
         key = (route, reason)
-        if key not in self._recorded and len(self._recorded) >= _MOST_RECORDED:
+        if key not in self._recorders and len(self._recorders) >= _MAX_HISTOGRAMS:
             key = (_OTHER_ROUTES, reason)
-        recorded = self._recorded.get(key)
-        if recorded is None:
-            recorded = self._recorded[key] = _Recorded()
-        recorded.record_ms(duration_ms)
+        recorder = self._recorders.get(key)
+        if recorder is None:
+            recorder = self._recorders[key] = _DurationRecorder()
+        recorder.record_ms(duration_ms)
 
     def keep(self, routes: Container[str]) -> None:
-        """Forget all routes but these."""
-        for route, reason in list(self._recorded):
+        """Remove all routes except the given ones."""
+        for route, reason in list(self._recorders):
             if route not in routes and route != _OTHER_ROUTES:
-                del self._recorded[route, reason]
+                del self._recorders[route, reason]
 
     def samples(self) -> list[LatencySample]:
         """Return the latencies as metrics, in order."""
         return [
-            recorded.sample(MetricLabel("route", route), MetricLabel("reason", reason))
-            for (route, reason), recorded in sorted(self._recorded.items())
+            recorder.sample(MetricLabel("route", route), MetricLabel("reason", reason))
+            for (route, reason), recorder in sorted(self._recorders.items())
         ]
 
 
--- a/ibisfront/core/latency.py
+++ b/ibisfront/core/latency.py
@@ -26,15 +26,15 @@
         return int(self._histogram.get_total_count())
 
     def record_ms(self, duration_ms: float) -> None:
-        """Record one duration; a longer one than a minute counts as a minute."""
+        """Record one duration; durations over one minute count as one minute."""
         duration_us = int(duration_ms * _MICROSECONDS_PER_MILLISECOND)
         self._histogram.record_value(min(max(duration_us, _LOWEST_US), _HIGHEST_US))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return the duration that a percentage of the recorded ones met."""
+        """Return a percentile of the recorded durations."""
         value_us = self._histogram.get_value_at_percentile(percentile)
         return float(value_us) / _MICROSECONDS_PER_MILLISECOND
 
     def reset(self) -> None:
-        """Forget every duration."""
+        """Discard all recorded durations."""
         self._histogram.reset()
--- a/ibisfront/core/policies.py
+++ b/ibisfront/core/policies.py
@@ -10,7 +10,7 @@
 
 from ibisfront.core.coverage import MissingReason
 from ibisfront.core.query import SubRequestError
-from ibisfront.core.server_choice import ChooseServer, round_robin, two_choices
+from ibisfront.core.server_choice import ChooseServer, power_of_two_choices, round_robin
 from ibisfront.core.service_state import ServiceState
 from ibisfront.core.settings import QuerySettings
 from ibisfront.core.table import Purpose
@@ -123,7 +123,7 @@
         return max(waited_ms, settings.straggler_floor_ms)
 
     return QueryPolicy(
-        choose=two_choices(
+        choose=power_of_two_choices(
             cross_zone_ms=settings.cross_zone_ms,
             slots_per_server=settings.slots_per_server,
             seed=seed,
--- a/ibisfront/core/search_part.py
+++ b/ibisfront/core/search_part.py
@@ -7,8 +7,8 @@
 import trio
 
 if TYPE_CHECKING:
+    from ibisfront.core.backend_pool import BackendPool
     from ibisfront.core.coverage import MissingReason
-    from ibisfront.core.link import BackendLink
     from ibisfront.core.replies import SearchRows
     from ibisfront.core.service_state import ServiceState
 
@@ -18,11 +18,11 @@
 class Attempt:
     """One task that tries to get a part, one server after the other."""
 
-    __slots__ = ("link", "scope", "sent_at_ms")
+    __slots__ = ("pool", "scope", "sent_at_ms")
 
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
-        self.link: BackendLink | None = None
+        self.pool: BackendPool | None = None
         self.sent_at_ms = 0.0
 
 
@@ -37,8 +37,8 @@
         What was measured of it.
     attempts : list of Attempt
         The tasks that try now: the first one, and hedged ones.
-    tried : tuple of BackendLink
-        The links tried so far.
+    tried : tuple of BackendPool
+        The pools tried so far.
     requests : int
         How many sub-requests were sent for it.
     hedged : bool
@@ -68,7 +68,7 @@
         self.service = service
         self.state = state
         self.attempts: list[Attempt] = []
-        self.tried: tuple[BackendLink, ...] = ()
+        self.tried: tuple[BackendPool, ...] = ()
         self.requests = 0
         self.hedged = False
         self.freed = False
@@ -84,7 +84,7 @@
     def is_stranded(self) -> bool:
         """Whether every try waits at a server or connection that was given up."""
         return bool(self.attempts) and all(
-            attempt.link is not None and attempt.link.is_given_up(attempt.sent_at_ms)
+            attempt.pool is not None and attempt.pool.may_resend(attempt.sent_at_ms)
             for attempt in self.attempts
         )
 
@@ -95,8 +95,8 @@
         first_sent_at_ms = min(attempt.sent_at_ms for attempt in self.attempts)
         waited_ms = now_ms - first_sent_at_ms
         return all(
-            attempt.link is not None
-            and attempt.link.is_silent_since(attempt.sent_at_ms)
-            and waited_ms >= attempt.link.silence_bound_ms
+            attempt.pool is not None
+            and attempt.pool.is_silent_since(attempt.sent_at_ms)
+            and waited_ms >= attempt.pool.silence_bound_ms
             for attempt in self.attempts
         )
--- a/ibisfront/core/search_run.py
+++ b/ibisfront/core/search_run.py
@@ -15,15 +15,15 @@
 from ibisfront.core.query import CallerRequest, SubRequest, SubRequestError
 from ibisfront.core.replies import checked_rows
 from ibisfront.core.search_part import Attempt, SearchPart
-from ibisfront.core.server_choice import Choice
+from ibisfront.core.server_choice import ChoiceContext
 from ibisfront.core.snapshot import Snapshot
 from ibisfront.core.table import Purpose
 
 if TYPE_CHECKING:
+    from ibisfront.core.backend_pool import BackendPool
+    from ibisfront.core.backend_pools import BackendPools
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.core.link import BackendLink
-    from ibisfront.core.links import BackendLinks
     from ibisfront.core.quarantine import Quarantine
     from ibisfront.core.replies import SearchRows
     from ibisfront.core.retry_budget import RetryBudget
@@ -70,7 +70,7 @@
     ----------
     task : SearchTask
         What to do.
-    links : BackendLinks
+    pools : BackendPools
         The servers.
     state_of : callable
         Returns what was measured of a service.
@@ -99,13 +99,13 @@
         "_clock",
         "_counters",
         "_hedge_budget",
-        "_links",
         "_loss_is_harmless",
         "_lost_turn",
         "_next_id",
         "_nursery",
         "_open",
         "_policy",
+        "_pools",
         "_quarantine",
         "_started_ms",
         "_state_of",
@@ -122,7 +122,7 @@
         self,
         task: SearchTask,
         *,
-        links: BackendLinks,
+        pools: BackendPools,
         state_of: Callable[[str], ServiceState],
         next_id: Callable[[], str],
         hedge_budget: RetryBudget,
@@ -134,7 +134,7 @@
         wants_restart: Callable[[SearchRun], bool],
     ) -> None:
         self._task = task
-        self._links = links
+        self._pools = pools
         self._state_of = state_of
         self._next_id = next_id
         self._hedge_budget = hedge_budget
@@ -215,15 +215,15 @@
 
     async def _ask(self, part: SearchPart, attempt: Attempt) -> SearchRows:
         """Send one sub-request and return its rows."""
-        link = await self._choose(part)
+        pool = await self._choose(part)
         task = self._task
         now_ms = self._clock.now_ms()
         # Work that cannot be answered in time takes a slot from work that can.
-        if now_ms + part.state.quick_ms >= task.deadline_at_ms:
+        if now_ms + part.state.low_percentile_ms >= task.deadline_at_ms:
             raise SubRequestError(MissingReason.NO_BUDGET, not_run=True)
-        attempt.link = link
+        attempt.pool = pool
         attempt.sent_at_ms = now_ms
-        part.tried += (link,)
+        part.tried += (pool,)
         part.requests += 1
         sub_request = SubRequest(
             sub_request_id=self._next_id(),
@@ -236,33 +236,33 @@
             fingerprint=task.fingerprint,
         )
         try:
-            reply = await link.call(sub_request)
+            reply = await pool.call(sub_request)
             rows = checked_rows(reply, task.snapshot.name)
         except SubRequestError as error:
             if error.reason is MissingReason.CONNECTION_LOST:
-                self._note_lost(part, link)
+                self._note_lost(part, pool)
             raise
         now_ms = self._clock.now_ms()
         part.state.record_ms(now_ms - attempt.sent_at_ms, now_ms)
         self._note_answered(part)
         return rows
 
-    async def _choose(self, part: SearchPart) -> BackendLink:
+    async def _choose(self, part: SearchPart) -> BackendPool:
         now_ms = self._clock.now_ms()
-        choice = Choice(self._zone, now_ms, self._task.snapshot.name, part.tried)
-        links = self._links.of_service(part.service)
-        link = self._policy.choose(links, choice)
-        if link is None:
-            raise SubRequestError(self._why_none(links), not_run=True)
-        wait_ms = link.health.not_before_ms - now_ms
+        choice = ChoiceContext(self._zone, now_ms, self._task.snapshot.name, part.tried)
+        pools = self._pools.of_service(part.service)
+        pool = self._policy.choose(pools, choice)
+        if pool is None:
+            raise SubRequestError(self._why_none(pools), not_run=True)
+        wait_ms = pool.health.not_before_ms - now_ms
         if self._policy.sheds_load and wait_ms > 0.0:
             await self._back_off(part, wait_ms)
-        return link
+        return pool
 
-    def _why_none(self, links: tuple[BackendLink, ...]) -> MissingReason:
-        if not links:
+    def _why_none(self, pools: tuple[BackendPool, ...]) -> MissingReason:
+        if not pools:
             return MissingReason.NO_SERVER
-        if all(link.is_leaving for link in links):
+        if all(pool.is_draining for pool in pools):
             return MissingReason.DRAINING
         return MissingReason.SNAPSHOT_GONE
 
@@ -275,7 +275,7 @@
         """
         wait_ms += self._policy.retry_delay_ms(True)
         now_ms = self._clock.now_ms()
-        if now_ms + wait_ms + part.state.quick_ms >= self._task.deadline_at_ms:
+        if now_ms + wait_ms + part.state.low_percentile_ms >= self._task.deadline_at_ms:
             raise SubRequestError(MissingReason.SHED, not_run=True)
         await self._clock.sleep_ms(wait_ms)
 
@@ -293,8 +293,8 @@
         if error.reason is MissingReason.CONNECTION_LOST and self._policy.sheds_load:
             return await self._retry_lost(part, attempt)
         self._counters.add(CounterKind.RETRIES, error.reason.value)
-        links = self._links.of_service(part.service)
-        same_server = all(link in part.tried for link in links)
+        pools = self._pools.of_service(part.service)
+        same_server = all(pool in part.tried for pool in pools)
         await self._clock.sleep_ms(self._policy.retry_delay_ms(same_server))
         return True
 
@@ -329,15 +329,15 @@
     def _has_holder(self, part: SearchPart) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            link.health.may_hold(self._task.snapshot.name, now_ms)
-            and not link.is_leaving
-            for link in self._links.of_service(part.service)
+            pool.health.may_have_snapshot(self._task.snapshot.name, now_ms)
+            and not pool.is_draining
+            for pool in self._pools.of_service(part.service)
         )
 
-    def _note_lost(self, part: SearchPart, link: BackendLink) -> None:
+    def _note_lost(self, part: SearchPart, pool: BackendPool) -> None:
         if self._policy.sheds_load:
             self._quarantine.note_lost(
-                self._task.fingerprint, part.service, link.server.name
+                self._task.fingerprint, part.service, pool.server.name
             )
 
     def _note_answered(self, part: SearchPart) -> None:
@@ -431,12 +431,12 @@
         """Return whether a server that was not tried can take a hedged request."""
         now_ms = self._clock.now_ms()
         return any(
-            link not in part.tried
-            and not link.health.ejected
-            and not link.is_leaving
-            and link.health.not_before_ms <= now_ms
-            and link.health.may_hold(self._task.snapshot.name, now_ms)
-            for link in self._links.of_service(part.service)
+            pool not in part.tried
+            and not pool.health.ejected
+            and not pool.is_draining
+            and pool.health.not_before_ms <= now_ms
+            and pool.health.may_have_snapshot(self._task.snapshot.name, now_ms)
+            for pool in self._pools.of_service(part.service)
         )
 
     def _give_up_unreachable(self, now_ms: float) -> None:
@@ -461,8 +461,8 @@
 
     def _has_server_in_use(self, part: SearchPart) -> bool:
         return any(
-            not link.health.ejected and not link.is_leaving
-            for link in self._links.of_service(part.service)
+            not pool.health.ejected and not pool.is_draining
+            for pool in self._pools.of_service(part.service)
         )
 
     def _free_stranded(self) -> None:
--- a/ibisfront/core/server_choice.py
+++ b/ibisfront/core/server_choice.py
@@ -1,4 +1,4 @@
-"""Choosing the backend server of a sub-request; plain functions."""
+"""Load balancing: the choice of the backend server of a sub-request."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from ibisfront.core.link import BackendLink
+    from ibisfront.core.backend_pool import BackendPool
 
-__all__ = ["Choice", "ChooseServer", "round_robin", "two_choices"]
+__all__ = ["ChoiceContext", "ChooseServer", "power_of_two_choices", "round_robin"]
 
 
-_SPILL_SLOTS = 3
-_SPILL_FACTOR = 4.0
+_SPILLOVER_SLOTS_FACTOR = 3
+_SPILLOVER_LATENCY_FACTOR = 4.0
 
 
-class Choice(msgspec.Struct, frozen=True):
-    """What a server is chosen for.
+class ChoiceContext(msgspec.Struct, frozen=True):
+    """The request context of a load-balancing decision.
 
     Attributes
     ----------
@@ -29,112 +29,118 @@
     now_ms : float
         The time.
     snapshot : str or None
-        The pinned snapshot, if there is one.
-    tried : tuple of BackendLink
-        The links that this sub-request has tried already.
+        The pinned snapshot, if any.
+    tried : tuple of BackendPool
+        The pools that this sub-request has already tried.
     """
 
     zone: str
     now_ms: float
     snapshot: str | None = None
-    tried: tuple[BackendLink, ...] = ()
+    tried: tuple[BackendPool, ...] = ()
 
 
 ChooseServer: TypeAlias = Callable[
-    [Sequence["BackendLink"], Choice], "BackendLink | None"
+    [Sequence["BackendPool"], ChoiceContext], "BackendPool | None"
 ]
-"""Picks one of a service's live servers, or None if none may be asked."""
+"""Selects one of a service's live servers, or None if none is eligible."""
 
 
 def round_robin() -> ChooseServer:
-    """Return the baseline's choice: each server in turn, whatever its state."""
-    turns = itertools.count()
+    """Return the baseline policy: round robin, ignoring the servers' state."""
+    counter = itertools.count()
 
-    def choose(links: Sequence[BackendLink], choice: Choice) -> BackendLink | None:
-        if not links:
+    def choose(
+        pools: Sequence[BackendPool], context: ChoiceContext
+    ) -> BackendPool | None:
+        if not pools:
             return None
-        untried = [link for link in links if link not in choice.tried] or links
-        return untried[next(turns) % len(untried)]
+        untried = [pool for pool in pools if pool not in context.tried] or pools
+        return untried[next(counter) % len(untried)]
 
     return choose
 
 
-def two_choices(
+def power_of_two_choices(
     *, cross_zone_ms: float, slots_per_server: int, seed: int | None = None
 ) -> ChooseServer:
-    """Return a choice of the less loaded of two servers, own zone first.
+    """Return a zone-aware power-of-two-choices policy.
 
-    The load is this instance's own sub-requests at the server and the smoothed
-    latency that it saw. A server of another zone is taken only if the own one
-    has many more of this instance's sub-requests, or is many times slower.
-    Comparing expected waits alone would let work go to and fro
-    between the zones; see ``docs/design/query-path.md`` for the rules weighed.
+    Load is estimated from this instance's in-flight sub-requests at the server
+    and their smoothed latency. A server of another zone is chosen only if the
+    one in the own zone has many more sub-requests of this instance in flight,
+    or is many times slower. Comparing expected latencies alone would make load
+    oscillate between zones; see ``docs/design/query-path.md`` for alternatives.
 
     Parameters
     ----------
     cross_zone_ms : float
-        What the way to another zone and back costs.
+        Round-trip time to another zone.
     slots_per_server : int
-        How many requests a server runs at once.
+        How many requests a server runs concurrently.
     seed : int, optional
-        Makes the choices repeatable.
+        Seed for reproducible choices.
     """
     generator = random.Random(seed)
-    threshold = _SPILL_SLOTS * slots_per_server
+    threshold = _SPILLOVER_SLOTS_FACTOR * slots_per_server
 
-    def choose(links: Sequence[BackendLink], choice: Choice) -> BackendLink | None:
-        usable = [link for link in links if _is_usable(link, choice)]
-        candidates = _preferred(usable, choice)
+    def choose(
+        pools: Sequence[BackendPool], context: ChoiceContext
+    ) -> BackendPool | None:
+        eligible = [pool for pool in pools if _is_eligible(pool, context)]
+        candidates = _preferred_pools(eligible, context)
         if len(candidates) <= 1:
             return candidates[0] if candidates else None
-        own = _less_loaded(candidates, choice, generator, in_zone=True)
-        other = _less_loaded(candidates, choice, generator, in_zone=False)
+        own = _less_loaded(candidates, context, generator, in_zone=True)
+        other = _less_loaded(candidates, context, generator, in_zone=False)
         if own is None or other is None:
             return own or other
-        more = own.in_flight - other.in_flight
-        own_ms = own.health.unloaded_ms(choice.now_ms)
-        other_ms = other.health.unloaded_ms(choice.now_ms)
-        slow = own_ms > _SPILL_FACTOR * other_ms + cross_zone_ms
-        return other if slow or more > threshold else own
+        extra_in_flight = own.in_flight - other.in_flight
+        own_ms = own.health.unloaded_latency_ms(context.now_ms)
+        other_ms = other.health.unloaded_latency_ms(context.now_ms)
+        is_slow = own_ms > _SPILLOVER_LATENCY_FACTOR * other_ms + cross_zone_ms
+        return other if is_slow or extra_in_flight > threshold else own
 
     return choose
 
 
-def _is_usable(link: BackendLink, choice: Choice) -> bool:
-    if link.is_leaving:
+def _is_eligible(pool: BackendPool, context: ChoiceContext) -> bool:
+    if pool.is_draining:
         return False
-    return link.health.may_hold(choice.snapshot, choice.now_ms)
+    return pool.health.may_have_snapshot(context.snapshot, context.now_ms)
 
 
-def _preferred(usable: list[BackendLink], choice: Choice) -> list[BackendLink]:
-    """Return the links to choose from, leaving out what others can spare.
+def _preferred_pools(
+    eligible: list[BackendPool], context: ChoiceContext
+) -> list[BackendPool]:
+    """Return the preferred candidates, or less preferred ones if there are none.
 
-    Ejected servers, servers suspected of silence, servers already tried and
-    servers that asked to be left alone are left out only while some other is
-    there: when a fault hits all replicas alike, leaving all of them out would
-    turn a slow service into a missing one.
+    Ejected servers, servers suspected to be silent, servers already tried and
+    servers that requested backoff are excluded only while another candidate
+    remains: when a fault affects all replicas, excluding all of them would turn
+    a slow service into an unavailable one.
     """
-    healthy = [link for link in usable if not link.health.ejected] or usable
-    trusted = [link for link in healthy if not link.suspected] or healthy
-    untried = [link for link in trusted if link not in choice.tried] or trusted
-    now_ms = choice.now_ms
-    return [link for link in untried if link.health.not_before_ms <= now_ms] or untried
+    healthy = [pool for pool in eligible if not pool.health.ejected] or eligible
+    trusted = [pool for pool in healthy if not pool.suspected] or healthy
+    untried = [pool for pool in trusted if pool not in context.tried] or trusted
+    now_ms = context.now_ms
+    return [pool for pool in untried if pool.health.not_before_ms <= now_ms] or untried
 
 
 def _less_loaded(
-    candidates: list[BackendLink],
-    choice: Choice,
+    candidates: list[BackendPool],
+    context: ChoiceContext,
     generator: random.Random,
     *,
     in_zone: bool,
-) -> BackendLink | None:
-    """Return the less loaded of two servers, inside or outside the own zone."""
-    links = [
-        link for link in candidates if (link.server.zone == choice.zone) is in_zone
+) -> BackendPool | None:
+    """Return the less loaded of two random servers in or outside the own zone."""
+    pools = [
+        pool for pool in candidates if (pool.server.zone == context.zone) is in_zone
     ]
-    if len(links) <= 1:
-        return links[0] if links else None
-    first, second = generator.sample(links, 2)
-    first_ms = first.health.load_ms(first.in_flight, choice.now_ms)
-    second_ms = second.health.load_ms(second.in_flight, choice.now_ms)
+    if len(pools) <= 1:
+        return pools[0] if pools else None
+    first, second = generator.sample(pools, 2)
+    first_ms = first.health.expected_latency_ms(first.in_flight, context.now_ms)
+    second_ms = second.health.expected_latency_ms(second.in_flight, context.now_ms)
     return first if first_ms <= second_ms else second
--- a/ibisfront/core/service.py
+++ b/ibisfront/core/service.py
@@ -15,7 +15,7 @@
     Attributes
     ----------
     name : str
-        Its name, unique over all services.
+        Its name, unique across all services.
     address : str
         Its ``IP:PORT``.
     zone : str
@@ -31,12 +31,12 @@
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One shard of an index, or one place of non-idempotent work.
+    """One shard of an index, or one destination of non-idempotent work.
 
     Attributes
     ----------
     backend_servers : tuple of BackendServer
-        The replicas, each able to answer for the whole service.
+        The replicas, each of which serves the whole service.
     """
 
     backend_servers: tuple[BackendServer, ...] = ()
--- a/ibisfront/core/service_edit.py
+++ b/ibisfront/core/service_edit.py
@@ -1,4 +1,4 @@
-"""Editing the membership of services: add, drain or remove a server."""
+"""Editing the backend servers of a service: add, drain or remove one."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class ServiceEdited(msgspec.Struct, frozen=True):
-    """A service as it stands after an edit.
+    """The result of an edit of a service.
 
     Attributes
     ----------
     name : str
         The service.
     version : int
-        Its version.
+        Its version after the edit.
     service : Service
-        Its value.
+        Its value after the edit.
     """
 
     name: str
@@ -44,7 +44,7 @@
 async def add_server(
     platform: ConditionalPlatform, service: str, server: BackendServer, *, clock: Clock
 ) -> ServiceEdited:
-    """Put a server into a service, or replace the entry of its name.
+    """Add a server to a service, or replace the entry with the same name.
 
     Raises
     ------
@@ -53,8 +53,8 @@
     """
 
     def change(current: Service) -> Service:
-        others = _without(current, server.name)
-        return Service((*others, server))
+        other_servers = _without(current, server.name)
+        return Service((*other_servers, server))
 
     return await _edit(platform, service, change, clock)
 
@@ -62,7 +62,7 @@
 async def drain_server(
     platform: ConditionalPlatform, service: str, name: str, *, clock: Clock
 ) -> ServiceEdited:
-    """Let a server get no new work from now on.
+    """Stop sending new work to a server.
 
     Raises
     ------
@@ -72,12 +72,12 @@
     """
 
     def change(current: Service) -> Service:
-        known = next((s for s in current.backend_servers if s.name == name), None)
-        if known is None:
+        found = next((s for s in current.backend_servers if s.name == name), None)
+        if found is None:
             raise IbisfrontError(
                 ErrorKind.NOT_FOUND, f"service {service!r} has no server {name!r}"
             )
-        drained = msgspec.structs.replace(known, state="draining")
+        drained = msgspec.structs.replace(found, state="draining")
         return Service((*_without(current, name), drained))
 
     return await _edit(platform, service, change, clock)
@@ -86,7 +86,7 @@
 async def remove_server(
     platform: ConditionalPlatform, service: str, name: str, *, clock: Clock
 ) -> ServiceEdited:
-    """Take a server out of a service; done already if it is not there.
+    """Remove a server from a service; do nothing if it is not registered.
 
     Raises
     ------
@@ -104,10 +104,10 @@
     change: Callable[[Service], Service],
     clock: Clock,
 ) -> ServiceEdited:
-    # An edit names one server only and wants one state of it, so that a lost
-    # answer or another operator's edit is met by reading again: if that state
-    # is there it is done, and if not, the write is conditional on the version
-    # just read. A late write of an earlier round has lost its version by then.
+    # An edit sets the state of a single server, so it is idempotent. After a
+    # lost answer or a conflict the service is read again: if the wanted state is
+    # there, the edit is done; otherwise it is written conditionally on the
+    # version just read. A delayed write of an earlier round then conflicts.
     unknown = False
     with clock.timeout_ms(SETTLE_MS):
         while True:
@@ -149,7 +149,7 @@
 
 
 def _without(service: Service, name: str) -> tuple[BackendServer, ...]:
-    return tuple(item for item in service.backend_servers if item.name != name)
+    return tuple(server for server in service.backend_servers if server.name != name)
 
 
 def _same_servers(first: Service, second: Service) -> bool:
--- a/ibisfront/core/service_state.py
+++ b/ibisfront/core/service_state.py
@@ -1,4 +1,4 @@
-"""What this instance has measured of one service, over all its servers."""
+"""Per-service latency statistics and retry budgets, over all its servers."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 __all__ = ["RETRY_BURST", "RecentLatency", "ServiceState"]
 
 RETRY_BURST = 10.0
-"""Extra sub-requests to a service at once, after a quiet time."""
+"""How many extra sub-requests to a service may be sent at once after idle time."""
 
-_REFRESH_MS = 2_000.0
-_ROTATE_MS = 20_000.0
-_FEWEST_SAMPLES = 50
+_REFRESH_INTERVAL_MS = 2_000.0
+_ROTATION_INTERVAL_MS = 20_000.0
+_MIN_SAMPLES = 50
 _PERCENT = 100.0
 _LOW_PERCENTILE = 5.0
 
 
 class RecentLatency:
-    """The percentiles that the policy needs of recent latencies.
+    """The percentiles of recent latencies that the query policy uses.
 
-    Percentiles are read from the histogram only now and then, as reading one
+    Percentiles are read from the histogram periodically, because reading one
     costs as much as tens of recordings.
 
     Parameters
     ----------
     settings : QuerySettings
-        The percentile of hedging.
+        Defines the hedging percentile.
 
     Attributes
     ----------
     hedge_delay_ms : float
-        After how long a sub-request is hedged; infinite until known.
-    quick_ms : float
-        What hardly any sub-request is quicker than; 0 until known.
+        The delay before a sub-request is hedged; infinite until known.
+    low_percentile_ms : float
+        The 5th percentile of latency; 0 until known.
     """
 
     __slots__ = (
@@ -49,7 +49,7 @@
         "_percentile",
         "_previous",
         "hedge_delay_ms",
-        "quick_ms",
+        "low_percentile_ms",
     )
 
     def __init__(self, settings: QuerySettings) -> None:
@@ -59,40 +59,40 @@
         self._next_refresh_ms = 0.0
         self._next_rotation_ms = 0.0
         self.hedge_delay_ms = math.inf
-        self.quick_ms = 0.0
+        self.low_percentile_ms = 0.0
 
     def record_ms(self, duration_ms: float, now_ms: float) -> None:
         """Record one latency."""
         self._current.record_ms(duration_ms)
-        if now_ms >= self._next_refresh_ms and self._current.count >= _FEWEST_SAMPLES:
+        if now_ms >= self._next_refresh_ms and self._current.count >= _MIN_SAMPLES:
             self._refresh(now_ms)
 
     def _refresh(self, now_ms: float) -> None:
-        self._next_refresh_ms = now_ms + _REFRESH_MS
+        self._next_refresh_ms = now_ms + _REFRESH_INTERVAL_MS
         self.hedge_delay_ms = self._current.percentile_ms(self._percentile)
-        self.quick_ms = self._current.percentile_ms(_LOW_PERCENTILE)
+        self.low_percentile_ms = self._current.percentile_ms(_LOW_PERCENTILE)
         if now_ms >= self._next_rotation_ms:
-            self._next_rotation_ms = now_ms + _ROTATE_MS
+            self._next_rotation_ms = now_ms + _ROTATION_INTERVAL_MS
             self._current, self._previous = self._previous, self._current
             self._current.reset()
 
 
 class ServiceState:
-    """Latencies and budgets of one service.
+    """Latencies and retry budget of one service.
 
     Parameters
     ----------
     settings : QuerySettings
-        The shares of the budgets and the percentile of hedging.
+        Defines the retry fraction and the hedging percentile.
     index_latency : RecentLatency
-        The latency of all services of the index, for as long as this one's
-        own is not known. A new instance among several sees each service a
-        few times a second only; it would hedge nothing for seconds.
+        The latency over all services of the index, used until this service has
+        enough samples. A new instance among several sends each service only a
+        few sub-requests a second and would not hedge for several seconds.
 
     Attributes
     ----------
     retry_budget : RetryBudget
-        Extra sub-requests of every cause, hedges included.
+        Budget for extra sub-requests: retries and hedged requests.
     """
 
     __slots__ = ("_index_latency", "_latency", "retry_budget")
@@ -108,13 +108,13 @@
 
     @property
     def hedge_delay_ms(self) -> float:
-        """After how long a sub-request is hedged; infinite until known."""
-        return self._best_known.hedge_delay_ms
+        """The delay before a sub-request is hedged; infinite until known."""
+        return self._effective_latency.hedge_delay_ms
 
     @property
-    def quick_ms(self) -> float:
-        """What hardly any sub-request is quicker than; 0 until known."""
-        return self._best_known.quick_ms
+    def low_percentile_ms(self) -> float:
+        """The 5th percentile of latency; 0 until known."""
+        return self._effective_latency.low_percentile_ms
 
     def record_ms(self, duration_ms: float, now_ms: float) -> None:
         """Record the latency of one answered sub-request."""
@@ -123,7 +123,7 @@
             self._index_latency.record_ms(duration_ms, now_ms)
 
     @property
-    def _best_known(self) -> RecentLatency:
+    def _effective_latency(self) -> RecentLatency:
         if math.isinf(self._latency.hedge_delay_ms):
             return self._index_latency
         return self._latency
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -10,13 +10,13 @@
 import trio
 
 from ibisfront.core.admission import Admission
+from ibisfront.core.backend_pools import BackendPools
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.counters import Counters
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.fanout import Fanout
 from ibisfront.core.latencies import Latencies
 from ibisfront.core.ledger import Ledger
-from ibisfront.core.links import BackendLinks
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectStore
 from ibisfront.core.perform_sender import PerformSender
@@ -90,7 +90,7 @@
         self.admission = Admission(
             clock=clock, counters=self.counters, shares=self.shares
         )
-        self.links = BackendLinks(
+        self.pools = BackendPools(
             catalogue=self.catalogue,
             members=self.members,
             open_connection=adapters.connection_opener(),
@@ -98,7 +98,7 @@
             counters=self.counters,
             backend=settings.backend,
             query=settings.query,
-            signs=self.shared.signs,
+            statuses=self.shared.statuses,
         )
         self.quarantine = Quarantine(
             clock=clock,
@@ -108,7 +108,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            links=self.links,
+            pools=self.pools,
             quarantine=self.quarantine,
             clock=clock,
             counters=self.counters,
@@ -128,7 +128,7 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            signs=self.shared.signs,
+            statuses=self.shared.statuses,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
@@ -147,10 +147,10 @@
         async with AsyncExitStack() as stack:
             platform = self._adapters.open_platform()
             stack.push_async_callback(platform.aclose)
-            stack.push_async_callback(self.links.aclose)
+            stack.push_async_callback(self.pools.aclose)
             nursery = await stack.enter_async_context(trio.open_nursery())
             nursery.start_soon(self.shares.run, self.peers)
-            nursery.start_soon(self.links.keep_up)
+            nursery.start_soon(self.pools.maintain)
             await nursery.start(self.ledger.run, platform)
             await nursery.start(
                 partial(
--- a/ibisfront/shared.py
+++ b/ibisfront/shared.py
@@ -11,7 +11,7 @@
 from ibisfront.core.heartbeat import Heartbeats
 from ibisfront.core.membership import Membership
 from ibisfront.core.pause import watch_for_pause
-from ibisfront.core.server_signs import ServerSigns
+from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.spread import ObjectSpread
 from ibisfront.core.watch import PlatformWatch, WatchedPlatform
 
@@ -34,7 +34,7 @@
 
 
 class SharedState:
-    """The members, the objects and the signs of servers, kept up to date.
+    """The members, the objects and the server statuses, kept up to date.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
             members, peers=peers, clock=clock, counters=counters, random=random
         )
         self.spread = ObjectSpread(store, peers=peers, clock=clock, counters=counters)
-        self.signs = ServerSigns(store, peers=peers, clock=clock)
+        self.statuses = ServerStatuses(store, peers=peers, clock=clock)
         self.heartbeats = Heartbeats(
             members=members,
             membership=self.membership,
--- a/ibisfront/testing/connections.py
+++ b/ibisfront/testing/connections.py
@@ -1,6 +1,6 @@
 """Connections to backend stand-ins in the same process, without sockets.
 
-They speak through :class:`ibisfront.core.link.BackendConnection`, so that a
+They speak through :class:`ibisfront.core.backend_pool.BackendConnection`, so that a
 test under trio's mock clock drives the whole query path.
 """
 
--- a/ibisfront/testing/search_fixture.py
+++ b/ibisfront/testing/search_fixture.py
@@ -8,11 +8,11 @@
 import msgspec
 import trio
 
+from ibisfront.core.backend_pools import BackendPools
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import Counters
 from ibisfront.core.fanout import Fanout
-from ibisfront.core.links import BackendLinks
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
 from ibisfront.core.quarantine import Quarantine
@@ -30,11 +30,11 @@
     from collections.abc import AsyncIterator
 
     from ibisfront.core.backend_connection import OpenConnection
+    from ibisfront.core.backend_pool import BackendPool
     from ibisfront.core.counters import CounterKind
-    from ibisfront.core.link import BackendLink
     from ibisfront.core.peers import Peers
     from ibisfront.core.query import Answer
-    from ibisfront.core.server_signs import ServerSigns
+    from ibisfront.core.server_status import ServerStatuses
 
 __all__ = ["INDEX", "SearchFixture", "address_of"]
 
@@ -91,16 +91,16 @@
         self._seed = seed
         self._peers = peers
         self._open_connection: OpenConnection = self.network.open_connection
-        self.follow_signs(None)
+        self.follow_statuses(None)
 
     def connect_by(self, open_connection: OpenConnection) -> None:
         """Start the query path anew, over other connections."""
         self._open_connection = open_connection
-        self.follow_signs(None)
+        self.follow_statuses(None)
 
-    def follow_signs(self, signs: ServerSigns | None) -> None:
-        """Start the query path anew, following these signs of leaving servers."""
-        self.links = BackendLinks(
+    def follow_statuses(self, statuses: ServerStatuses | None) -> None:
+        """Start the query path anew, with these statuses of backend servers."""
+        self.pools = BackendPools(
             catalogue=self.catalogue,
             members=self.members,
             open_connection=self._open_connection,
@@ -108,7 +108,7 @@
             counters=self.counters,
             backend=self._backend,
             query=self.query,
-            signs=signs,
+            statuses=statuses,
         )
         self.quarantine = Quarantine(
             clock=self.clock,
@@ -118,7 +118,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            links=self.links,
+            pools=self.pools,
             quarantine=self.quarantine,
             clock=self.clock,
             counters=self.counters,
@@ -129,9 +129,9 @@
 
     @asynccontextmanager
     async def upkeep(self) -> AsyncIterator[None]:
-        """Run the upkeep of the links while the context is open."""
+        """Run the maintenance of the pools while the context is open."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.links.keep_up)
+            nursery.start_soon(self.pools.maintain)
             yield
             nursery.cancel_scope.cancel()
 
@@ -148,9 +148,9 @@
         """Return the stand-in of one server."""
         return self.network.backends[address_of(service, number)]
 
-    def link(self, service: str, number: int) -> BackendLink:
-        """Return the link to one server."""
-        return self.links.of_service(service)[number]
+    def pool(self, service: str, number: int) -> BackendPool:
+        """Return the pool of one server."""
+        return self.pools.of_service(service)[number]
 
     def set_faults(self, service: str, number: int, **faults: Any) -> None:
         """Set the faults of one server; those left out are off."""
--- a/ibisfront/tests/test_links.py
+++ b/ibisfront/tests/test_backend_pools.py
@@ -7,11 +7,11 @@
 
 import trio
 
+from ibisfront.core.backend_pools import connection_share
 from ibisfront.core.counters import CounterKind
-from ibisfront.core.links import connection_share
 from ibisfront.core.members import Member, MemberState
 from ibisfront.core.query_settings import QuerySettings
-from ibisfront.core.server_signs import ServerSigns
+from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.service import BackendServer
 from ibisfront.testing.backend_types import BackendSettings as StandInSettings
 from ibisfront.testing.peers import PeerNetwork
@@ -59,7 +59,7 @@
             sent = fixture.network.sent["s1-0:1"]
             await search_steadily(fixture, searches=50)
             self.assertGreater(fixture.network.sent["s1-0:1"], sent)
-            self.assertFalse(fixture.link("s1", 0).health.ejected)
+            self.assertFalse(fixture.pool("s1", 0).health.ejected)
 
     @trio_test
     async def test_frozen_server_is_left_out_and_comes_back(self):
@@ -74,11 +74,11 @@
             await search_steadily(fixture, searches=30)
             fixture.set_faults("s1", 0, frozen=True)
             answered = await search_steadily(fixture, searches=150)
-            self.assertTrue(fixture.link("s1", 0).health.ejected)
+            self.assertTrue(fixture.pool("s1", 0).health.ejected)
             self.assertEqual(set(answered), {2})
             fixture.set_faults("s1", 0)
             await fixture.clock.sleep_ms(10_000.0)
-            self.assertFalse(fixture.link("s1", 0).health.ejected)
+            self.assertFalse(fixture.pool("s1", 0).health.ejected)
 
     @trio_test
     async def test_slow_search_is_not_taken_for_silence(self):
@@ -195,20 +195,20 @@
         fixture = SearchFixture()
         async with fixture.upkeep():
             await search_steadily(fixture, searches=2)
-            link = fixture.link("s0", 0)
-            self.assertEqual(link.share, 25)
+            pool = fixture.pool("s0", 0)
+            self.assertEqual(pool.share, 25)
             others = [Member(f"i{n}", "z2", f"a:{n}", f"b:{n}") for n in range(2, 6)]
             for member in others:
                 fixture.members.merge(member)
             await fixture.clock.sleep_ms(1_500.0)
-            self.assertEqual(link.share, 5)
+            self.assertEqual(pool.share, 5)
             for member in others:
                 left = Member(member.name, "z2", "a", "b", 1, MemberState.LEFT)
                 fixture.members.merge(left)
             await fixture.clock.sleep_ms(2_000.0)
-            self.assertEqual(link.share, 5)
+            self.assertEqual(pool.share, 5)
             await fixture.clock.sleep_ms(8_000.0)
-            self.assertEqual(link.share, 25)
+            self.assertEqual(pool.share, 25)
 
     @trio_test
     async def test_idle_connections_are_shed_but_a_few_stay_warm(self):
@@ -304,16 +304,16 @@
         async with trio.open_nursery() as nursery:
             fixture = SearchFixture()
             network = PeerNetwork(clock=fixture.clock, nursery=nursery)
-            signs = [
-                ServerSigns(
+            statuses = [
+                ServerStatuses(
                     fixture.store, peers=network.join(name), clock=fixture.clock
                 )
                 for name in ("i1", "i2")
             ]
-            fixture.follow_signs(signs[0])
+            fixture.follow_statuses(statuses[0])
             async with fixture.upkeep():
                 await search_steadily(fixture, searches=5)
-                signs[1].note_draining(SERVER)
+                statuses[1].record_draining(SERVER)
                 await fixture.clock.sleep_ms(10.0)
                 sent = fixture.network.sent["s1-0:1"]
                 answered = await search_steadily(fixture, searches=50)
@@ -325,14 +325,14 @@
         async with trio.open_nursery() as nursery:
             fixture = SearchFixture()
             network = PeerNetwork(clock=fixture.clock, nursery=nursery)
-            signs = [
-                ServerSigns(
+            statuses = [
+                ServerStatuses(
                     fixture.store, peers=network.join(name), clock=fixture.clock
                 )
                 for name in ("i1", "i2")
             ]
-            fixture.follow_signs(signs[0])
+            fixture.follow_statuses(statuses[0])
             fixture.set_faults("s1", 0, draining=True)
             await search_steadily(fixture, searches=20)
-            self.assertTrue(signs[1].is_leaving(SERVER))
+            self.assertTrue(statuses[1].is_draining(SERVER))
             self.assertEqual(fixture.count(CounterKind.MISSING, "draining"), 0)
--- a/ibisfront/tests/test_fanout.py
+++ b/ibisfront/tests/test_fanout.py
@@ -159,7 +159,7 @@
             for connection in fixture.network.open_to(address)
         ]
         self.assertEqual(used, [])
-        self.assertEqual([link.in_flight for link in links_of(fixture)], [0, 0])
+        self.assertEqual([pool.in_flight for pool in pools_of(fixture)], [0, 0])
         answer = await fixture.search("stays")
         self.assertEqual({row.request for row in rows_of(answer)}, {"stays"})
 
@@ -293,7 +293,7 @@
     async def test_draining_server_told_by_another_part_gets_no_new_work(self):
         fixture = SearchFixture()
         await fixture.search()
-        fixture.links.note_draining("s1-0")
+        fixture.pools.record_draining("s1-0")
         sent = fixture.network.sent["s1-0:1"]
         for _ in range(10):
             await fixture.search()
@@ -326,6 +326,6 @@
         self.assertEqual(fixture.extra_sent(1), 0)
 
 
-def links_of(fixture):
-    """Return the first link of each service."""
-    return [fixture.link(service, 0) for service in fixture.services]
+def pools_of(fixture):
+    """Return the first pool of each service."""
+    return [fixture.pool(service, 0) for service in fixture.services]
--- a/ibisfront/tests/test_perform_sender.py
+++ b/ibisfront/tests/test_perform_sender.py
@@ -17,7 +17,7 @@
 from ibisfront.core.idempotency_key import make_key, parse_key
 from ibisfront.core.perform_sender import PerformSender
 from ibisfront.core.query import CallerRequest
-from ibisfront.core.server_signs import ServerSigns
+from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.service import BackendServer
 from ibisfront.core.table import Purpose
 from ibisfront.testing.peers import PeerNetwork
@@ -31,14 +31,16 @@
 
 
 class _Setup:
-    """A sender, its servers, and the signs of this and another instance."""
+    """A sender, its servers, and the statuses held by this and another instance."""
 
     def __init__(self, nursery):
         self.fixture = SearchFixture(servers=SERVERS)
         self.clock = self.fixture.clock
         network = PeerNetwork(clock=self.clock, nursery=nursery)
-        self.signs, self.others_signs = (
-            ServerSigns(self.fixture.store, peers=network.join(name), clock=self.clock)
+        self.statuses, self.others_statuses = (
+            ServerStatuses(
+                self.fixture.store, peers=network.join(name), clock=self.clock
+            )
             for name in ("i1", "i2")
         )
         self.sender = PerformSender(
@@ -48,7 +50,7 @@
             counters=self.fixture.counters,
             zone="z1",
             maximum_connections=4,
-            signs=self.signs,
+            statuses=self.statuses,
             quarantine=self.fixture.quarantine,
         )
         self._numbers = count()
@@ -91,7 +93,7 @@
         """
         async with trio.open_nursery() as nursery:
             setup = _Setup(nursery)
-            setup.others_signs.note_draining(SERVER)
+            setup.others_statuses.record_draining(SERVER)
             await setup.clock.sleep_ms(10.0)
             records = [await setup.perform() for _ in range(20)]
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
@@ -111,7 +113,7 @@
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
             self.assertEqual(setup.sent_to(0), 1)
             await setup.clock.sleep_ms(10.0)
-            self.assertTrue(setup.others_signs.is_leaving(SERVER))
+            self.assertTrue(setup.others_statuses.is_draining(SERVER))
 
 
 class CrashingRequestTest(unittest.TestCase):
--- a/ibisfront/tests/test_quarantine.py
+++ b/ibisfront/tests/test_quarantine.py
@@ -108,7 +108,7 @@
             await fixture.clock.sleep_ms(6_000.0)
             answer = await fixture.search("healthy")
             self.assertEqual(answer.coverage.answered, 1)
-            self.assertFalse(any(fixture.link("s0", n).health.ejected for n in (0, 1)))
+            self.assertFalse(any(fixture.pool("s0", n).health.ejected for n in (0, 1)))
 
 
 class QuarantineTest(unittest.TestCase):
--- a/ibisfront/tests/test_server_choice.py
+++ b/ibisfront/tests/test_server_choice.py
@@ -5,12 +5,12 @@
 import unittest
 from collections import Counter
 
+from ibisfront.core.backend_pool import BackendPool
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import Counters
 from ibisfront.core.coverage import MissingReason
-from ibisfront.core.link import BackendLink
 from ibisfront.core.query import SubReply, SubRequestError
-from ibisfront.core.server_choice import Choice, two_choices
+from ibisfront.core.server_choice import ChoiceContext, power_of_two_choices
 from ibisfront.core.service import BackendServer
 from ibisfront.core.settings import QuerySettings
 from ibisfront.tests import trio_test
@@ -27,7 +27,7 @@
 
 def make_link(name, zone, *, latency_ms=5.0):
     """Return a link to a server that answers in a time."""
-    link = BackendLink(
+    pool = BackendPool(
         BackendServer(name, f"{name}:1", zone),
         open_connection=no_connection,
         clock=Clock(),
@@ -35,25 +35,25 @@
         settings=SETTINGS,
         maximum_connections=25,
     )
-    link.health.note_answer(
+    pool.health.record_answer(
         SubReply(b""), duration_ms=latency_ms, in_flight=1, now_ms=0.0
     )
-    return link
+    return pool
 
 
-def fail(link, error, fingerprint, *, now_ms=1.0):
+def fail(pool, error, fingerprint, *, now_ms=1.0):
     """Let a sub-request of a fingerprint fail at a server."""
-    link.health.note_error(error, fingerprint=fingerprint, in_flight=1, now_ms=now_ms)
+    pool.health.record_error(error, fingerprint=fingerprint, in_flight=1, now_ms=now_ms)
 
 
-def chosen(links, *, times=100, **fields):
+def chosen(pools, *, times=100, **fields):
     """Return how often each server is chosen."""
-    choose = two_choices(cross_zone_ms=3.0, slots_per_server=2, seed=1)
-    choice = Choice("z1", fields.pop("now_ms", 1.0), **fields)
+    choose = power_of_two_choices(cross_zone_ms=3.0, slots_per_server=2, seed=1)
+    choice = ChoiceContext("z1", fields.pop("now_ms", 1.0), **fields)
     names = Counter()
     for _ in range(times):
-        link = choose(links, choice)
-        names[None if link is None else link.server.name] += 1
+        pool = choose(pools, choice)
+        names[None if pool is None else pool.server.name] += 1
     return names
 
 
@@ -62,8 +62,8 @@
 
     @trio_test
     async def test_own_zone_goes_first(self):
-        links = [make_link("far", "z2"), make_link("near", "z1")]
-        self.assertEqual(chosen(links), {"near": 100})
+        pools = [make_link("far", "z2"), make_link("near", "z1")]
+        self.assertEqual(chosen(pools), {"near": 100})
 
     @trio_test
     async def test_slow_server_of_the_own_zone_spills(self):
@@ -72,8 +72,8 @@
         Choosing by zone alone kept every lookup at the near server, whose
         wait had grown to many times the way to the other zone and back.
         """
-        links = [make_link("near", "z1", latency_ms=30.0), make_link("far", "z2")]
-        self.assertEqual(chosen(links), {"far": 100})
+        pools = [make_link("near", "z1", latency_ms=30.0), make_link("far", "z2")]
+        self.assertEqual(chosen(pools), {"far": 100})
 
     @trio_test
     async def test_overloaded_server_of_the_own_zone_spills(self):
@@ -83,15 +83,15 @@
         far one. A few more do not count, or work would go to and fro.
         """
         near, far = make_link("near", "z1"), make_link("far", "z2")
-        near._places.held = 6
+        near._slots.in_use = 6
         self.assertEqual(chosen([near, far]), {"near": 100})
-        near._places.held = 7
+        near._slots.in_use = 7
         self.assertEqual(chosen([near, far]), {"far": 100})
 
     @trio_test
     async def test_many_servers_share_the_work(self):
-        links = [make_link(f"s{number}", "z1") for number in range(4)]
-        names = chosen(links, times=1_000)
+        pools = [make_link(f"s{number}", "z1") for number in range(4)]
+        names = chosen(pools, times=1_000)
         self.assertEqual(len(names), 4)
         self.assertGreater(min(names.values()), 150)
 
@@ -105,7 +105,7 @@
     async def test_server_without_the_snapshot_is_never_chosen(self):
         near, far = make_link("near", "z1"), make_link("far", "z2")
         reply = SubReply(b"", ("old",))
-        near.health.note_answer(reply, duration_ms=5.0, in_flight=1, now_ms=0.0)
+        near.health.record_answer(reply, duration_ms=5.0, in_flight=1, now_ms=0.0)
         self.assertEqual(chosen([near, far], snapshot="new"), {"far": 100})
         self.assertEqual(chosen([near], snapshot="new"), {None: 100})
 
@@ -138,43 +138,45 @@
         The same request failed five times at a server that answers all
         others. Failures of one fingerprint count once.
         """
-        link = make_link("near", "z1")
+        pool = make_link("near", "z1")
         for _ in range(5):
-            fail(link, LOST, "poison")
-        self.assertFalse(link.health.ejected)
+            fail(pool, LOST, "poison")
+        self.assertFalse(pool.health.ejected)
         for fingerprint in ("a", "b"):
-            fail(link, LOST, fingerprint)
-        self.assertTrue(link.health.ejected)
+            fail(pool, LOST, fingerprint)
+        self.assertTrue(pool.health.ejected)
 
     @trio_test
     async def test_row_of_unanswered_ones_ejects_and_one_straggler_does_not(self):
-        link = make_link("near", "z1")
+        pool = make_link("near", "z1")
         for _ in range(4):
-            link.health.note_unanswered(40.0, 1.0)
-        link.health.note_answer(SubReply(b""), duration_ms=5.0, in_flight=1, now_ms=2.0)
-        link.health.note_unanswered(40.0, 3.0)
-        self.assertFalse(link.health.ejected)
+            pool.health.record_unanswered(40.0, 1.0)
+        pool.health.record_answer(
+            SubReply(b""), duration_ms=5.0, in_flight=1, now_ms=2.0
+        )
+        pool.health.record_unanswered(40.0, 3.0)
+        self.assertFalse(pool.health.ejected)
         for _ in range(4):
-            link.health.note_unanswered(40.0, 4.0)
-        self.assertTrue(link.health.ejected)
+            pool.health.record_unanswered(40.0, 4.0)
+        self.assertTrue(pool.health.ejected)
 
     @trio_test
     async def test_callers_that_leave_early_eject_nobody(self):
-        link = make_link("near", "z1")
+        pool = make_link("near", "z1")
         for _ in range(20):
-            link.health.note_unanswered(3.0, 1.0)
-        self.assertFalse(link.health.ejected)
+            pool.health.record_unanswered(3.0, 1.0)
+        self.assertFalse(pool.health.ejected)
 
     @trio_test
     async def test_probes_come_later_each_time(self):
-        link = make_link("near", "z1")
-        fail(link, REFUSED, "a", now_ms=0.0)
-        first_ms = link.health.probe_at_ms
-        link.health.postpone_probe(0.0)
-        self.assertEqual((first_ms, link.health.probe_at_ms), (500.0, 1_000.0))
+        pool = make_link("near", "z1")
+        fail(pool, REFUSED, "a", now_ms=0.0)
+        first_ms = pool.health.probe_at_ms
+        pool.health.schedule_probe(0.0)
+        self.assertEqual((first_ms, pool.health.probe_at_ms), (500.0, 1_000.0))
         for _ in range(20):
-            link.health.postpone_probe(0.0)
-        self.assertEqual(link.health.probe_at_ms, SETTINGS.ejection_longest_ms)
+            pool.health.schedule_probe(0.0)
+        self.assertEqual(pool.health.probe_at_ms, SETTINGS.ejection_longest_ms)
 
     @trio_test
     async def test_readmitted_server_starts_slowly(self):
@@ -200,22 +202,22 @@
 
     @trio_test
     async def test_burst_of_sheds_cuts_the_window_once(self):
-        link = make_link("near", "z1")
+        pool = make_link("near", "z1")
         shed = SubRequestError(
             MissingReason.SHED, not_run=True, retry_after_ms=100.0, whole_reply=True
         )
-        before = link.health.window
+        before = pool.health.window
         for _ in range(10):
-            link.health.note_error(shed, fingerprint="a", in_flight=4, now_ms=1_000.0)
-        self.assertAlmostEqual(link.health.window, 0.7 * before)
-        self.assertEqual(link.health.not_before_ms, 1_100.0)
+            pool.health.record_error(shed, fingerprint="a", in_flight=4, now_ms=1_000.0)
+        self.assertAlmostEqual(pool.health.window, 0.7 * before)
+        self.assertEqual(pool.health.not_before_ms, 1_100.0)
 
     @trio_test
     async def test_window_rises_only_while_it_is_the_bound(self):
-        link = make_link("near", "z1")
-        before = link.health.window
+        pool = make_link("near", "z1")
+        before = pool.health.window
         reply = SubReply(b"")
-        link.health.note_answer(reply, duration_ms=5.0, in_flight=1, now_ms=1.0)
-        self.assertEqual(link.health.window, before)
-        link.health.note_answer(reply, duration_ms=5.0, in_flight=9, now_ms=1.0)
-        self.assertGreater(link.health.window, before)
+        pool.health.record_answer(reply, duration_ms=5.0, in_flight=1, now_ms=1.0)
+        self.assertEqual(pool.health.window, before)
+        pool.health.record_answer(reply, duration_ms=5.0, in_flight=9, now_ms=1.0)
+        self.assertGreater(pool.health.window, before)
--- a/ibisfront/tests/test_server_signs.py
+++ b/ibisfront/tests/test_server_status.py
@@ -9,7 +9,7 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
-from ibisfront.core.server_signs import ServerSigns
+from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.service import BackendServer, Service
 from ibisfront.testing.peers import PeerNetwork
 from ibisfront.tests import trio_test
@@ -31,12 +31,12 @@
         async with trio.open_nursery() as nursery:
             network = PeerNetwork(clock=clock, nursery=nursery)
             self.stores = [ObjectStore(), ObjectStore()]
-            signs = [
-                ServerSigns(store, peers=network.join(f"i{number}"), clock=clock)
+            statuses = [
+                ServerStatuses(store, peers=network.join(f"i{number}"), clock=clock)
                 for number, store in enumerate(self.stores)
             ]
             self._merge(_service(1, SERVER, OTHER))
-            await scenario(clock, network, *signs)
+            await scenario(clock, network, *statuses)
             nursery.cancel_scope.cancel()
 
     def _merge(self, item: VersionedObject) -> None:
@@ -52,11 +52,11 @@
         """
 
         async def scenario(clock, network, first, second) -> None:
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             await clock.sleep_ms(10.0)
-            self.assertTrue(first.is_leaving(SERVER))
-            self.assertTrue(second.is_leaving(SERVER))
-            self.assertFalse(second.is_leaving(OTHER))
+            self.assertTrue(first.is_draining(SERVER))
+            self.assertTrue(second.is_draining(SERVER))
+            self.assertFalse(second.is_draining(OTHER))
 
         await self._run(scenario)
 
@@ -64,8 +64,8 @@
     async def test_same_word_again_is_told_once(self) -> None:
         async def scenario(clock, network, first, second) -> None:
             for _ in range(100):
-                first.note_draining(SERVER)
-                second.note_draining(SERVER)
+                first.record_draining(SERVER)
+                second.record_draining(SERVER)
                 await clock.sleep_ms(10.0)
             self.assertLess(network.sent, 6)
 
@@ -80,39 +80,39 @@
         """
 
         async def scenario(clock, network, first, second) -> None:
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             await clock.sleep_ms(10.0)
             third = BackendServer("register-2", "127.0.0.1:3", "z1")
             self._merge(_service(2, SERVER, OTHER, third))
             await clock.sleep_ms(10.0)
-            self.assertTrue(first.is_leaving(SERVER))
-            self.assertTrue(second.is_leaving(SERVER))
+            self.assertTrue(first.is_draining(SERVER))
+            self.assertTrue(second.is_draining(SERVER))
 
         await self._run(scenario)
 
     @trio_test
     async def test_operators_setting_it_live_bring_it_back(self) -> None:
         async def scenario(clock, network, first, second) -> None:
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             drained = msgspec.structs.replace(SERVER, state="draining")
             self._merge(_service(2, drained, OTHER))
             await clock.sleep_ms(10.0)
-            self.assertTrue(second.is_leaving(SERVER))
+            self.assertTrue(second.is_draining(SERVER))
             self._merge(_service(3, SERVER, OTHER))
             await clock.sleep_ms(10.0)
-            self.assertFalse(first.is_leaving(SERVER))
-            self.assertFalse(second.is_leaving(SERVER))
+            self.assertFalse(first.is_draining(SERVER))
+            self.assertFalse(second.is_draining(SERVER))
 
         await self._run(scenario)
 
     @trio_test
     async def test_its_own_word_brings_it_back_everywhere(self) -> None:
         async def scenario(clock, network, first, second) -> None:
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             await clock.sleep_ms(10.0)
-            second.note_serving(SERVER)
+            second.record_serving(SERVER)
             await clock.sleep_ms(10.0)
-            self.assertFalse(first.is_leaving(SERVER))
+            self.assertFalse(first.is_draining(SERVER))
 
         await self._run(scenario)
 
@@ -122,12 +122,12 @@
 
         async def scenario(clock, network, first, second) -> None:
             network.delay_ms = 500.0
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             network.delay_ms = 1.0
-            first.note_serving(SERVER)
+            first.record_serving(SERVER)
             await clock.sleep_ms(1000.0)
-            self.assertFalse(first.is_leaving(SERVER))
-            self.assertFalse(second.is_leaving(SERVER))
+            self.assertFalse(first.is_draining(SERVER))
+            self.assertFalse(second.is_draining(SERVER))
 
         await self._run(scenario)
 
@@ -139,18 +139,18 @@
         """
 
         async def scenario(clock, network, first, second) -> None:
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             await clock.sleep_ms(70_000.0)
-            self.assertFalse(first.is_leaving(SERVER))
-            self.assertFalse(second.is_leaving(SERVER))
+            self.assertFalse(first.is_draining(SERVER))
+            self.assertFalse(second.is_draining(SERVER))
 
         await self._run(scenario)
 
     @trio_test
     async def test_server_at_a_new_address_is_another(self) -> None:
         async def scenario(clock, network, first, second) -> None:
-            first.note_draining(SERVER)
+            first.record_draining(SERVER)
             anew = msgspec.structs.replace(SERVER, address="127.0.0.1:9")
-            self.assertFalse(first.is_leaving(anew))
+            self.assertFalse(first.is_draining(anew))
 
         await self._run(scenario)
