--- a/ibisfront/tests/test_backend_pools.py
+++ b/ibisfront/tests/test_backend_pools.py
@@ -1,4 +1,4 @@
-"""Tests of the links to backend servers and of their upkeep."""
+"""Tests of the connection pools of backend servers and their maintenance."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ibisfront.core.query_settings import QuerySettings
 from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.service import BackendServer
-from ibisfront.testing.backend_types import BackendSettings as StandInSettings
+from ibisfront.testing.backend_types import BackendSettings as FakeBackendSettings
 from ibisfront.testing.peers import PeerNetwork
 from ibisfront.testing.search_fixture import SearchFixture
 from ibisfront.tests import trio_test
@@ -22,7 +22,7 @@
 
 
 async def search_steadily(fixture, *, searches, every_ms=20.0, **fields):
-    """Run searches at a steady pace and return the coverage of each."""
+    """Run searches at a constant rate and return how many parts each answered."""
     answered = []
 
     async def search_once():
@@ -37,36 +37,36 @@
 
 
 class SilenceTest(unittest.TestCase):
-    """Open connections that go silent are found and used no more."""
+    """Silent connections are detected and not reused."""
 
     @trio_test
     async def test_silent_connections_are_retired_and_the_server_stays(self):
-        """Lookups hang although every server is well.
+        """Lookups hang although every server is healthy.
 
-        Something between the ends has lost track of the open connections to
-        one server: they bring no byte and no error, while new ones work. The
-        idle ones went on being used, each for one more search that hung.
+        A middlebox has dropped the state of the open connections to one
+        server: they deliver no byte and no error, while new ones work. The
+        idle ones were reused, each for one more search that hung.
         """
         fixture = SearchFixture()
         async with fixture.upkeep():
             await search_steadily(fixture, searches=30)
-            old = fixture.network.open_to("s1-0:1")
-            self.assertTrue(old)
+            old_connections = fixture.network.open_to("s1-0:1")
+            self.assertTrue(old_connections)
             fixture.network.silence("s1-0:1")
             answered = await search_steadily(fixture, searches=100)
             self.assertEqual(set(answered), {2})
-            self.assertTrue(all(connection.closed for connection in old))
+            self.assertTrue(all(connection.closed for connection in old_connections))
             sent = fixture.network.sent["s1-0:1"]
             await search_steadily(fixture, searches=50)
             self.assertGreater(fixture.network.sent["s1-0:1"], sent)
             self.assertFalse(fixture.pool("s1", 0).health.ejected)
 
     @trio_test
-    async def test_frozen_server_is_left_out_and_comes_back(self):
-        """Coverage falls to a half while one of two replicas is frozen.
+    async def test_frozen_server_is_ejected_and_readmitted(self):
+        """Coverage drops to half while one of two replicas is frozen.
 
-        It accepts connections and answers nothing, so nothing fails. It is
-        left out within the time of detection, and asked again soon after it
+        It accepts connections but answers nothing, so no error occurs. It must
+        be ejected within the detection time and used again soon after it
         answers a probe.
         """
         fixture = SearchFixture()
@@ -81,12 +81,12 @@
             self.assertFalse(fixture.pool("s1", 0).health.ejected)
 
     @trio_test
-    async def test_slow_search_is_not_taken_for_silence(self):
-        """A long search of a quiet service is cut off as if it had hung.
+    async def test_slow_search_is_not_treated_as_silent(self):
+        """A long search of an idle service is aborted as if it had hung.
 
-        It runs ten times longer than the others. A probe on a fresh
-        connection is answered, which retires idle connections, but the search
-        itself goes on and its answer counts.
+        It runs ten times longer than the others. A probe on a new connection
+        is answered, which retires the idle connections, but the search itself
+        must continue and its answer must be used.
         """
         fixture = SearchFixture(servers=1)
         async with fixture.upkeep():
@@ -100,13 +100,12 @@
 
     @trio_test
     async def test_slow_servers_are_not_retired_or_ejected_in_a_loop(self):
-        """Every answer comes late, and the tier makes it worse.
+        """Silence detection adds load to a service that is already slow.
 
         All servers of a healthy service become 40 times slower, so that each
-        search takes longer than a silence is waited for. Were every round of
-        slow answers taken for silence, the connections would be closed and
-        opened again and again and the servers ejected, which adds load to
-        what is slow already.
+        search exceeds the silence bound. If slow answers were treated as
+        silence each time, connections would be reopened and servers ejected
+        repeatedly.
         """
         fixture = SearchFixture()
         async with fixture.upkeep():
@@ -123,13 +122,13 @@
             self.assertEqual(fixture.count(CounterKind.EJECTIONS, "no_answer"), 0)
 
     @trio_test
-    async def test_search_does_not_wait_for_a_service_that_is_cut_off(self):
-        """Every lookup in a zone that is cut off takes until its deadline.
+    async def test_search_does_not_wait_for_an_unreachable_service(self):
+        """Every lookup in a partitioned zone takes until its deadline.
 
-        The other zones' servers neither answer nor refuse. The servers of
-        this zone answer at once, yet their rows were held until the deadline
-        for the sake of a service that has no server here. When the cut ends,
-        the next search has to be whole again.
+        The other zones' servers neither answer nor refuse connections. The
+        servers of this zone answer immediately, but their rows were held until
+        the deadline because another service has no server here. When the
+        partition ends, the next search must have full coverage.
         """
         fixture = SearchFixture()
         async with fixture.upkeep():
@@ -150,11 +149,11 @@
 
     @trio_test
     async def test_search_does_not_wait_for_the_probe_of_a_silent_server(self):
-        """Lookups take most of a second when another zone is cut off.
+        """Lookups take most of a second when another zone is partitioned.
 
-        Many servers fall silent at once and use up the hedged requests. What
-        waits there had to wait until the probe of its server had timed out,
-        and new searches were sent there too, although another replica is well.
+        Many servers go silent at once and exhaust the hedging budget.
+        Sub-requests sent to them waited until the probe had timed out, and new
+        searches were sent there too, although another replica was healthy.
         """
         fixture = SearchFixture(services=8, query=QuerySettings(hedge_fraction=0.0))
         durations_ms = []
@@ -177,20 +176,20 @@
 
 
 class ConnectionTest(unittest.TestCase):
-    """Connections are scarce and shared."""
+    """Connections are limited and shared among instances and callers."""
 
-    def test_share_is_by_live_instances(self):
+    def test_share_depends_on_live_instances(self):
         self.assertEqual(connection_share(25, 1), 25)
         self.assertEqual(connection_share(25, 9), 2)
         self.assertEqual(connection_share(25, 100), 1)
 
     @trio_test
-    async def test_share_falls_at_once_and_rises_slowly(self):
+    async def test_share_decreases_at_once_and_increases_after_a_delay(self):
         """A server refuses connections after a partition of the instances.
 
-        Each instance believes for a moment that the others are gone and takes
-        their connections too. The share follows a larger number of instances
-        at once, but a smaller one only when it has lasted.
+        Each instance briefly considered the others gone and used their
+        connections as well. The share must decrease immediately when instances
+        are added, but increase only some time after instances have left.
         """
         fixture = SearchFixture()
         async with fixture.upkeep():
@@ -211,12 +210,12 @@
             self.assertEqual(pool.share, 25)
 
     @trio_test
-    async def test_idle_connections_are_shed_but_a_few_stay_warm(self):
-        """A server at its limit refuses a new instance's connections.
+    async def test_idle_connections_are_closed_but_a_few_stay_warm(self):
+        """A server at its connection limit refuses those of a new instance.
 
-        An older instance still holds those of its last peak, all idle. They
-        are closed after a while, except a few that spare the next search the
-        time to open one.
+        An older instance still holds idle connections from its last load peak.
+        They must be closed after a while, except a few warm ones that save the
+        next search the time to connect.
         """
         fixture = SearchFixture(services=1, servers=1)
         async with fixture.upkeep():
@@ -229,10 +228,10 @@
 
     @trio_test
     async def test_urgent_search_does_not_wait_behind_bulk(self):
-        """A name check at the desk waits for a whole bulk run.
+        """An interactive name check waits for a whole bulk run.
 
-        Thirty bulk lookups queue for the few places at one server. The name
-        check comes last and is served next.
+        Thirty bulk lookups queue for the few slots at one server. The name
+        check arrives last and must be served next.
         """
         fixture = SearchFixture(services=1, servers=1)
         finished = []
@@ -249,7 +248,7 @@
         self.assertLess(finished.index("desk"), 10)
 
     @trio_test
-    async def test_branches_take_turns_for_connections(self):
+    async def test_branches_share_connections_round_robin(self):
         fixture = SearchFixture(services=1, servers=1)
         finished = []
 
@@ -267,17 +266,17 @@
 
 
 class OverloadTest(unittest.TestCase):
-    """Servers that shed are asked less, and more again when they can."""
+    """Load on servers that shed is reduced, and restored when they recover."""
 
     @trio_test
-    async def test_shedding_server_is_left_alone_for_as_long_as_it_asks(self):
-        """An overloaded service is kept overloaded by asking it again.
+    async def test_retry_delay_of_a_shedding_server_is_respected(self):
+        """Immediate retries keep an overloaded service overloaded.
 
-        Both servers shed everything for a while and say when to come back.
-        Each search asked them at once and again; now a search that cannot
-        wait is not sent, and afterwards every search is answered again.
+        Both servers shed all requests for a while and return a retry delay,
+        which each search ignored. A search that cannot wait that long must not
+        be sent, and after the overload every search must be answered.
         """
-        fixture = SearchFixture(stand_in=StandInSettings(retry_after_ms=200))
+        fixture = SearchFixture(stand_in=FakeBackendSettings(retry_after_ms=200))
         await search_steadily(fixture, searches=5)
         for number in range(2):
             fixture.set_faults("s1", number, shedding=True)
@@ -291,15 +290,15 @@
         self.assertEqual(set(answered), {2})
 
 
-class SignsTest(unittest.TestCase):
-    """What one instance hears of a leaving server counts for all."""
+class DrainingStatusTest(unittest.TestCase):
+    """A draining status received by one instance applies to all."""
 
     @trio_test
-    async def test_drain_heard_by_another_instance_stops_new_work_here(self):
-        """A leaving server gets work from each instance that it has not told.
+    async def test_draining_reported_by_another_instance_stops_new_work(self):
+        """A draining server gets work from each instance that it has not notified.
 
-        Another instance was refused as draining and told its peers. This one
-        looked at what it had been told once a second, and sent on meanwhile.
+        Another instance was refused as draining and notified its peers. This
+        one polled the received statuses once a second and sent work meanwhile.
         """
         async with trio.open_nursery() as nursery:
             fixture = SearchFixture()
@@ -321,7 +320,7 @@
                 self.assertEqual(fixture.network.sent["s1-0:1"], sent)
 
     @trio_test
-    async def test_drain_heard_here_is_told(self):
+    async def test_draining_reply_notifies_other_instances(self):
         async with trio.open_nursery() as nursery:
             fixture = SearchFixture()
             network = PeerNetwork(clock=fixture.clock, nursery=nursery)
--- a/ibisfront/tests/test_catalogue.py
+++ b/ibisfront/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""Tests of what is in force."""
+"""Tests of the decoded objects in force."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     )
 
 
-class LastGoodTest(unittest.TestCase):
-    """A value that is no good one never replaces a good one."""
+class LastValidValueTest(unittest.TestCase):
+    """An invalid value never replaces a valid one."""
 
     def setUp(self) -> None:
         self.counters = Counters()
@@ -42,16 +42,16 @@
         self.assertEqual(refused, 1)
 
     def test_undecodable_table_is_not_put_in_force(self) -> None:
-        """A hand or a tool of another release writes a value that is no table.
+        """A manual write, or a tool of another release, stores an invalid table.
 
-        Put in force, or crashing whoever reads it, it would refuse every
-        request of every branch at once.
+        If it came into force or crashed its readers, every request of every
+        branch would be rejected.
         """
         with self.assertLogs("ibisfront", "ERROR"):
             self.store.merge([_table(2, b'{"rows": 7}')])
         self._assert_first_in_force()
 
-    def test_table_with_a_weight_of_zero_is_not_put_in_force(self) -> None:
+    def test_table_with_zero_weight_is_not_put_in_force(self) -> None:
         with self.assertLogs("ibisfront", "ERROR"):
             self.store.merge([_table(2, _encoded(0.0))])
         self._assert_first_in_force()
@@ -61,7 +61,7 @@
             self.store.merge([_table(2, None)])
         self._assert_first_in_force()
 
-    def test_next_good_table_is_put_in_force(self) -> None:
+    def test_next_valid_table_is_put_in_force(self) -> None:
         with self.assertLogs("ibisfront", "ERROR"):
             self.store.merge([_table(2, b"{")])
         self.store.merge([_table(3, _encoded(5.0))])
--- a/ibisfront/tests/test_drain_processes.py
+++ b/ibisfront/tests/test_drain_processes.py
@@ -1,4 +1,4 @@
-"""Tests of leaving backend servers, with real processes and streams."""
+"""Tests of draining backend servers, with real processes and streams."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 from ibisfront.tests import trio_test_real_clock
 
-_GIVE_UP_S = 30.0
-_POLL_S = 0.05
+_TIMEOUT_S = 30.0
+_POLL_INTERVAL_S = 0.05
 _REQUESTS = 10
 _REGISTER_SERVER = "register-00-0"
 _RANDOM_BITS = 74
@@ -28,16 +28,16 @@
 
 
 class DrainTest(unittest.TestCase):
-    """Three instances, and servers that begin to leave."""
+    """Servers start draining while three instances send requests."""
 
     @trio_test_real_clock
-    async def test_drained_servers_get_nothing_more_at_any_instance(self) -> None:
-        """Each instance goes on sending to a server that has said it leaves.
+    async def test_draining_servers_get_no_requests_from_any_instance(self) -> None:
+        """Instances keep sending requests to a server that reported draining.
 
-        A print server and a register server begin to drain; the register of
-        services still has them as live, and for the second one the platform
-        is out. One instance is refused and tells the others over the streams;
-        from then on neither server is sent anything, by any instance.
+        A print server and a register server start draining while they are
+        still registered as live; for the second one the platform is also down.
+        One instance is refused and notifies the others over the peer streams;
+        from then on no instance may send anything to that server.
         """
         async with Deployment(register_shape(services=1)) as deployment:
             await self._drain(deployment, _PRINT_SERVER, self._perform)
@@ -51,12 +51,12 @@
         send: Callable[[Deployment, InstanceProcess], Awaitable[None]],
     ) -> None:
         await deployment.command_backend(server, "faults", draining=True)
-        with trio.fail_after(_GIVE_UP_S):
+        with trio.fail_after(_TIMEOUT_S):
             while not await self._received(deployment, server):
                 for instance in deployment.instances:
                     await send(deployment, instance)
             for instance in deployment.instances:
-                await self._until_told(deployment, instance, server)
+                await self._wait_until_notified(deployment, instance, server)
         before = await self._received(deployment, server)
         for instance in deployment.instances:
             for _ in range(_REQUESTS):
@@ -78,14 +78,14 @@
         self.assertEqual(reply.status, 200, reply.body)
 
     async def _received(self, deployment: Deployment, server: str) -> int:
-        """Return how much a server was sent while it drained."""
+        """Return how many requests a server has received, including refused ones."""
         states = {state.name: state for state in await deployment.backend_states()}
         counts = states[server].counts
         return counts.runs + counts.refused_draining
 
-    async def _until_told(
+    async def _wait_until_notified(
         self, deployment: Deployment, instance: InstanceProcess, server: str
     ) -> None:
         log = deployment.folder / f"{instance.name}.log"
         while f"Server {server} drains." not in log.read_text():  # noqa: ASYNC110
-            await trio.sleep(_POLL_S)
+            await trio.sleep(_POLL_INTERVAL_S)
--- a/ibisfront/tests/test_edit_processes.py
+++ b/ibisfront/tests/test_edit_processes.py
@@ -20,21 +20,21 @@
 _TABLE = "/v1/admin/table"
 _ROUNDS = 8
 _OPERATORS = ("ann", "ben")
-_ACCEPTED = 200
+_OK = 200
 _CONFLICT = 409
 
 
 class TwoOperatorsTest(unittest.TestCase):
-    """Two operators at two instances, and a platform that loses answers."""
+    """Two operators edit through two instances; the platform loses answers."""
 
     @trio_test_real_clock
-    async def test_of_two_edits_at_once_one_is_accepted_and_stays(self) -> None:
-        """An operator is told "accepted", and the edit is gone or made twice.
+    async def test_one_of_two_concurrent_edits_is_accepted_and_kept(self) -> None:
+        """An accepted edit is lost or applied twice.
 
-        Two operators edit the same version at the same moment, at different
-        instances. Answers of the platform's writes are lost, and some writes
-        land late. An edit whose answer was lost was taken for refused, or a
-        write that landed late replaced the other operator's accepted one.
+        Two operators edit the same version at the same time, through different
+        instances. Answers to the platform's writes are lost, and some writes
+        take effect late. An edit whose answer was lost was treated as rejected,
+        or a late write replaced the other operator's accepted edit.
         """
         accepted: list[str] = []
         async with Deployment(register_shape(services=1, instances=2)) as deployment:
@@ -42,35 +42,35 @@
                 lose_answers_fraction=0.4, late_writes_fraction=0.2, late_write_ms=150.0
             )
             for number in range(_ROUNDS):
-                accepted.append(await self._edit_at_once(deployment, number))
+                accepted.append(await self._edit_concurrently(deployment, number))
             reply = await deployment.admin(
                 deployment.instances[0], "GET", f"{_TABLE}/history"
             )
         history = reply.decode(list[EditSummary])
         self.assertEqual([edit.edit_id for edit in history], accepted)
 
-    async def _edit_at_once(self, deployment: Deployment, number: int) -> str:
-        """Let both edit one version; return the id of the accepted edit."""
+    async def _edit_concurrently(self, deployment: Deployment, number: int) -> str:
+        """Submit concurrent edits of one version; return the id of the accepted one."""
         first = deployment.instances[0]
         view = (await deployment.admin(first, "GET", _TABLE)).decode(TableView)
-        told: dict[str, int] = {}
+        statuses: dict[str, int] = {}
 
         async def edit(instance: InstanceProcess, operator: str) -> None:
             proposal = _proposal(view, operator, number)
             reply = await deployment.admin(instance, "PUT", _TABLE, proposal)
-            told[proposal.edit_id] = reply.status
+            statuses[proposal.edit_id] = reply.status
 
         async with trio.open_nursery() as nursery:
             for instance, operator in zip(
                 deployment.instances, _OPERATORS, strict=True
             ):
                 nursery.start_soon(edit, instance, operator)
-        self.assertEqual(sorted(told.values()), [_ACCEPTED, _CONFLICT], told)
-        return next(name for name, status in told.items() if status == _ACCEPTED)
+        self.assertEqual(sorted(statuses.values()), [_OK, _CONFLICT], statuses)
+        return next(name for name, status in statuses.items() if status == _OK)
 
 
 def _proposal(view: TableView, operator: str, number: int) -> TableProposal:
-    """Return an edit of a row that each operator has for itself."""
+    """Return an edit of the row that belongs to the operator."""
     rows = list(view.table.rows)
     index = _OPERATORS.index(operator)
     rows[index] = msgspec.structs.replace(rows[index], weight=2.0 + number)
--- a/ibisfront/tests/test_server_choice.py
+++ b/ibisfront/tests/test_server_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server, and of what a server's health says."""
+"""Tests of load balancing and of passive health checking."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from ibisfront.tests import trio_test
 
 SETTINGS = QuerySettings()
-LOST = SubRequestError(MissingReason.CONNECTION_LOST, not_run=False)
-REFUSED = SubRequestError(MissingReason.CONNECT_FAILED, not_run=True)
+CONNECTION_LOST = SubRequestError(MissingReason.CONNECTION_LOST, not_run=False)
+CONNECT_FAILED = SubRequestError(MissingReason.CONNECT_FAILED, not_run=True)
 
 
-async def no_connection(address):
+async def refuse_connection(address):
     """Refuse every connection."""
-    raise REFUSED
+    raise CONNECT_FAILED
 
 
-def make_link(name, zone, *, latency_ms=5.0):
-    """Return a link to a server that answers in a time."""
+def make_pool(name, zone, *, latency_ms=5.0):
+    """Return the pool of a server with a given latency."""
     pool = BackendPool(
         BackendServer(name, f"{name}:1", zone),
-        open_connection=no_connection,
+        open_connection=refuse_connection,
         clock=Clock(),
         counters=Counters(),
         settings=SETTINGS,
@@ -41,114 +41,115 @@
     return pool
 
 
-def fail(pool, error, fingerprint, *, now_ms=1.0):
-    """Let a sub-request of a fingerprint fail at a server."""
+def record_failure(pool, error, fingerprint, *, now_ms=1.0):
+    """Record a failed sub-request with a given fingerprint."""
     pool.health.record_error(error, fingerprint=fingerprint, in_flight=1, now_ms=now_ms)
 
 
-def chosen(pools, *, times=100, **fields):
+def count_chosen(pools, *, times=100, **fields):
     """Return how often each server is chosen."""
     choose = power_of_two_choices(cross_zone_ms=3.0, slots_per_server=2, seed=1)
     choice = ChoiceContext("z1", fields.pop("now_ms", 1.0), **fields)
-    names = Counter()
+    choices = Counter()
     for _ in range(times):
         pool = choose(pools, choice)
-        names[None if pool is None else pool.server.name] += 1
-    return names
+        choices[None if pool is None else pool.server.name] += 1
+    return choices
 
 
 class ChoiceTest(unittest.TestCase):
-    """The own zone first, then the less loaded of two."""
+    """The own zone is preferred, then the less loaded of two servers."""
 
     @trio_test
-    async def test_own_zone_goes_first(self):
-        pools = [make_link("far", "z2"), make_link("near", "z1")]
-        self.assertEqual(chosen(pools), {"near": 100})
+    async def test_own_zone_is_preferred(self):
+        pools = [make_pool("far", "z2"), make_pool("near", "z1")]
+        self.assertEqual(count_chosen(pools), {"near": 100})
 
     @trio_test
-    async def test_slow_server_of_the_own_zone_spills(self):
-        """The desk waits for a slow server while the next zone's is idle.
+    async def test_slow_server_of_the_own_zone_spills_over(self):
+        """Requests wait for a slow server while one in another zone is idle.
 
-        Choosing by zone alone kept every lookup at the near server, whose
-        wait had grown to many times the way to the other zone and back.
+        Choosing by zone alone kept every lookup at the server of the own zone,
+        whose latency had grown to many times the round trip to the other zone.
         """
-        pools = [make_link("near", "z1", latency_ms=30.0), make_link("far", "z2")]
-        self.assertEqual(chosen(pools), {"far": 100})
+        pools = [make_pool("near", "z1", latency_ms=30.0), make_pool("far", "z2")]
+        self.assertEqual(count_chosen(pools), {"far": 100})
 
     @trio_test
-    async def test_overloaded_server_of_the_own_zone_spills(self):
-        """One zone's desk waits in a queue that the next zone could take.
+    async def test_overloaded_server_of_the_own_zone_spills_over(self):
+        """Requests queue in one zone although another zone has free capacity.
 
-        The near server has far more of this instance's sub-requests than the
-        far one. A few more do not count, or work would go to and fro.
+        The near server has many more of this instance's sub-requests in flight
+        than the far one. A small difference must not count, or load would
+        oscillate between the zones.
         """
-        near, far = make_link("near", "z1"), make_link("far", "z2")
+        near, far = make_pool("near", "z1"), make_pool("far", "z2")
         near._slots.in_use = 6
-        self.assertEqual(chosen([near, far]), {"near": 100})
+        self.assertEqual(count_chosen([near, far]), {"near": 100})
         near._slots.in_use = 7
-        self.assertEqual(chosen([near, far]), {"far": 100})
+        self.assertEqual(count_chosen([near, far]), {"far": 100})
 
     @trio_test
-    async def test_many_servers_share_the_work(self):
-        pools = [make_link(f"s{number}", "z1") for number in range(4)]
-        names = chosen(pools, times=1_000)
-        self.assertEqual(len(names), 4)
-        self.assertGreater(min(names.values()), 150)
+    async def test_load_is_spread_over_all_servers(self):
+        pools = [make_pool(f"s{number}", "z1") for number in range(4)]
+        choices = count_chosen(pools, times=1_000)
+        self.assertEqual(len(choices), 4)
+        self.assertGreater(min(choices.values()), 150)
 
     @trio_test
-    async def test_tried_server_is_not_chosen_while_another_is_there(self):
-        near, far = make_link("near", "z1"), make_link("far", "z2")
-        self.assertEqual(chosen([near, far], tried=(near,)), {"far": 100})
-        self.assertEqual(chosen([near], tried=(near,)), {"near": 100})
+    async def test_tried_server_is_not_chosen_while_another_remains(self):
+        near, far = make_pool("near", "z1"), make_pool("far", "z2")
+        self.assertEqual(count_chosen([near, far], tried=(near,)), {"far": 100})
+        self.assertEqual(count_chosen([near], tried=(near,)), {"near": 100})
 
     @trio_test
     async def test_server_without_the_snapshot_is_never_chosen(self):
-        near, far = make_link("near", "z1"), make_link("far", "z2")
+        near, far = make_pool("near", "z1"), make_pool("far", "z2")
         reply = SubReply(b"", ("old",))
         near.health.record_answer(reply, duration_ms=5.0, in_flight=1, now_ms=0.0)
-        self.assertEqual(chosen([near, far], snapshot="new"), {"far": 100})
-        self.assertEqual(chosen([near], snapshot="new"), {None: 100})
+        self.assertEqual(count_chosen([near, far], snapshot="new"), {"far": 100})
+        self.assertEqual(count_chosen([near], snapshot="new"), {None: 100})
 
 
 class EjectionTest(unittest.TestCase):
-    """Servers that fail are left out, but never all of them."""
+    """Failing servers are ejected, but never excluded all at once."""
 
     @trio_test
     async def test_refused_connection_ejects_at_once(self):
-        near, far = make_link("near", "z1"), make_link("far", "z2")
-        fail(near, REFUSED, "a")
-        self.assertEqual(chosen([near, far]), {"far": 100})
+        near, far = make_pool("near", "z1"), make_pool("far", "z2")
+        record_failure(near, CONNECT_FAILED, "a")
+        self.assertEqual(count_chosen([near, far]), {"far": 100})
 
     @trio_test
-    async def test_all_replicas_are_never_ejected(self):
-        """A service disappears because of a fault of the network.
+    async def test_all_replicas_are_never_excluded(self):
+        """A transient network fault makes a service unavailable.
 
-        Every replica refused a connection for a moment and was left out;
-        none was asked again although all were back.
+        Every replica refused a connection briefly and was ejected; none
+        received requests again although all had recovered.
         """
-        near, far = make_link("near", "z1"), make_link("far", "z2")
-        fail(near, REFUSED, "a")
-        fail(far, REFUSED, "a")
-        self.assertNotIn(None, chosen([near, far]))
+        near, far = make_pool("near", "z1"), make_pool("far", "z2")
+        record_failure(near, CONNECT_FAILED, "a")
+        record_failure(far, CONNECT_FAILED, "a")
+        self.assertNotIn(None, count_chosen([near, far]))
 
     @trio_test
     async def test_one_request_does_not_eject_a_server(self):
-        """A caller repeats a request that fails, and servers vanish for all.
+        """One failing request, repeated by its caller, ejects servers for all.
 
-        The same request failed five times at a server that answers all
-        others. Failures of one fingerprint count once.
+        The same request failed five times at a server that answers all other
+        requests. Failures with the same fingerprint count once.
         """
-        pool = make_link("near", "z1")
+        pool = make_pool("near", "z1")
         for _ in range(5):
-            fail(pool, LOST, "poison")
+            record_failure(pool, CONNECTION_LOST, "poison")
         self.assertFalse(pool.health.ejected)
         for fingerprint in ("a", "b"):
-            fail(pool, LOST, fingerprint)
+            record_failure(pool, CONNECTION_LOST, fingerprint)
         self.assertTrue(pool.health.ejected)
 
     @trio_test
-    async def test_row_of_unanswered_ones_ejects_and_one_straggler_does_not(self):
-        pool = make_link("near", "z1")
+    async def test_consecutive_unanswered_requests_eject_one_straggler_does_not(self):
+        pool = make_pool("near", "z1")
         for _ in range(4):
             pool.health.record_unanswered(40.0, 1.0)
         pool.health.record_answer(
@@ -161,16 +162,16 @@
         self.assertTrue(pool.health.ejected)
 
     @trio_test
-    async def test_callers_that_leave_early_eject_nobody(self):
-        pool = make_link("near", "z1")
+    async def test_early_cancellations_eject_no_server(self):
+        pool = make_pool("near", "z1")
         for _ in range(20):
             pool.health.record_unanswered(3.0, 1.0)
         self.assertFalse(pool.health.ejected)
 
     @trio_test
-    async def test_probes_come_later_each_time(self):
-        pool = make_link("near", "z1")
-        fail(pool, REFUSED, "a", now_ms=0.0)
+    async def test_probe_interval_grows_to_its_maximum(self):
+        pool = make_pool("near", "z1")
+        record_failure(pool, CONNECT_FAILED, "a", now_ms=0.0)
         first_ms = pool.health.probe_at_ms
         pool.health.schedule_probe(0.0)
         self.assertEqual((first_ms, pool.health.probe_at_ms), (500.0, 1_000.0))
@@ -179,30 +180,31 @@
         self.assertEqual(pool.health.probe_at_ms, SETTINGS.ejection_longest_ms)
 
     @trio_test
-    async def test_readmitted_server_starts_slowly(self):
-        """A server that has just come back is overrun and falls over again.
+    async def test_readmitted_server_has_a_slow_start(self):
+        """A server that has just recovered is overloaded and fails again.
 
-        It has no load and so was chosen for everything at once, while its
-        caches were cold.
+        It had no load, so it was chosen for every request while its caches
+        were cold.
         """
-        back, steady = (
-            make_link("back", "z1"),
-            make_link("steady", "z1", latency_ms=8.0),
+        recovered, steady = (
+            make_pool("back", "z1"),
+            make_pool("steady", "z1", latency_ms=8.0),
         )
-        fail(back, REFUSED, "a", now_ms=0.0)
-        back.health.readmit(0.0)
-        self.assertEqual(chosen([back, steady]), {"steady": 100})
+        record_failure(recovered, CONNECT_FAILED, "a", now_ms=0.0)
+        recovered.health.readmit(0.0)
+        self.assertEqual(count_chosen([recovered, steady]), {"steady": 100})
         self.assertEqual(
-            chosen([back, steady], now_ms=SETTINGS.slow_start_ms), {"back": 100}
+            count_chosen([recovered, steady], now_ms=SETTINGS.slow_start_ms),
+            {"back": 100},
         )
 
 
 class WindowTest(unittest.TestCase):
-    """How many sub-requests a server is given at once."""
+    """The concurrency window of a server."""
 
     @trio_test
-    async def test_burst_of_sheds_cuts_the_window_once(self):
-        pool = make_link("near", "z1")
+    async def test_burst_of_shed_requests_decreases_the_window_once(self):
+        pool = make_pool("near", "z1")
         shed = SubRequestError(
             MissingReason.SHED, not_run=True, retry_after_ms=100.0, whole_reply=True
         )
@@ -213,8 +215,8 @@
         self.assertEqual(pool.health.not_before_ms, 1_100.0)
 
     @trio_test
-    async def test_window_rises_only_while_it_is_the_bound(self):
-        pool = make_link("near", "z1")
+    async def test_window_grows_only_while_it_is_the_limit(self):
+        pool = make_pool("near", "z1")
         before = pool.health.window
         reply = SubReply(b"")
         pool.health.record_answer(reply, duration_ms=5.0, in_flight=1, now_ms=1.0)
--- a/ibisfront/tests/test_server_status.py
+++ b/ibisfront/tests/test_server_status.py
@@ -1,4 +1,4 @@
-"""Tests of the signs of backend servers that leave."""
+"""Tests of the draining status of backend servers."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     return VersionedObject(ObjectKind.SERVICE, "register", version, value)
 
 
-class ServerSignsTest(unittest.TestCase):
-    """A server that leaves gets no new work, wherever it said so."""
+class ServerStatusesTest(unittest.TestCase):
+    """A draining server gets no new work, whichever instance it notified."""
 
     async def _run(self, scenario) -> None:
         clock = Clock()
@@ -45,10 +45,10 @@
 
     @trio_test
     async def test_drain_reply_stops_new_work_at_other_instances(self) -> None:
-        """A server tells one instance that it drains.
+        """Only one instance learns that a server drains.
 
-        The other one is cut off from the platform, or the platform lags; it
-        would go on sending new work until the server is gone.
+        Another instance is partitioned from the platform, or the platform
+        lags, so it sends new work until the server has stopped.
         """
 
         async def scenario(clock, network, first, second) -> None:
@@ -61,7 +61,7 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_same_word_again_is_told_once(self) -> None:
+    async def test_repeated_status_is_not_broadcast_each_time(self) -> None:
         async def scenario(clock, network, first, second) -> None:
             for _ in range(100):
                 first.record_draining(SERVER)
@@ -72,11 +72,11 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_change_of_another_server_does_not_bring_it_back(self) -> None:
-        """A server drains, and operators add another one to its service.
+    async def test_change_of_another_server_does_not_end_draining(self) -> None:
+        """An unrelated edit of the service puts a draining server back in use.
 
-        The service has a newer version, in which the draining one still
-        stands as live, as operators never changed it.
+        Operators add another server while one drains. In the new version the
+        draining one is still live, because operators did not change its entry.
         """
 
         async def scenario(clock, network, first, second) -> None:
@@ -91,7 +91,7 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_operators_setting_it_live_bring_it_back(self) -> None:
+    async def test_operator_setting_the_server_live_ends_draining(self) -> None:
         async def scenario(clock, network, first, second) -> None:
             first.record_draining(SERVER)
             drained = msgspec.structs.replace(SERVER, state="draining")
@@ -106,7 +106,7 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_its_own_word_brings_it_back_everywhere(self) -> None:
+    async def test_serving_reply_ends_draining_at_all_instances(self) -> None:
         async def scenario(clock, network, first, second) -> None:
             first.record_draining(SERVER)
             await clock.sleep_ms(10.0)
@@ -117,8 +117,8 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_late_news_does_not_undo_newer(self) -> None:
-        """A server drains, serves again, and the first news comes last."""
+    async def test_late_update_does_not_override_a_newer_one(self) -> None:
+        """The update that a server drains arrives after a later "serves again"."""
 
         async def scenario(clock, network, first, second) -> None:
             network.delay_ms = 500.0
@@ -132,10 +132,10 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_sign_that_nobody_renews_ends(self) -> None:
-        """A server stops draining, and nobody sends it anything any more.
+    async def test_status_without_renewal_expires(self) -> None:
+        """A server stops draining, but receives no requests.
 
-        Nobody would ever learn that it serves again.
+        Without expiry no instance would ever learn that it serves again.
         """
 
         async def scenario(clock, network, first, second) -> None:
@@ -147,10 +147,10 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_server_at_a_new_address_is_another(self) -> None:
+    async def test_server_at_a_new_address_is_not_draining(self) -> None:
         async def scenario(clock, network, first, second) -> None:
             first.record_draining(SERVER)
-            anew = msgspec.structs.replace(SERVER, address="127.0.0.1:9")
-            self.assertFalse(first.is_draining(anew))
+            restarted = msgspec.structs.replace(SERVER, address="127.0.0.1:9")
+            self.assertFalse(first.is_draining(restarted))
 
         await self._run(scenario)
--- a/ibisfront/tests/test_service_edit.py
+++ b/ibisfront/tests/test_service_edit.py
@@ -21,7 +21,7 @@
 
 
 class ServiceEditTest(unittest.TestCase):
-    """Servers come and go by conditional updates."""
+    """Servers are added and removed by conditional writes."""
 
     @trio_test
     async def test_add_drain_remove(self) -> None:
@@ -37,10 +37,10 @@
 
     @trio_test
     async def test_two_operators_at_once_lose_no_server(self) -> None:
-        """Two operators add servers to one service at the same moment.
+        """Concurrent edits of one service silently lose a server.
 
-        Both read the same version. If the second write replaced the first,
-        one server would be missing without a word.
+        Several operators read the same version and each adds a server. If one
+        write replaced another, a server would be missing without any error.
         """
         clock = Clock()
         fake = FakePlatform(clock=clock)
