--- a/ibisfront/core/backend_pool.py
+++ b/ibisfront/core/backend_pool.py
@@ -163,7 +163,7 @@
         return self.suspected and waited_ms >= self.silence_bound_ms
 
     def is_silent_since(self, since_ms: float) -> bool:
-        """Return whether the server is ejected and has not answered since a time."""
+        """Return whether the server is ejected and did not answer since `since_ms`."""
         return self.health.ejected and self.health.last_answer_at_ms < since_ms
 
     async def call(self, sub_request: SubRequest) -> SubReply:
--- a/ibisfront/core/concurrency.py
+++ b/ibisfront/core/concurrency.py
@@ -44,12 +44,12 @@
 
     __slots__ = (
         "_baseline_ms",
-        "_busy",
         "_changed_at_ms",
         "_mean_before_ms",
         "_permits",
         "_permits_before",
         "_samples",
+        "_saturated",
         "_sheds",
         "_total_ms",
         "_window_start_ms",
@@ -66,7 +66,7 @@
         self._samples = 0
         self._sheds = 0
         self._total_ms = 0.0
-        self._busy = False
+        self._saturated = False
         self.duration_ms = 0.0
         """Smoothed duration of a request; 0 until the first one has ended."""
 
@@ -107,15 +107,15 @@
         self._samples += 1
         self._sheds += shed
         self._total_ms += duration_ms
-        self._busy = self._busy or running >= self.permits
+        self._saturated = self._saturated or running >= self.permits
         # A shed request immediately releases its permit to the next one, which
         # is shed too; waiting for the end of the window would shed hundreds.
         window_over = now_ms >= self._window_start_ms + _WINDOW_MS
         many_shed = self._sheds >= _MIN_SAMPLES
         if self._samples >= _MIN_SAMPLES and (window_over or many_shed):
-            self._decide(now_ms)
+            self._evaluate(now_ms)
 
-    def _decide(self, now_ms: float) -> None:
+    def _evaluate(self, now_ms: float) -> None:
         mean_ms = self._total_ms / self._samples
         self._update_baseline(mean_ms)
         before = self.permits
@@ -125,18 +125,18 @@
             if math.isinf(self._mean_before_ms):
                 self._mean_before_ms = mean_ms
                 self._permits_before = self._permits
-            wanted = _QUEUEING_LATENCY_FACTOR * self._baseline_ms / mean_ms
-            self._set(self._permits * max(_MIN_DECREASE_FACTOR, wanted))
+            factor = _QUEUEING_LATENCY_FACTOR * self._baseline_ms / mean_ms
+            self._set(self._permits * max(_MIN_DECREASE_FACTOR, factor))
         else:
             self._mean_before_ms = math.inf
-            if self._busy:
+            if self._saturated:
                 self._set(max(self._permits * _GROWTH_FACTOR, self._permits + 1.0))
         if self.permits != before:
             self._changed_at_ms = now_ms
         self._samples = 0
         self._sheds = 0
         self._total_ms = 0.0
-        self._busy = False
+        self._saturated = False
 
     def _update_baseline(self, mean_ms: float) -> None:
         # The baseline is the latency without queueing. It falls quickly and
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -90,7 +90,7 @@
         self.admission = Admission(
             clock=clock, counters=self.counters, shares=self.shares
         )
-        self.pools = BackendPools(
+        self.backend_pools = BackendPools(
             catalogue=self.catalogue,
             members=self.members,
             open_connection=adapters.connection_opener(),
@@ -98,7 +98,7 @@
             counters=self.counters,
             backend=settings.backend,
             query=settings.query,
-            statuses=self.shared.statuses,
+            statuses=self.shared.server_statuses,
         )
         self.quarantine = Quarantine(
             clock=clock,
@@ -108,7 +108,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            pools=self.pools,
+            pools=self.backend_pools,
             quarantine=self.quarantine,
             clock=clock,
             counters=self.counters,
@@ -128,7 +128,7 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            statuses=self.shared.statuses,
+            statuses=self.shared.server_statuses,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
@@ -147,10 +147,10 @@
         async with AsyncExitStack() as stack:
             platform = self._adapters.open_platform()
             stack.push_async_callback(platform.aclose)
-            stack.push_async_callback(self.pools.aclose)
+            stack.push_async_callback(self.backend_pools.aclose)
             nursery = await stack.enter_async_context(trio.open_nursery())
             nursery.start_soon(self.shares.run, self.peers)
-            nursery.start_soon(self.pools.maintain)
+            nursery.start_soon(self.backend_pools.maintain)
             await nursery.start(self.ledger.run, platform)
             await nursery.start(
                 partial(
--- a/ibisfront/shared.py
+++ b/ibisfront/shared.py
@@ -68,7 +68,7 @@
             members, peers=peers, clock=clock, counters=counters, random=random
         )
         self.spread = ObjectSpread(store, peers=peers, clock=clock, counters=counters)
-        self.statuses = ServerStatuses(store, peers=peers, clock=clock)
+        self.server_statuses = ServerStatuses(store, peers=peers, clock=clock)
         self.heartbeats = Heartbeats(
             members=members,
             membership=self.membership,
