--- a/ibisfront/core/backend_pool.py
+++ b/ibisfront/core/backend_pool.py
@@ -57,7 +57,7 @@
         Limits for health checking and silence detection.
     maximum_connections : int
         How many connections this instance may open to the server.
-    statuses : ServerStatuses, optional
+    server_statuses : ServerStatuses, optional
         Notified when the server reports that it drains or serves again.
 
     Attributes
@@ -80,9 +80,9 @@
         "_counters",
         "_idle",
         "_open_connection",
+        "_server_statuses",
         "_settings",
         "_slots",
-        "_statuses",
         "health",
         "retired_before_ms",
         "server",
@@ -99,7 +99,7 @@
         counters: Counters,
         settings: QuerySettings,
         maximum_connections: int,
-        statuses: ServerStatuses | None = None,
+        server_statuses: ServerStatuses | None = None,
     ) -> None:
         self.server = server
         self.health = ServerHealth(settings)
@@ -108,7 +108,7 @@
         self._clock = clock
         self._counters = counters
         self._settings = settings
-        self._statuses = statuses
+        self._server_statuses = server_statuses
         self._slots = ConnectionSlots(maximum_connections)
         self._idle: list[_PooledConnection] = []
         self._busy: set[_PooledConnection] = set()
@@ -140,7 +140,9 @@
         """
         if self.health.is_draining(self._clock.now_ms()):
             return True
-        return self._statuses is not None and self._statuses.is_draining(self.server)
+        return self._server_statuses is not None and self._server_statuses.is_draining(
+            self.server
+        )
 
     @property
     def silence_bound_ms(self) -> float:
@@ -336,16 +338,16 @@
             in_flight=self._slots.in_use,
             now_ms=self._clock.now_ms(),
         )
-        if error.draining and self._statuses is not None:
-            self._statuses.record_draining(self.server)
+        if error.draining and self._server_statuses is not None:
+            self._server_statuses.record_draining(self.server)
 
     def _record_status(self, reply: SubReply) -> None:
-        if self._statuses is None:
+        if self._server_statuses is None:
             return
         if reply.draining:
-            self._statuses.record_draining(self.server)
+            self._server_statuses.record_draining(self.server)
         else:
-            self._statuses.record_serving(self.server)
+            self._server_statuses.record_serving(self.server)
 
     def _return_connection(self, pooled: _PooledConnection) -> None:
         pooled.sent_at_ms = math.inf
--- a/ibisfront/core/backend_pools.py
+++ b/ibisfront/core/backend_pools.py
@@ -77,7 +77,7 @@
         Where connections and ejections are counted.
     backend, query : BackendSettings, QuerySettings
         The settings.
-    statuses : ServerStatuses, optional
+    server_statuses : ServerStatuses, optional
         Which servers drain, as reported to any instance.
     """
 
@@ -107,7 +107,7 @@
         counters: Counters,
         backend: BackendSettings,
         query: QuerySettings,
-        statuses: ServerStatuses | None = None,
+        server_statuses: ServerStatuses | None = None,
     ) -> None:
         self._catalogue = catalogue
         self._members = members
@@ -132,7 +132,7 @@
                 counters=counters,
                 settings=query,
                 maximum_connections=self._share,
-                statuses=statuses,
+                server_statuses=server_statuses,
             )
 
         self._make_pool = make_pool
--- a/ibisfront/core/concurrency.py
+++ b/ibisfront/core/concurrency.py
@@ -13,9 +13,9 @@
 
 __all__ = ["ConcurrencyLimit"]
 
-MIN_PERMITS = 2
-MAX_PERMITS = 1_024
-_INITIAL_PERMITS = 16
+MIN_SLOTS = 2
+MAX_SLOTS = 1_024
+_INITIAL_SLOTS = 16
 _WINDOW_MS = 100.0
 _MIN_SAMPLES = 8
 _EWMA_WEIGHT = 0.1
@@ -32,13 +32,13 @@
 
 
 class ConcurrencyLimit:
-    """The number of concurrent requests of one group, counted in permits.
+    """The number of concurrent requests of one group, counted in slots.
 
-    A permit is the right to run one request.
+    A slot is the right to run one request.
 
     Parameters
     ----------
-    permits : int, optional
+    slots : int, optional
         The initial limit.
     """
 
@@ -46,23 +46,23 @@
         "_baseline_ms",
         "_changed_at_ms",
         "_mean_before_ms",
-        "_permits",
-        "_permits_before",
         "_samples",
         "_saturated",
         "_sheds",
+        "_slots",
+        "_slots_before",
         "_total_ms",
         "_window_start_ms",
         "duration_ms",
     )
 
-    def __init__(self, *, permits: int = _INITIAL_PERMITS) -> None:
-        self._permits = float(permits)
+    def __init__(self, *, slots: int = _INITIAL_SLOTS) -> None:
+        self._slots = float(slots)
         self._baseline_ms = math.inf
         self._changed_at_ms = -math.inf
         self._window_start_ms = -math.inf
         self._mean_before_ms = math.inf
-        self._permits_before = 0.0
+        self._slots_before = 0.0
         self._samples = 0
         self._sheds = 0
         self._total_ms = 0.0
@@ -71,14 +71,14 @@
         """Smoothed duration of a request; 0 until the first one has ended."""
 
     @property
-    def permits(self) -> int:
+    def slots(self) -> int:
         """How many requests may run concurrently."""
-        return int(self._permits)
+        return int(self._slots)
 
     @property
     def interval_ms(self) -> float:
-        """The mean time between completions while all permits are in use."""
-        return self.duration_ms / self.permits
+        """The mean time between completions while all slots are in use."""
+        return self.duration_ms / self.slots
 
     def record(
         self, *, now_ms: float, duration_ms: float, running: int, shed: bool
@@ -107,8 +107,8 @@
         self._samples += 1
         self._sheds += shed
         self._total_ms += duration_ms
-        self._saturated = self._saturated or running >= self.permits
-        # A shed request immediately releases its permit to the next one, which
+        self._saturated = self._saturated or running >= self.slots
+        # A shed request immediately releases its slot to the next one, which
         # is shed too; waiting for the end of the window would shed hundreds.
         window_over = now_ms >= self._window_start_ms + _WINDOW_MS
         many_shed = self._sheds >= _MIN_SAMPLES
@@ -118,20 +118,20 @@
     def _evaluate(self, now_ms: float) -> None:
         mean_ms = self._total_ms / self._samples
         self._update_baseline(mean_ms)
-        before = self.permits
+        before = self.slots
         if self._sheds > _SHED_FRACTION * self._samples:
-            self._set(self._permits * _SHED_DECREASE_FACTOR)
+            self._set(self._slots * _SHED_DECREASE_FACTOR)
         elif mean_ms > _QUEUEING_LATENCY_FACTOR * self._baseline_ms:
             if math.isinf(self._mean_before_ms):
                 self._mean_before_ms = mean_ms
-                self._permits_before = self._permits
+                self._slots_before = self._slots
             factor = _QUEUEING_LATENCY_FACTOR * self._baseline_ms / mean_ms
-            self._set(self._permits * max(_MIN_DECREASE_FACTOR, factor))
+            self._set(self._slots * max(_MIN_DECREASE_FACTOR, factor))
         else:
             self._mean_before_ms = math.inf
             if self._saturated:
-                self._set(max(self._permits * _GROWTH_FACTOR, self._permits + 1.0))
-        if self.permits != before:
+                self._set(max(self._slots * _GROWTH_FACTOR, self._slots + 1.0))
+        if self.slots != before:
             self._changed_at_ms = now_ms
         self._samples = 0
         self._sheds = 0
@@ -147,12 +147,12 @@
             low_ms = mean_ms if math.isinf(self._baseline_ms) else self._baseline_ms
             self._baseline_ms = low_ms + _BASELINE_FALL_WEIGHT * (mean_ms - low_ms)
             return
-        was_decreased = self._permits <= _DECREASED_FRACTION * self._permits_before
+        was_decreased = self._slots <= _DECREASED_FRACTION * self._slots_before
         is_ineffective = (
             was_decreased and mean_ms > _IMPROVEMENT_FACTOR * self._mean_before_ms
         )
         weight = _BASELINE_FAST_RISE_WEIGHT if is_ineffective else _BASELINE_RISE_WEIGHT
         self._baseline_ms += weight * (mean_ms - self._baseline_ms)
 
-    def _set(self, permits: float) -> None:
-        self._permits = min(max(permits, MIN_PERMITS), MAX_PERMITS)
+    def _set(self, slots: float) -> None:
+        self._slots = min(max(slots, MIN_SLOTS), MAX_SLOTS)
--- a/ibisfront/core/group_queue.py
+++ b/ibisfront/core/group_queue.py
@@ -127,7 +127,7 @@
 
     def _start_waiters(self) -> None:
         queue = self.queue
-        places = self.limit.permits
+        places = self.limit.slots
         while queue.waiting and queue.running < places and queue.pop():
             pass
         # A flood of bulk work fills every place. Urgent requests of a branch
--- a/ibisfront/core/perform_sender.py
+++ b/ibisfront/core/perform_sender.py
@@ -65,7 +65,7 @@
         This instance's availability zone; its servers go first.
     maximum_connections : int
         How many connections this instance may hold to a server.
-    statuses : ServerStatuses, optional
+    server_statuses : ServerStatuses, optional
         Which servers drain, as reported to any instance.
     quarantine : Quarantine, optional
         Which requests crash the servers that run them.
@@ -79,7 +79,7 @@
         "_open_connection",
         "_quarantine",
         "_random",
-        "_statuses",
+        "_server_statuses",
         "_uses",
         "_zone",
     )
@@ -93,7 +93,7 @@
         counters: Counters,
         zone: str,
         maximum_connections: int,
-        statuses: ServerStatuses | None = None,
+        server_statuses: ServerStatuses | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self._catalogue = catalogue
@@ -104,7 +104,7 @@
         self._maximum_connections = maximum_connections
         self._uses: dict[str, _ServerUse] = {}
         self._random = random.Random(zone)
-        self._statuses = statuses
+        self._server_statuses = server_statuses
         self._quarantine = quarantine
 
     async def send(self, run: ClaimedRun) -> SubReply:
@@ -164,8 +164,8 @@
     def _note_error(
         self, error: SubRequestError, server: BackendServer, run: ClaimedRun
     ) -> None:
-        if error.reason is MissingReason.DRAINING and self._statuses is not None:
-            self._statuses.record_draining(server)
+        if error.reason is MissingReason.DRAINING and self._server_statuses is not None:
+            self._server_statuses.record_draining(server)
         lost = error.reason is MissingReason.CONNECTION_LOST and not error.not_run
         if lost and self._quarantine is not None:
             service = run.purpose.service or ""
@@ -200,7 +200,9 @@
     def _takes_work(self, server: BackendServer) -> bool:
         # A server that told another instance that it drains still stands as
         # live in the register, which lags and may be out of reach.
-        if self._statuses is not None and self._statuses.is_draining(server):
+        if self._server_statuses is not None and self._server_statuses.is_draining(
+            server
+        ):
             return False
         return server.state == "live"
 
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -98,7 +98,7 @@
             counters=self.counters,
             backend=settings.backend,
             query=settings.query,
-            statuses=self.shared.server_statuses,
+            server_statuses=self.shared.server_statuses,
         )
         self.quarantine = Quarantine(
             clock=clock,
@@ -128,7 +128,7 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            statuses=self.shared.server_statuses,
+            server_statuses=self.shared.server_statuses,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
--- a/ibisfront/testing/search_fixture.py
+++ b/ibisfront/testing/search_fixture.py
@@ -91,14 +91,14 @@
         self._seed = seed
         self._peers = peers
         self._open_connection: OpenConnection = self.network.open_connection
-        self.follow_statuses(None)
+        self.use_server_statuses(None)
 
     def connect_by(self, open_connection: OpenConnection) -> None:
         """Start the query path anew, over other connections."""
         self._open_connection = open_connection
-        self.follow_statuses(None)
+        self.use_server_statuses(None)
 
-    def follow_statuses(self, statuses: ServerStatuses | None) -> None:
+    def use_server_statuses(self, server_statuses: ServerStatuses | None) -> None:
         """Start the query path anew, with these statuses of backend servers."""
         self.pools = BackendPools(
             catalogue=self.catalogue,
@@ -108,7 +108,7 @@
             counters=self.counters,
             backend=self._backend,
             query=self.query,
-            statuses=statuses,
+            server_statuses=server_statuses,
         )
         self.quarantine = Quarantine(
             clock=self.clock,
--- a/ibisfront/tests/test_backend_pools.py
+++ b/ibisfront/tests/test_backend_pools.py
@@ -309,7 +309,7 @@
                 )
                 for name in ("i1", "i2")
             ]
-            fixture.follow_statuses(statuses[0])
+            fixture.use_server_statuses(statuses[0])
             async with fixture.upkeep():
                 await search_steadily(fixture, searches=5)
                 statuses[1].record_draining(SERVER)
@@ -330,7 +330,7 @@
                 )
                 for name in ("i1", "i2")
             ]
-            fixture.follow_statuses(statuses[0])
+            fixture.use_server_statuses(statuses[0])
             fixture.set_faults("s1", 0, draining=True)
             await search_steadily(fixture, searches=20)
             self.assertTrue(statuses[1].is_draining(SERVER))
--- a/ibisfront/tests/test_group_queue.py
+++ b/ibisfront/tests/test_group_queue.py
@@ -160,7 +160,7 @@
             places = []
             for _ in range(30):
                 await tier.clock.sleep_ms(100)
-                places.append(tier.group.limit.permits)
+                places.append(tier.group.limit.slots)
             answered = sum(item.at_ms >= from_ms for item in tier.done) / 3.0
             peak.cancel()
             await tier.clock.sleep_ms(1_500)
--- a/ibisfront/tests/test_perform_sender.py
+++ b/ibisfront/tests/test_perform_sender.py
@@ -37,7 +37,7 @@
         self.fixture = SearchFixture(servers=SERVERS)
         self.clock = self.fixture.clock
         network = PeerNetwork(clock=self.clock, nursery=nursery)
-        self.statuses, self.others_statuses = (
+        self.server_statuses, self.peer_statuses = (
             ServerStatuses(
                 self.fixture.store, peers=network.join(name), clock=self.clock
             )
@@ -50,7 +50,7 @@
             counters=self.fixture.counters,
             zone="z1",
             maximum_connections=4,
-            statuses=self.statuses,
+            server_statuses=self.server_statuses,
             quarantine=self.fixture.quarantine,
         )
         self._numbers = count()
@@ -93,7 +93,7 @@
         """
         async with trio.open_nursery() as nursery:
             setup = _Setup(nursery)
-            setup.others_statuses.record_draining(SERVER)
+            setup.peer_statuses.record_draining(SERVER)
             await setup.clock.sleep_ms(10.0)
             records = [await setup.perform() for _ in range(20)]
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
@@ -113,7 +113,7 @@
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
             self.assertEqual(setup.sent_to(0), 1)
             await setup.clock.sleep_ms(10.0)
-            self.assertTrue(setup.others_statuses.is_draining(SERVER))
+            self.assertTrue(setup.peer_statuses.is_draining(SERVER))
 
 
 class CrashingRequestTest(unittest.TestCase):
