--- a/ibisfront/core/fanout.py
+++ b/ibisfront/core/fanout.py
@@ -223,7 +223,7 @@
     def _holds(self, service: str, snapshot: str) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            pool.health.may_have_snapshot(snapshot, now_ms) and not pool.is_draining
+            pool.health.may_hold_snapshot(snapshot, now_ms) and not pool.is_draining
             for pool in self._pools.of_service(service)
         )
 
--- a/ibisfront/core/search_run.py
+++ b/ibisfront/core/search_run.py
@@ -329,7 +329,7 @@
     def _has_holder(self, part: SearchPart) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            pool.health.may_have_snapshot(self._task.snapshot.name, now_ms)
+            pool.health.may_hold_snapshot(self._task.snapshot.name, now_ms)
             and not pool.is_draining
             for pool in self._pools.of_service(part.service)
         )
@@ -435,7 +435,7 @@
             and not pool.health.ejected
             and not pool.is_draining
             and pool.health.not_before_ms <= now_ms
-            and pool.health.may_have_snapshot(self._task.snapshot.name, now_ms)
+            and pool.health.may_hold_snapshot(self._task.snapshot.name, now_ms)
             for pool in self._pools.of_service(part.service)
         )
 
--- a/ibisfront/core/server_choice.py
+++ b/ibisfront/core/server_choice.py
@@ -107,7 +107,7 @@
 def _is_eligible(pool: BackendPool, context: ChoiceContext) -> bool:
     if pool.is_draining:
         return False
-    return pool.health.may_have_snapshot(context.snapshot, context.now_ms)
+    return pool.health.may_hold_snapshot(context.snapshot, context.now_ms)
 
 
 def _preferred_pools(
--- a/ibisfront/core/server_health.py
+++ b/ibisfront/core/server_health.py
@@ -215,7 +215,7 @@
         """Return whether the server is considered to be draining."""
         return now_ms < self.draining_until_ms
 
-    def may_have_snapshot(self, snapshot: str | None, now_ms: float) -> bool:
+    def may_hold_snapshot(self, snapshot: str | None, now_ms: float) -> bool:
         """Return False only if the server recently reported not to have a snapshot."""
         if snapshot is None or self._snapshots is None:
             return True
