--- a/ibisfront/core/fanout.py
+++ b/ibisfront/core/fanout.py
@@ -24,10 +24,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from ibisfront.core.backend_pools import BackendPools
     from ibisfront.core.catalogue import Catalogue
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.core.links import BackendLinks
     from ibisfront.core.quarantine import Quarantine
     from ibisfront.core.query import CallerRequest
     from ibisfront.core.settings import QuerySettings
@@ -52,7 +52,7 @@
     ----------
     catalogue : Catalogue
         The table, services and indexes in force.
-    pools : BackendLinks
+    pools : BackendPools
         The connections to the backend servers.
     quarantine : Quarantine
         The requests that crash servers.
@@ -89,7 +89,7 @@
         self,
         *,
         catalogue: Catalogue,
-        pools: BackendLinks,
+        pools: BackendPools,
         quarantine: Quarantine,
         clock: Clock,
         counters: Counters,
@@ -226,7 +226,7 @@
     def _may_hold(self, service: str, snapshot: str) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            pool.health.may_hold(snapshot, now_ms) and not pool.is_leaving
+            pool.health.may_hold_snapshot(snapshot, now_ms) and not pool.is_draining
             for pool in self._pools.of_service(service)
         )
 
--- a/ibisfront/core/group_queue.py
+++ b/ibisfront/core/group_queue.py
@@ -127,7 +127,7 @@
 
     def _start_waiters(self) -> None:
         queue = self.queue
-        slots = self.limit.places
+        slots = self.limit.slots
         while queue.waiting and queue.running < slots and queue.pop():
             pass
         # Bulk work may occupy every slot. Urgent requests of a branch below its
--- a/ibisfront/core/perform_sender.py
+++ b/ibisfront/core/perform_sender.py
@@ -24,7 +24,7 @@
     from ibisfront.core.counters import Counters
     from ibisfront.core.quarantine import Quarantine
     from ibisfront.core.query import SubReply
-    from ibisfront.core.server_signs import ServerSigns
+    from ibisfront.core.server_status import ServerStatuses
     from ibisfront.core.service import BackendServer
 
 __all__ = ["PerformSender"]
@@ -65,7 +65,7 @@
         This instance's availability zone; its servers are preferred.
     maximum_connections : int
         Maximum number of connections of this instance to a server.
-    server_statuses : ServerSigns, optional
+    server_statuses : ServerStatuses, optional
         The draining servers, as reported to any instance.
     quarantine : Quarantine, optional
         The requests that crash the servers that run them.
@@ -93,7 +93,7 @@
         counters: Counters,
         zone: str,
         maximum_connections: int,
-        server_statuses: ServerSigns | None = None,
+        server_statuses: ServerStatuses | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self._catalogue = catalogue
@@ -165,7 +165,7 @@
         self, error: SubRequestError, server: BackendServer, run: ClaimedRun
     ) -> None:
         if error.reason is MissingReason.DRAINING and self._server_statuses is not None:
-            self._server_statuses.note_draining(server)
+            self._server_statuses.record_draining(server)
         lost = error.reason is MissingReason.CONNECTION_LOST and not error.not_run
         if lost and self._quarantine is not None:
             service = run.purpose.service or ""
@@ -200,7 +200,7 @@
     def _accepts_work(self, server: BackendServer) -> bool:
         # The platform's register lags and may be unreachable; it may list a server
         # as live that has reported to another instance that it is draining.
-        if self._server_statuses is not None and self._server_statuses.is_leaving(
+        if self._server_statuses is not None and self._server_statuses.is_draining(
             server
         ):
             return False
--- a/ibisfront/core/search_part.py
+++ b/ibisfront/core/search_part.py
@@ -7,8 +7,8 @@
 import trio
 
 if TYPE_CHECKING:
+    from ibisfront.core.backend_pool import BackendPool
     from ibisfront.core.coverage import MissingReason
-    from ibisfront.core.link import BackendLink
     from ibisfront.core.replies import SearchRows
     from ibisfront.core.service_state import ServiceState
 
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
-        self.pool: BackendLink | None = None
+        self.pool: BackendPool | None = None
         self.sent_at_ms = 0.0
 
 
@@ -37,7 +37,7 @@
         The measured state of the service.
     attempts : list of Attempt
         The running attempts: the primary one, hedged requests and retries.
-    tried : tuple of BackendLink
+    tried : tuple of BackendPool
         The pools tried so far.
     sub_request_count : int
         Number of sub-requests sent.
@@ -68,7 +68,7 @@
         self.service = service
         self.state = state
         self.attempts: list[Attempt] = []
-        self.tried: tuple[BackendLink, ...] = ()
+        self.tried: tuple[BackendPool, ...] = ()
         self.sub_request_count = 0
         self.hedge_considered = False
         self.retried_after_stall = False
@@ -84,7 +84,7 @@
     def is_stalled(self) -> bool:
         """Whether all attempts wait at a failed server or retired connection."""
         return bool(self.attempts) and all(
-            attempt.pool is not None and attempt.pool.is_given_up(attempt.sent_at_ms)
+            attempt.pool is not None and attempt.pool.may_resend(attempt.sent_at_ms)
             for attempt in self.attempts
         )
 
--- a/ibisfront/core/search_run.py
+++ b/ibisfront/core/search_run.py
@@ -15,15 +15,15 @@
 from ibisfront.core.query import CallerRequest, SubRequest, SubRequestError
 from ibisfront.core.replies import decode_rows
 from ibisfront.core.search_part import Attempt, SearchPart
-from ibisfront.core.server_choice import Choice
+from ibisfront.core.server_choice import ChoiceContext
 from ibisfront.core.snapshot import Snapshot
 from ibisfront.core.table import Purpose
 
 if TYPE_CHECKING:
+    from ibisfront.core.backend_pool import BackendPool
+    from ibisfront.core.backend_pools import BackendPools
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
-    from ibisfront.core.link import BackendLink
-    from ibisfront.core.links import BackendLinks
     from ibisfront.core.quarantine import Quarantine
     from ibisfront.core.replies import SearchRows
     from ibisfront.core.retry_budget import RetryBudget
@@ -70,7 +70,7 @@
     ----------
     task : SearchTask
         The search.
-    pools : BackendLinks
+    pools : BackendPools
         The connections to the backend servers.
     service_state : callable
         Returns the measured state of a service.
@@ -122,7 +122,7 @@
         self,
         task: SearchTask,
         *,
-        pools: BackendLinks,
+        pools: BackendPools,
         service_state: Callable[[str], ServiceState],
         next_id: Callable[[], str],
         hedge_budget: RetryBudget,
@@ -223,7 +223,7 @@
         task = self._task
         now_ms = self._clock.now_ms()
         # Work that cannot finish in time would occupy a slot that other work needs.
-        if now_ms + part.state.quick_ms >= task.deadline_at_ms:
+        if now_ms + part.state.low_percentile_ms >= task.deadline_at_ms:
             raise SubRequestError(MissingReason.NO_BUDGET, not_run=True)
         attempt.pool = pool
         attempt.sent_at_ms = now_ms
@@ -251,9 +251,9 @@
         self._record_answer(part)
         return rows
 
-    async def _choose_pool(self, part: SearchPart) -> BackendLink:
+    async def _choose_pool(self, part: SearchPart) -> BackendPool:
         now_ms = self._clock.now_ms()
-        choice = Choice(self._zone, now_ms, self._task.snapshot.name, part.tried)
+        choice = ChoiceContext(self._zone, now_ms, self._task.snapshot.name, part.tried)
         pools = self._pools.of_service(part.service)
         pool = self._policy.choose_server(pools, choice)
         if pool is None:
@@ -263,10 +263,10 @@
             await self._wait_for_backoff(part, wait_ms)
         return pool
 
-    def _no_pool_reason(self, pools: tuple[BackendLink, ...]) -> MissingReason:
+    def _no_pool_reason(self, pools: tuple[BackendPool, ...]) -> MissingReason:
         if not pools:
             return MissingReason.NO_SERVER
-        if all(pool.is_leaving for pool in pools):
+        if all(pool.is_draining for pool in pools):
             return MissingReason.DRAINING
         return MissingReason.SNAPSHOT_GONE
 
@@ -279,7 +279,7 @@
         """
         wait_ms += self._policy.retry_delay_ms(True)
         now_ms = self._clock.now_ms()
-        if now_ms + wait_ms + part.state.quick_ms >= self._task.deadline_at_ms:
+        if now_ms + wait_ms + part.state.low_percentile_ms >= self._task.deadline_at_ms:
             raise SubRequestError(MissingReason.SHED, not_run=True)
         await self._clock.sleep_ms(wait_ms)
 
@@ -338,12 +338,12 @@
     def _has_snapshot_holder(self, part: SearchPart) -> bool:
         now_ms = self._clock.now_ms()
         return any(
-            pool.health.may_hold(self._task.snapshot.name, now_ms)
-            and not pool.is_leaving
+            pool.health.may_hold_snapshot(self._task.snapshot.name, now_ms)
+            and not pool.is_draining
             for pool in self._pools.of_service(part.service)
         )
 
-    def _record_connection_loss(self, part: SearchPart, pool: BackendLink) -> None:
+    def _record_connection_loss(self, part: SearchPart, pool: BackendPool) -> None:
         if self._policy.is_adaptive:
             self._quarantine.record_loss(
                 self._task.fingerprint, part.service, pool.server.name
@@ -446,9 +446,9 @@
         return any(
             pool not in part.tried
             and not pool.health.ejected
-            and not pool.is_leaving
+            and not pool.is_draining
             and pool.health.not_before_ms <= now_ms
-            and pool.health.may_hold(self._task.snapshot.name, now_ms)
+            and pool.health.may_hold_snapshot(self._task.snapshot.name, now_ms)
             for pool in self._pools.of_service(part.service)
         )
 
@@ -474,7 +474,7 @@
 
     def _has_available_server(self, part: SearchPart) -> bool:
         return any(
-            not pool.health.ejected and not pool.is_leaving
+            not pool.health.ejected and not pool.is_draining
             for pool in self._pools.of_service(part.service)
         )
 
--- a/ibisfront/shared_state.py
+++ b/ibisfront/shared_state.py
@@ -11,7 +11,7 @@
 from ibisfront.core.heartbeat import Heartbeats
 from ibisfront.core.membership import Membership
 from ibisfront.core.pause import watch_for_pause
-from ibisfront.core.server_signs import ServerSigns
+from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.spread import ObjectSpread
 from ibisfront.core.watch import PlatformWatch, WatchedPlatform
 
@@ -70,7 +70,7 @@
         self.dissemination = ObjectSpread(
             store, peers=peers, clock=clock, counters=counters
         )
-        self.server_statuses = ServerSigns(store, peers=peers, clock=clock)
+        self.server_statuses = ServerStatuses(store, peers=peers, clock=clock)
         self.heartbeats = Heartbeats(
             members=members,
             membership=self.membership,
--- a/ibisfront/testing/search_fixture.py
+++ b/ibisfront/testing/search_fixture.py
@@ -8,11 +8,11 @@
 import msgspec
 import trio
 
+from ibisfront.core.backend_pools import BackendPools
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import Counters
 from ibisfront.core.fanout import Fanout
-from ibisfront.core.links import BackendLinks
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
 from ibisfront.core.quarantine import Quarantine
@@ -30,11 +30,11 @@
     from collections.abc import AsyncIterator
 
     from ibisfront.core.backend_connection import OpenConnection
+    from ibisfront.core.backend_pool import BackendPool
     from ibisfront.core.counters import CounterKind
-    from ibisfront.core.link import BackendLink
     from ibisfront.core.peers import Peers
     from ibisfront.core.query import Answer
-    from ibisfront.core.server_signs import ServerSigns
+    from ibisfront.core.server_status import ServerStatuses
 
 __all__ = ["INDEX", "SearchFixture", "server_address"]
 
@@ -100,9 +100,9 @@
         self._open_connection = open_connection
         self.use_server_statuses(None)
 
-    def use_server_statuses(self, server_statuses: ServerSigns | None) -> None:
+    def use_server_statuses(self, server_statuses: ServerStatuses | None) -> None:
         """Restart the query path with these statuses of draining servers."""
-        self.pools = BackendLinks(
+        self.pools = BackendPools(
             catalogue=self.catalogue,
             members=self.members,
             open_connection=self._open_connection,
@@ -110,7 +110,7 @@
             counters=self.counters,
             backend=self._backend,
             query=self.query,
-            signs=server_statuses,
+            server_statuses=server_statuses,
         )
         self.quarantine = Quarantine(
             clock=self.clock,
@@ -133,7 +133,7 @@
     async def maintenance(self) -> AsyncIterator[None]:
         """Run the maintenance of the connection pools inside the context."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.pools.keep_up)
+            nursery.start_soon(self.pools.maintain)
             yield
             nursery.cancel_scope.cancel()
 
@@ -150,7 +150,7 @@
         """Return the fake of one server."""
         return self.network.backends[server_address(service, number)]
 
-    def pool(self, service: str, number: int) -> BackendLink:
+    def pool(self, service: str, number: int) -> BackendPool:
         """Return the connection pool of one server."""
         return self.pools.of_service(service)[number]
 
--- a/ibisfront/tests/test_fanout.py
+++ b/ibisfront/tests/test_fanout.py
@@ -295,7 +295,7 @@
     async def test_draining_server_reported_by_another_part_gets_no_new_work(self):
         fixture = SearchFixture()
         await fixture.search()
-        fixture.pools.note_draining("s1-0")
+        fixture.pools.record_draining("s1-0")
         sent = fixture.network.sent["s1-0:1"]
         for _ in range(10):
             await fixture.search()
--- a/ibisfront/tests/test_perform_sender.py
+++ b/ibisfront/tests/test_perform_sender.py
@@ -17,7 +17,7 @@
 from ibisfront.core.idempotency_key import make_key, parse_key
 from ibisfront.core.perform_sender import PerformSender
 from ibisfront.core.query import CallerRequest
-from ibisfront.core.server_signs import ServerSigns
+from ibisfront.core.server_status import ServerStatuses
 from ibisfront.core.service import BackendServer
 from ibisfront.core.table import Purpose
 from ibisfront.testing.peers import PeerNetwork
@@ -38,7 +38,9 @@
         self.clock = self.fixture.clock
         network = PeerNetwork(clock=self.clock, nursery=nursery)
         self.server_statuses, self.peer_statuses = (
-            ServerSigns(self.fixture.store, peers=network.join(name), clock=self.clock)
+            ServerStatuses(
+                self.fixture.store, peers=network.join(name), clock=self.clock
+            )
             for name in ("i1", "i2")
         )
         self.sender = PerformSender(
@@ -91,7 +93,7 @@
         """
         async with trio.open_nursery() as nursery:
             setup = _Setup(nursery)
-            setup.peer_statuses.note_draining(SERVER)
+            setup.peer_statuses.record_draining(SERVER)
             await setup.clock.sleep_ms(10.0)
             records = [await setup.perform() for _ in range(20)]
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
@@ -111,7 +113,7 @@
             self.assertEqual({item.state for item in records}, {ClaimState.RAN})
             self.assertEqual(setup.sent_to(0), 1)
             await setup.clock.sleep_ms(10.0)
-            self.assertTrue(setup.peer_statuses.is_leaving(SERVER))
+            self.assertTrue(setup.peer_statuses.is_draining(SERVER))
 
 
 class CrashingRequestTest(unittest.TestCase):
