--- a/ibisfront/core/pause.py
+++ b/ibisfront/core/pause.py
@@ -1,4 +1,4 @@
-"""Noticing that this process was frozen."""
+"""Detection of pauses of this process."""
 
 from __future__ import annotations
 
@@ -14,19 +14,18 @@
 __all__ = ["PAUSE_MS", "watch_for_pause"]
 
 PAUSE_MS = 1500.0
-"""From which length on a standstill of this process counts as a pause."""
+"""Minimum delay of a tick that counts as a pause of this process."""
 
 _TICK_MS = 250.0
 _LOG = part_logger(LogPart.INSTANCE)
 
 
-async def watch_for_pause(clock: Clock, woke: Callable[[float], None]) -> None:
+async def watch_for_pause(clock: Clock, on_pause: Callable[[float], None]) -> None:
     """Call a function with the length of each pause, until cancelled.
 
-    A frozen process does not notice that it was: its streams look open, its
-    watch looks fresh, and its peers may have counted it dead meanwhile. The
-    monotonic clock goes on while it stands still, so that a tick that comes
-    far too late shows it.
+    After a pause the streams of the process still appear open and its watch
+    current, although its peers may have declared it dead. The monotonic clock
+    advances during a pause, so a tick that is far too late reveals it.
     """
     while True:
         due_ms = clock.now_ms() + _TICK_MS
@@ -34,4 +33,4 @@
         late_ms = clock.now_ms() - due_ms
         if late_ms >= PAUSE_MS:
             _LOG.warning("This process stood still for %.0f ms.", late_ms)
-            woke(late_ms)
+            on_pause(late_ms)
--- a/ibisfront/core/stopping.py
+++ b/ibisfront/core/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: finish what runs, hand back what is held, say goodbye."""
+"""Graceful shutdown: finish requests, release resources, notify the peers."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 __all__ = ["LeavingHook", "Stopping", "stop_in_order"]
 
 LeavingHook: TypeAlias = Callable[[], Awaitable[None]]
-"""Hands back or says something when every request has ended."""
+"""Releases resources or notifies peers after all requests have ended."""
 
-QUIET_MS = 100.0
+IDLE_PERIOD_MS = 100.0
 LEAVE_TIMEOUT_MS = 1_000.0
 
 _LOG = part_logger(LogPart.STOP)
 
 
 class Stopping:
-    """The callers' requests in this process, and whether it is stopping.
+    """Tracks the callers' requests in flight and whether the process is stopping.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
         self._started = 0
         self._idle = trio.Event()
         self.begun = False
-        """Whether the stop has begun: not ready, and callers are to close."""
+        """Whether shutdown has begun: not ready, and connections should be closed."""
 
     @property
     def requests(self) -> list[str]:
@@ -67,40 +67,46 @@
                 self._idle = trio.Event()
 
     def begin(self) -> None:
-        """Stop being ready."""
+        """Begin the shutdown: the instance is no longer ready."""
         self.begun = True
 
     def on_leaving(self, hook: LeavingHook) -> None:
-        """Call a function, after those before it, once no request is left."""
+        """Register a hook to run after earlier hooks, once no request is in flight."""
         self._hooks.append(hook)
 
-    async def wait_quiet(self) -> None:
-        """Wait until no request runs and none has come for a moment.
+    async def wait_idle(self) -> None:
+        """Wait until no request is in flight and none arrives for an idle period.
 
-        A balancer that is slower than its lag still sends a few; closing the
-        listener between two of them would cut the second off.
+        A load balancer that is slower than its configured lag still sends a few
+        requests, which a listener closed between them would reset.
         """
         while True:
             while self._requests:
                 await self._idle.wait()
             seen = self._started
-            await self._clock.sleep_ms(QUIET_MS)
+            await self._clock.sleep_ms(IDLE_PERIOD_MS)
             if seen == self._started:
                 return
 
     async def leave(self) -> None:
-        """Call every leaving hook in order, each for a bounded time."""
+        """Run the leaving hooks in order, each with a timeout."""
         for hook in self._hooks:
             with self._clock.timeout_ms(LEAVE_TIMEOUT_MS) as scope:
                 await hook()
             if scope.cancelled_caught:
-                _LOG.warning("Peers were not all told within %d ms.", LEAVE_TIMEOUT_MS)
+                _LOG.warning(
+                    "A leaving hook did not finish within %d ms.", LEAVE_TIMEOUT_MS
+                )
 
 
 async def stop_in_order(
-    stopping: Stopping, *, clock: Clock, settings: StopSettings, again: trio.Event
+    stopping: Stopping,
+    *,
+    clock: Clock,
+    settings: StopSettings,
+    second_signal: trio.Event,
 ) -> list[str]:
-    """Carry out a planned stop up to the closing of the listeners.
+    """Shut down gracefully, up to the closing of the listeners.
 
     Parameters
     ----------
@@ -109,32 +115,32 @@
     clock : Clock
         The tier's clock.
     settings : StopSettings
-        The balancer's lag, and the bound.
-    again : trio.Event
-        Set by a second signal, which ends the wait.
+        The load balancer's lag and the time to finish requests.
+    second_signal : trio.Event
+        Set when a second signal arrives, which ends the wait.
 
     Returns
     -------
     list of str
-        A line for each request that is cut off; empty in a planned stop.
+        A line for each request cut off; empty if all finished in time.
     """
     stopping.begin()
     _LOG.info(
-        "Not ready from now on; requests are accepted for %d ms more.",
+        "No longer ready; requests are accepted for another %d ms.",
         settings.balancer_lag_ms,
     )
-    bound_ms = settings.balancer_lag_ms + settings.finish_ms
+    limit_ms = settings.balancer_lag_ms + settings.finish_ms
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_cancel_when, again, nursery.cancel_scope)
-        with clock.timeout_ms(bound_ms) as bound:
+        nursery.start_soon(_cancel_on, second_signal, nursery.cancel_scope)
+        with clock.timeout_ms(limit_ms) as limit:
             await clock.sleep_ms(settings.balancer_lag_ms)
-            await stopping.wait_quiet()
+            await stopping.wait_idle()
         nursery.cancel_scope.cancel()
     cut_off = stopping.requests
-    if again.is_set():
-        _LOG.warning("A second signal ends the stop at once.")
-    elif bound.cancelled_caught:
-        _LOG.warning("The bound of %d ms has lapsed.", bound_ms)
+    if second_signal.is_set():
+        _LOG.warning("A second signal ends the graceful shutdown immediately.")
+    elif limit.cancelled_caught:
+        _LOG.warning("The time limit of %d ms has expired.", limit_ms)
     for line in cut_off:
         _LOG.warning("Cut off: %s.", line)
     _LOG.info("Requests cut off: %d.", len(cut_off))
@@ -142,6 +148,6 @@
     return cut_off
 
 
-async def _cancel_when(event: trio.Event, scope: trio.CancelScope) -> None:
+async def _cancel_on(event: trio.Event, scope: trio.CancelScope) -> None:
     await event.wait()
     scope.cancel()
--- a/ibisfront/daemon.py
+++ b/ibisfront/daemon.py
@@ -107,7 +107,7 @@
                 instance.stopping,
                 clock=clock,
                 settings=instance.settings.stop,
-                again=again,
+                second_signal=again,
             )
             nursery.cancel_scope.cancel()
         closing.set()
--- a/ibisfront/tests/test_pause.py
+++ b/ibisfront/tests/test_pause.py
@@ -1,4 +1,4 @@
-"""Tests of noticing that the process was frozen."""
+"""Tests of the detection of process pauses."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class PauseTest(unittest.TestCase):
-    """A frozen process notices by its clock."""
+    """A paused process detects the pause by its clock."""
 
     @trio_test
-    async def test_pause_is_noticed_once_and_delay_is_not_one(self) -> None:
+    async def test_pause_is_reported_once_and_short_delay_is_not(self) -> None:
         clock = _JumpingClock()
         pauses: list[float] = []
         async with trio.open_nursery() as nursery:
--- a/ibisfront/tests/test_stopping.py
+++ b/ibisfront/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Tests of the order of a planned stop, with mock time."""
+"""Tests of the order of a graceful shutdown, in mock time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.core.settings import StopSettings
-from ibisfront.core.stopping import QUIET_MS, Stopping, stop_in_order
+from ibisfront.core.stopping import IDLE_PERIOD_MS, Stopping, stop_in_order
 from ibisfront.tests import trio_test
 
 SETTINGS = StopSettings(balancer_lag_ms=3_000, finish_ms=10_000)
@@ -16,24 +16,24 @@
 
 
 async def run_request(stopping, clock, *, start_ms, run_ms):
-    """Run one request from a time on."""
+    """Run one request that starts at a given time."""
     await clock.sleep_ms(start_ms)
     with stopping.request(f"request of {start_ms}"):
         await clock.sleep_ms(run_ms)
 
 
-async def stop_with(requests, *, again_ms=None, hooks=()):
-    """Stop beside some requests; return what was cut off, and when it ended."""
+async def stop_with(requests, *, second_signal_ms=None, hooks=()):
+    """Stop during some requests; return those cut off, and the end time."""
     clock = Clock()
     stopping = Stopping(clock=clock)
     for hook in hooks:
         stopping.on_leaving(hook)
-    again = trio.Event()
+    second_signal = trio.Event()
     started_ms = clock.now_ms()
 
-    async def signal_again():
-        await clock.sleep_ms(again_ms)
-        again.set()
+    async def send_second_signal():
+        await clock.sleep_ms(second_signal_ms)
+        second_signal.set()
 
     async with trio.open_nursery() as nursery:
         for start_ms, run_ms in requests:
@@ -42,10 +42,10 @@
                     stopping, clock, start_ms=start_ms, run_ms=run_ms
                 )
             )
-        if again_ms is not None:
-            nursery.start_soon(signal_again)
+        if second_signal_ms is not None:
+            nursery.start_soon(send_second_signal)
         cut_off = await stop_in_order(
-            stopping, clock=clock, settings=SETTINGS, again=again
+            stopping, clock=clock, settings=SETTINGS, second_signal=second_signal
         )
         ended_ms = clock.now_ms() - started_ms
         nursery.cancel_scope.cancel()
@@ -53,53 +53,55 @@
 
 
 class StopInOrderTest(unittest.TestCase):
-    """A planned stop cuts off nothing and ends in a bounded time."""
+    """A graceful shutdown finishes requests within a time limit."""
 
     @trio_test
     async def test_an_idle_instance_waits_for_the_balancer_only(self):
         cut_off, ended_ms = await stop_with([])
         self.assertEqual(cut_off, [])
-        self.assertAlmostEqual(ended_ms, 3_000 + QUIET_MS, places=3)
+        self.assertAlmostEqual(ended_ms, 3_000 + IDLE_PERIOD_MS, places=3)
 
     @trio_test
     async def test_requests_after_the_signal_and_after_the_lag_are_finished(self):
-        """A restart loses the requests that a slow balancer still sends.
+        """A load balancer sends requests until, and shortly after, its lag ends.
 
-        Seen: callers get a reset during a rolling restart. Order: SIGTERM,
-        then the balancer goes on sending for its lag, and one request comes a
-        moment after it. Cause: the listener was closed at the signal.
+        Closing the listener at SIGTERM would reset these requests during a
+        rolling restart.
         """
         cut_off, ended_ms = await stop_with([(2_900, 500), (3_450, 200)])
         self.assertEqual(cut_off, [])
-        self.assertAlmostEqual(ended_ms, 3_650 + QUIET_MS, places=3)
+        self.assertAlmostEqual(ended_ms, 3_650 + IDLE_PERIOD_MS, places=3)
 
     @trio_test
-    async def test_a_request_beyond_the_bound_is_cut_off_and_named(self):
+    async def test_a_request_beyond_the_limit_is_cut_off_and_logged(self):
         with self.assertLogs(LOGGER) as logs:
             cut_off, ended_ms = await stop_with([(0, 60_000)])
         self.assertEqual(cut_off, ["request of 0"])
         self.assertEqual(ended_ms, 13_000)
         text = "\n".join(logs.output)
-        self.assertIn("The bound of 13000 ms has lapsed.", text)
+        self.assertIn("The time limit of 13000 ms has expired.", text)
         self.assertIn("Cut off: request of 0.", text)
 
     @trio_test
-    async def test_a_second_signal_ends_the_stop_and_says_so(self):
+    async def test_a_second_signal_ends_the_stop_and_is_logged(self):
         with self.assertLogs(LOGGER) as logs:
-            cut_off, ended_ms = await stop_with([(0, 60_000)], again_ms=500)
+            cut_off, ended_ms = await stop_with([(0, 60_000)], second_signal_ms=500)
         self.assertEqual((len(cut_off), ended_ms), (1, 500))
-        self.assertIn("A second signal ends the stop at once.", "\n".join(logs.output))
+        self.assertIn(
+            "A second signal ends the graceful shutdown immediately.",
+            "\n".join(logs.output),
+        )
 
     @trio_test
-    async def test_hooks_run_last_and_cannot_hold_the_stop_up(self):
+    async def test_hooks_run_last_and_have_a_timeout(self):
         called_ms = []
 
-        async def note_time():
+        async def record_time():
             called_ms.append(trio.current_time() * 1000)
 
         cut_off, ended_ms = await stop_with(
-            [(0, 5_000)], hooks=(note_time, trio.sleep_forever)
+            [(0, 5_000)], hooks=(record_time, trio.sleep_forever)
         )
         self.assertEqual(cut_off, [])
         self.assertEqual(len(called_ms), 1)
-        self.assertAlmostEqual(ended_ms, 5_000 + QUIET_MS + 1_000, places=3)
+        self.assertAlmostEqual(ended_ms, 5_000 + IDLE_PERIOD_MS + 1_000, places=3)
