--- a/ibisfront/core/hello.py
+++ b/ibisfront/core/hello.py
@@ -1,4 +1,4 @@
-"""The first message on a stream between instances."""
+"""The handshake message of a stream between instances."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 __all__ = ["PROTOCOL_VERSION", "Hello"]
 
 PROTOCOL_VERSION = 1
-"""Raised when instances of two releases can no longer understand each other."""
+"""Incremented when a release is incompatible with the previous protocol."""
 
 
 class Hello(PeerMessage, frozen=True, tag="hello"):
-    """Who is at this end of the stream.
+    """Identifies the sender at the start of a stream.
 
     Attributes
     ----------
@@ -21,8 +21,8 @@
     member : Member
         The sender.
     neighbour : bool
-        Whether the stream stays open and carries heartbeats; else it closes
-        when it is idle. Only the side that dialled decides.
+        Whether the stream stays open and carries heartbeats; otherwise it is
+        closed when idle. Decided by the dialling side alone.
     """
 
     protocol_version: int
--- a/ibisfront/core/overlay.py
+++ b/ibisfront/core/overlay.py
@@ -1,10 +1,9 @@
-"""Who talks to whom: the neighbours that an instance keeps a stream to.
+"""The overlay network: the neighbours that an instance keeps a stream to.
 
-Up to :data:`FULL_MESH_MEMBERS` members each instance keeps a stream to every
-other. Above that, each keeps streams to members at power-of-two distances
-after itself on the hash ring of its zone, and to one member of each of
-:data:`ZONE_LINKS` other zones, so that the number of its streams grows with
-the logarithm of the number of members.
+Up to :data:`FULL_MESH_MEMBERS` members form a full mesh. Above that, each
+instance keeps streams to members at power-of-two distances after itself on the
+hash ring of its zone, and to one member in each of :data:`ZONE_LINKS` other
+zones, so that the number of streams grows logarithmically.
 """
 
 from __future__ import annotations
@@ -23,23 +22,23 @@
 __all__ = ["FULL_MESH_MEMBERS", "ZONE_LINKS", "neighbour_names"]
 
 FULL_MESH_MEMBERS = 16
-"""Up to how many members each talks to all."""
+"""Largest number of members that form a full mesh."""
 
 ZONE_LINKS = 3
-"""To how many other zones an instance keeps a stream beyond the full mesh."""
+"""Number of other zones that an instance keeps a stream to above the full mesh."""
 
 
 def neighbour_names(own: Member, members: Iterable[Member]) -> frozenset[str]:
     """Return the names of the members that an instance dials.
 
-    The instances that dial it are its neighbours as well.
+    The instances that dial it are also its neighbours.
 
     Parameters
     ----------
     own : Member
         The instance itself.
     members : iterable of Member
-        The members believed to serve.
+        The live and suspect members.
     """
     others = [member for member in members if member.name != own.name]
     if len(others) < FULL_MESH_MEMBERS:
@@ -49,7 +48,7 @@
         by_zone.setdefault(member.zone, []).append(member.name)
     chosen = _fingers(own.name, by_zone.pop(own.zone, []))
     for zone in rendezvous_order(own.name, by_zone)[:ZONE_LINKS]:
-        chosen.add(_after(own.name, by_zone[zone]))
+        chosen.add(_successor(own.name, by_zone[zone]))
     return frozenset(chosen)
 
 
@@ -64,7 +63,7 @@
     return chosen
 
 
-def _after(own_name: str, names: Sequence[str]) -> str:
+def _successor(own_name: str, names: Sequence[str]) -> str:
     position = _position(own_name)
     return min(names, key=lambda name: (_position(name) <= position, _position(name)))
 
--- a/ibisfront/testing/typed_updates.py
+++ b/ibisfront/testing/typed_updates.py
@@ -1,4 +1,4 @@
-"""Partial updates of typed settings from JSON."""
+"""Partial updates of typed structs from JSON."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Parameters
     ----------
     current : Struct
-        The values of the fields that the JSON object leaves out.
+        The values of the fields that the JSON object omits.
     body : bytes
         The JSON object; an empty body changes nothing.
 
@@ -26,7 +26,7 @@
     msgspec.DecodeError
         If the body is not JSON.
     msgspec.ValidationError
-        If a field is unknown (and the struct forbids that) or of another type.
+        If a field has the wrong type, or is unknown and the struct forbids that.
     """
     changed = msgspec.json.decode(body or b"{}", type=dict[str, object])
     fields = {**msgspec.to_builtins(current), **changed}
--- a/ibisfront/tests/test_overlay.py
+++ b/ibisfront/tests/test_overlay.py
@@ -1,4 +1,4 @@
-"""Tests of who talks to whom."""
+"""Tests of the overlay network between instances."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return links
 
 
-def _farthest(links: dict[str, set[str]], start: str) -> int:
+def _eccentricity(links: dict[str, set[str]], start: str) -> int:
     distances = {start: 0}
     queue = [start]
     for name in queue:
@@ -36,7 +36,7 @@
 
 
 class OverlayTest(unittest.TestCase):
-    """Few streams each, few steps to all, also after losses."""
+    """Degree, path length and connectivity, also after losses."""
 
     def test_small_tier_is_a_full_mesh(self) -> None:
         members = _members(FULL_MESH_MEMBERS, 3)
@@ -45,7 +45,7 @@
                 len(neighbour_names(member, members)), FULL_MESH_MEMBERS - 1
             )
 
-    def test_streams_grow_with_the_logarithm(self) -> None:
+    def test_streams_grow_logarithmically(self) -> None:
         for count, zones in ((100, 3), (1000, 19)):
             members = _members(count, zones)
             links = _links(members)
@@ -55,26 +55,28 @@
                 self.assertLessEqual(average, bound)
                 self.assertLessEqual(max(map(len, links.values())), 3 * bound)
 
-    def test_news_reaches_all_in_few_steps(self) -> None:
+    def test_update_reaches_all_in_few_hops(self) -> None:
         members = _members(1000, 19)
         links = _links(members)
-        self.assertLessEqual(_farthest(links, "i0"), 8)
+        self.assertLessEqual(_eccentricity(links, "i0"), 8)
 
-    def test_everybody_is_watched_by_somebody(self) -> None:
+    def test_every_member_is_monitored(self) -> None:
         members = _members(200, 5)
-        watched = set()
+        monitored = set()
         for member in members:
-            watched |= neighbour_names(member, members)
-        self.assertEqual(watched, {member.name for member in members})
+            monitored |= neighbour_names(member, members)
+        self.assertEqual(monitored, {member.name for member in members})
 
-    def test_tier_stays_whole_when_a_third_is_gone(self) -> None:
-        """A rack and its switch go at once, and nobody knows it yet.
+    def test_overlay_stays_connected_after_loss_of_a_third(self) -> None:
+        """A third of the members fail together, undetected, such as with a rack.
 
-        The streams to the lost third are gone, and the rest must still reach
-        each other until the members are known to be dead.
+        The streams to them are lost; the remaining members must still reach
+        each other until the failed ones are declared dead.
         """
         members = _members(300, 6)
         links = _links(members)
-        gone = {member.name for member in members[::3]}
-        left = {name: found - gone for name, found in links.items() if name not in gone}
-        self.assertLess(_farthest(left, "i1"), math.inf)
+        lost = {member.name for member in members[::3]}
+        remaining = {
+            name: found - lost for name, found in links.items() if name not in lost
+        }
+        self.assertLess(_eccentricity(remaining, "i1"), math.inf)
