--- a/benchmarks/membership_slopes.py
+++ b/benchmarks/membership_slopes.py
@@ -24,7 +24,7 @@
 from ibisfront.core.clock import MILLISECONDS_PER_SECOND, Clock
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.members import Member, Members
-from ibisfront.core.membership import MemberNews
+from ibisfront.core.membership import MemberUpdate
 from ibisfront.core.objects import ObjectKind
 from ibisfront.core.overlay import neighbour_names
 from ibisfront.core.table import TABLE_NAME, Purpose, Row, Table
@@ -239,14 +239,14 @@
         )
         for number in range(count)
     ]
-    wire = [encode(MemberNews((member,))) for member in members]
+    wire = [encode(MemberUpdate((member,))) for member in members]
     gc.collect()
     tracemalloc.start()
     view = Members(members[0])
     started_s = time.process_time()
     for data in wire:
         for frame in FrameBuffer().feed(data):
-            if isinstance(frame.message, MemberNews):
+            if isinstance(frame.message, MemberUpdate):
                 view.merge(frame.message.members[0])
     merged_s = time.process_time() - started_s
     state_bytes = tracemalloc.get_traced_memory()[0]
--- a/benchmarks/peer_message_cost.py
+++ b/benchmarks/peer_message_cost.py
@@ -88,7 +88,7 @@
         self.membership = Membership(
             members, peers=self.peers, clock=clock, counters=counters, random=random
         )
-        self.peers.answer(ShareReport, _answer)
+        self.peers.respond(ShareReport, _answer)
 
 
 def _answer(name: str, report: ShareReport) -> ShareGrants:
@@ -142,7 +142,7 @@
     question = _question(items)
 
     async def ask() -> None:
-        if await peers.ask(name, question, timeout_ms=TIMEOUT_MS) is None:
+        if await peers.request(name, question, timeout_ms=TIMEOUT_MS) is None:
             raise RuntimeError("no reply")
 
     spent_s = []
--- a/benchmarks/state_sizes.py
+++ b/benchmarks/state_sizes.py
@@ -20,6 +20,7 @@
 from ibisfront.adapters.peer_codec import encode
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState
+from ibisfront.core.dissemination import ObjectsChanged
 from ibisfront.core.heartbeat import Heartbeat
 from ibisfront.core.latency import LatencyHistogram
 from ibisfront.core.ledger_bucket import OBJECT_CLAIM_LIMIT_BYTES, Bucket
@@ -28,7 +29,6 @@
 from ibisfront.core.service_state import RecentLatency, ServiceState
 from ibisfront.core.settings import QuerySettings
 from ibisfront.core.snapshot import Index, Snapshot
-from ibisfront.core.spread import ObjectsChanged
 from ibisfront.core.table import (
     TABLE_NAME,
     EditSummary,
--- a/ibisfront/adapters/peer_codec.py
+++ b/ibisfront/adapters/peer_codec.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
+from ibisfront.core.dissemination import NewestKnown, ObjectsChanged, ObjectsWanted
 from ibisfront.core.heartbeat import Heartbeat
 from ibisfront.core.hello import Hello
 from ibisfront.core.ledger_messages import AttemptStatusReply, AttemptStatusRequest
-from ibisfront.core.membership import MemberNews, ViewsCompared
+from ibisfront.core.membership import MemberUpdate, ViewsCompared
 from ibisfront.core.peers import PeerMessage
 from ibisfront.core.quarantine import CrashReport
 from ibisfront.core.server_status import ServerStatusUpdate
 from ibisfront.core.share_messages import ShareGrants, ShareReport
-from ibisfront.core.spread import NewestKnown, ObjectsChanged, ObjectsWanted
 from ibisfront.core.status import StatusReply, StatusRequest
 
 __all__ = ["MAXIMUM_FRAME_BYTES", "Frame", "FrameBuffer", "MalformedFrame", "encode"]
@@ -31,7 +31,7 @@
 AnyMessage: TypeAlias = (
     Hello
     | Heartbeat
-    | MemberNews
+    | MemberUpdate
     | ViewsCompared
     | ObjectsChanged
     | ObjectsWanted
--- a/ibisfront/adapters/peers.py
+++ b/ibisfront/adapters/peers.py
@@ -120,7 +120,7 @@
         """Call a function for each message of a type."""
         self._handlers[message_type] = handler  # type: ignore[assignment]
 
-    def answer(
+    def respond(
         self, message_type: type[MessageType], handler: PeerReplyHandler[MessageType]
     ) -> None:
         """Let a function reply to each question of a type."""
@@ -137,7 +137,7 @@
         for stream in self._streams.values():
             stream.queue(frame)
 
-    async def ask(
+    async def request(
         self, name: str, message: PeerMessage, *, timeout_ms: float
     ) -> PeerMessage | None:
         """Send a question and return its reply, or None if none came in time."""
--- a/ibisfront/core/claimer.py
+++ b/ibisfront/core/claimer.py
@@ -188,7 +188,7 @@
             return attempt_status(self._attempts.get(attempt_id))
         if self.peers is None:
             return AttemptStatusReply()
-        reply = await self.peers.ask(
+        reply = await self.peers.request(
             attempt_id.instance,
             AttemptStatusRequest(attempt_id),
             timeout_ms=_STATUS_TIMEOUT_MS,
--- a/ibisfront/core/discovery.py
+++ b/ibisfront/core/discovery.py
@@ -1,8 +1,8 @@
-"""First contacts: the platform's list of instances, seeds, and the dead.
+"""Discovery of members: the platform's list, seeds and dead members.
 
-A cut ends without a word, so that members believed dead are greeted now and
-then. The list is read by the instances that watch the platform and by those
-that know nobody, so that its calls do not grow with the fleet.
+The end of a network partition is not signalled, so dead members are contacted
+periodically. The list is read only by the watchers of the platform and by
+instances without other members, so the call rate does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ibisfront.core.backoff import Backoff
 from ibisfront.core.errors import IbisfrontError
 from ibisfront.core.members import Member
-from ibisfront.core.membership import RETRY_DEAD_MS
+from ibisfront.core.membership import DEAD_RETRY_INTERVAL_MS
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -27,23 +27,23 @@
 
 __all__ = ["Discovery", "InstanceLister", "Introducer"]
 
-LIST_EVERY_MS = 10_000.0
-"""How often a watcher reads the platform's list of instances."""
+LIST_INTERVAL_MS = 10_000.0
+"""Interval at which a watcher reads the platform's list of instances."""
 
-ALONE_EVERY_MS = 1000.0
-"""How often an instance that knows nobody tries the list and the seeds."""
+ALONE_INTERVAL_MS = 1000.0
+"""Interval at which an instance without other members tries list and seeds."""
 
 
 class Introducer(Protocol):
-    """Greets whoever is at an address."""
+    """Exchanges introductions with the instance at an address."""
 
     def introduce(self, address: Address) -> None:
-        """Greet whoever is at an address, to learn of each other."""
+        """Exchange introductions with the instance at an address."""
         ...
 
 
 class InstanceLister(Protocol):
-    """The call of the platform that first contacts come from."""
+    """The platform call that lists instances."""
 
     async def members(self) -> Sequence[Member]:
         """Return the instances that the platform lists as live."""
@@ -51,26 +51,26 @@
 
 
 class Discovery:
-    """Finds the members that nobody has told of.
+    """Finds members that no peer has reported.
 
     Parameters
     ----------
     platform : InstanceLister
-        Where the list is.
+        Source of the list.
     introducer : Introducer
-        Greets an address.
+        Contacts an address.
     members : Members
         The view.
     membership : Membership
-        Told of the list.
+        Ingests the list.
     is_watcher : callable
-        Whether this instance watches the platform for its zone.
+        Returns whether this instance watches the platform for its zone.
     seeds : sequence of str
         Addresses from the settings.
     clock : Clock
         The tier's clock.
     random : random.Random
-        Spreads the calls over time.
+        Jitters the intervals.
     """
 
     __slots__ = (
@@ -106,38 +106,42 @@
         self._random = random
 
     async def run(self) -> None:
-        """Look for members until cancelled."""
+        """Search for members until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read_list)
-            nursery.start_soon(self._greet_seeds)
-            nursery.start_soon(self._greet_dead)
+            nursery.start_soon(self._contact_seeds)
+            nursery.start_soon(self._contact_dead)
 
     async def _read_list(self) -> None:
         backoff = Backoff(
-            first_ms=ALONE_EVERY_MS, maximum_ms=LIST_EVERY_MS, random=self._random
+            first_ms=ALONE_INTERVAL_MS, maximum_ms=LIST_INTERVAL_MS, random=self._random
         )
         while True:
             if self._members.alone or self._is_watcher():
                 try:
-                    self._membership.list_read(await self._platform.members())
+                    self._membership.ingest_instance_list(
+                        await self._platform.members()
+                    )
                     backoff.reset()
                 except IbisfrontError:
                     await self._clock.sleep_ms(backoff.next_ms())
                     continue
-            every_ms = ALONE_EVERY_MS if self._members.alone else LIST_EVERY_MS
-            await self._clock.sleep_ms(every_ms * self._random.uniform(0.5, 1.5))
+            interval_ms = ALONE_INTERVAL_MS if self._members.alone else LIST_INTERVAL_MS
+            await self._clock.sleep_ms(interval_ms * self._random.uniform(0.5, 1.5))
 
-    async def _greet_seeds(self) -> None:
+    async def _contact_seeds(self) -> None:
         while True:
             if self._members.alone:
                 for address in self._seeds:
                     if address != self._members.own.peer_address:
                         self._introducer.introduce(address)
-            await self._clock.sleep_ms(ALONE_EVERY_MS * self._random.uniform(0.5, 1.5))
+            await self._clock.sleep_ms(
+                ALONE_INTERVAL_MS * self._random.uniform(0.5, 1.5)
+            )
 
-    async def _greet_dead(self) -> None:
+    async def _contact_dead(self) -> None:
         while True:
-            wait_ms = RETRY_DEAD_MS * self._random.uniform(0.5, 1.5)
+            wait_ms = DEAD_RETRY_INTERVAL_MS * self._random.uniform(0.5, 1.5)
             await self._clock.sleep_ms(wait_ms)
             dead = self._membership.dead_to_retry()
             if dead is not None:
--- a/ibisfront/core/spread.py
+++ b/ibisfront/core/dissemination.py
@@ -1,9 +1,9 @@
-"""Handing the platform's objects on among the instances.
+"""Dissemination of the platform's objects among the instances.
 
-A change goes to all neighbours as soon as it was news here: whole if it is
-small, as the bare version if it is large, so that a large value reaches each
-instance once. Heartbeats repeat the newest version, so that whoever missed a
-change notices within a heartbeat and asks for what it lacks.
+A new change is forwarded to all neighbours at once: in full if it is small, as
+a version number if it is large, so that each instance receives a large value
+only once. Heartbeats repeat the newest version, so that an instance that missed
+a change detects this within one heartbeat and requests what it lacks.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.logs import LogPart, part_logger
 from ibisfront.core.objects import (
-    SPREAD_KINDS,
+    REPLICATED_KINDS,
     ObjectKind,
     ObjectName,
     VersionedObject,
@@ -29,43 +29,42 @@
     from ibisfront.core.objects import ObjectStore
     from ibisfront.core.peers import Peers
 
-__all__ = ["NewestKnown", "ObjectSpread", "ObjectsChanged", "ObjectsWanted"]
+__all__ = ["NewestKnown", "ObjectDissemination", "ObjectsChanged", "ObjectsWanted"]
 
 PUSH_BYTES = 2048
-"""Up to which size a change is pushed whole; a larger one is asked for."""
+"""Largest change that is pushed in full; a larger one is requested."""
 
 REPLY_BYTES = 262_144
-"""Up to which size objects are put into one reply; the rest is asked for."""
+"""Size limit of the objects in one reply; the rest is requested separately."""
 
-_ASK_AGAIN_MS = 1_000.0
-"""After how long a question without a reply is asked again; each time it takes
-twice as long. A large reply on a slow link would be asked for, and queue on that
-link, once a second."""
+_RETRY_MS = 1_000.0
+"""Delay before a request without a reply is retried, doubled for each retry.
+With a fixed delay, copies of a large reply would queue on a slow link."""
 
-_LONGEST_ASK_AGAIN_MS = 8_000.0
-"""The longest such wait: a table of the largest size, 1 MB, takes 1.2 s on a link
-of 7 Mbit/s, and several times that on a shared one."""
+_MAXIMUM_RETRY_MS = 8_000.0
+"""Upper limit of the retry delay. A table of the largest size, 1 MB, takes 1.2 s
+on a link of 7 Mbit/s, and several times that on a shared one."""
 
 _LOG = part_logger(LogPart.TABLE)
 
 
 class ObjectsChanged(PeerMessage, frozen=True, tag="objects_changed"):
-    """Every object that changed after one revision and up to another.
+    """All objects that changed after one revision, up to another.
 
     Attributes
     ----------
     after, revision : int
-        The interval that the objects are complete for.
+        The interval for which the objects are complete.
     newest : int
         The newest version that the sender holds; larger than ``revision`` if
         it has more to send.
     objects : tuple of VersionedObject
-        The objects, deleted ones too.
+        The objects, including deleted ones.
     present : tuple of ObjectName or None
-        All objects there are at ``present_at``; given when the sender may
-        lack tombstones of what was deleted after ``after``.
+        All objects that exist at ``present_at``; set if the sender may lack
+        tombstones of objects deleted after ``after``.
     present_at : int
-        The revision that ``present`` is for.
+        The revision of ``present``.
     """
 
     after: Version
@@ -77,7 +76,7 @@
 
 
 class ObjectsWanted(PeerMessage, frozen=True, tag="objects_wanted"):
-    """A request for everything that changed after a revision."""
+    """Requests all changes after a revision."""
 
     after: Version
 
@@ -88,28 +87,28 @@
     newest: Version
 
 
-class ObjectSpread:
-    """Takes objects from the platform and the peers, and hands on what is news.
+class ObjectDissemination:
+    """Merges objects from the platform and the peers, and forwards new ones.
 
     Parameters
     ----------
     store : ObjectStore
-        Where the objects go.
+        Holds the objects.
     peers : Peers
-        The other instances.
+        Messages to other instances.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where changes are counted by where they came from.
+        Counts changes by their source.
     """
 
     __slots__ = (
-        "_ask_again_ms",
         "_clock",
         "_counters",
+        "_no_request_before_ms",
         "_peers",
+        "_retry_ms",
         "_store",
-        "_wait_until_ms",
     )
 
     def __init__(
@@ -119,74 +118,74 @@
         self._peers = peers
         self._clock = clock
         self._counters = counters
-        self._ask_again_ms = _ASK_AGAIN_MS
-        self._wait_until_ms = float("-inf")
-        peers.handle(ObjectsChanged, self._changed)
-        peers.handle(ObjectsWanted, self._wanted)
+        self._retry_ms = _RETRY_MS
+        self._no_request_before_ms = float("-inf")
+        peers.handle(ObjectsChanged, self._objects_changed)
+        peers.handle(ObjectsWanted, self._objects_wanted)
         peers.handle(NewestKnown, self._newest_known)
 
     @property
     def store(self) -> ObjectStore:
-        """The objects known here."""
+        """The objects held by this instance."""
         return self._store
 
-    def take_changes(
+    def ingest_changes(
         self, objects: Sequence[VersionedObject], *, after: Version, revision: Version
     ) -> None:
-        """Take in the platform's changes after one revision up to another."""
+        """Ingest the platform's changes after one revision, up to another."""
         before = self._store.revision
         self._merge(objects, source="platform")
         if after <= before:
             self._store.complete_through(revision)
-        self._pass_on(before)
+        self._forward(before)
 
-    def take_list(
+    def ingest_list(
         self, objects: Sequence[VersionedObject], *, revision: Version
     ) -> None:
-        """Take in the platform's list of all objects at a revision."""
+        """Ingest the platform's list of all objects at a revision."""
         before = self._store.revision
         self._merge(objects, source="platform")
         present = {ObjectName(item.kind, item.name) for item in objects}
-        self._store.delete_absent(present, kinds=SPREAD_KINDS, revision=revision)
+        self._store.delete_absent(present, kinds=REPLICATED_KINDS, revision=revision)
         self._store.complete_through(revision)
-        self._pass_on(before)
+        self._forward(before)
 
-    def heard_newest(self, sender: str, newest: Version) -> None:
-        """Ask a peer for what it has, if it holds anything newer."""
+    def request_newer(self, sender: str, newest: Version) -> None:
+        """Request the changes from a peer that holds a newer version."""
         now_ms = self._clock.now_ms()
-        if newest <= self._store.revision or now_ms < self._wait_until_ms:
+        if newest <= self._store.revision or now_ms < self._no_request_before_ms:
             return
-        # One question at a time: a large value asked of every neighbour that
-        # announces it would arrive as often as there are neighbours. A lost
-        # reply holds the next question up for one wait only.
-        self._wait_until_ms = now_ms + self._ask_again_ms
-        self._ask_again_ms = min(2.0 * self._ask_again_ms, _LONGEST_ASK_AGAIN_MS)
+        # One request at a time: otherwise every neighbour that announces a large
+        # value would send a copy. A lost reply delays the next request by one
+        # retry interval only.
+        self._no_request_before_ms = now_ms + self._retry_ms
+        self._retry_ms = min(2.0 * self._retry_ms, _MAXIMUM_RETRY_MS)
         self._peers.send(sender, ObjectsWanted(self._store.revision))
 
     def _newest_known(self, sender: str, message: NewestKnown) -> None:
-        self.heard_newest(sender, message.newest)
+        self.request_newer(sender, message.newest)
 
-    def _changed(self, sender: str, message: ObjectsChanged) -> None:
+    def _objects_changed(self, sender: str, message: ObjectsChanged) -> None:
         store = self._store
         before = store.revision
-        self._wait_until_ms = float("-inf")
-        self._ask_again_ms = _ASK_AGAIN_MS
+        self._no_request_before_ms = float("-inf")
+        self._retry_ms = _RETRY_MS
         if message.present is not None:
             store.delete_absent(
                 frozenset(message.present),
-                kinds=SPREAD_KINDS,
+                kinds=REPLICATED_KINDS,
                 revision=message.present_at,
             )
         self._merge(message.objects, source="peers")
         if message.after <= before:
             store.complete_through(message.revision)
-        self._pass_on(before)
-        self.heard_newest(sender, message.newest)
+        self._forward(before)
+        self.request_newer(sender, message.newest)
 
-    def _wanted(self, sender: str, message: ObjectsWanted) -> None:
+    def _objects_wanted(self, sender: str, message: ObjectsWanted) -> None:
         store = self._store
         missing = store.changes_after(message.after)
-        part = _first_part(missing)
+        part = _first_batch(missing)
         whole = len(part) == len(missing)
         listed = message.after < store.floor
         self._peers.send(
@@ -201,7 +200,7 @@
             ),
         )
 
-    def _pass_on(self, before: Version) -> None:
+    def _forward(self, before: Version) -> None:
         store = self._store
         if store.newest <= before:
             return
@@ -218,11 +217,11 @@
     def _merge(self, objects: Sequence[VersionedObject], *, source: str) -> None:
         for item in self._store.merge(objects):
             if item.kind is ObjectKind.TABLE:
-                _LOG.info("Version %d came from the %s.", item.version, source)
+                _LOG.info("Version %d was received from the %s.", item.version, source)
             self._counters.add(CounterKind.OBJECT_CHANGES, source)
 
 
-def _first_part(objects: Sequence[VersionedObject]) -> tuple[VersionedObject, ...]:
+def _first_batch(objects: Sequence[VersionedObject]) -> tuple[VersionedObject, ...]:
     size_bytes = 0
     for count, item in enumerate(objects):
         size_bytes += _size_bytes((item,))
--- a/ibisfront/core/heartbeat.py
+++ b/ibisfront/core/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats on every stream to a neighbour."""
+"""Heartbeats on the streams to neighbours."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
     from random import Random
 
     from ibisfront.core.clock import Clock
+    from ibisfront.core.dissemination import ObjectDissemination
     from ibisfront.core.members import Member, Members
     from ibisfront.core.membership import Membership
     from ibisfront.core.peers import Peers
-    from ibisfront.core.spread import ObjectSpread
 
 __all__ = ["HEARTBEAT_MS", "Heartbeat", "Heartbeats"]
 
 HEARTBEAT_MS = 500.0
-"""How often a heartbeat goes out on each stream."""
+"""Interval between heartbeats on each stream."""
 
 _JITTER = 0.1
 
 
 class Heartbeat(PeerMessage, frozen=True, tag="heartbeat"):
-    """A sign of life, with what tells whether news was missed.
+    """Liveness signal, with the data to detect missed updates.
 
     Attributes
     ----------
     newest : int
-        The newest version of any object that the sender holds.
+        The newest object version that the sender holds.
     digest : int
         The digest of the sender's view of the members.
     """
@@ -40,43 +40,50 @@
 
 
 class Heartbeats:
-    """Sends heartbeats, and hands what they carry to the parts.
+    """Sends heartbeats and dispatches the content of received ones.
 
     Parameters
     ----------
     members : Members
         The view whose digest is sent.
     membership : Membership
-        Told who was heard.
-    spread : ObjectSpread
-        Told which versions there are.
+        Notified of received heartbeats.
+    dissemination : ObjectDissemination
+        Notified of the versions that peers hold.
     peers : Peers
-        The other instances.
+        Messages to other instances.
     clock : Clock
         The tier's clock.
     random : random.Random
-        Spreads the heartbeats of the instances over time.
+        Jitters the heartbeat interval.
     """
 
-    __slots__ = ("_clock", "_members", "_membership", "_peers", "_random", "_spread")
+    __slots__ = (
+        "_clock",
+        "_dissemination",
+        "_members",
+        "_membership",
+        "_peers",
+        "_random",
+    )
 
     def __init__(
         self,
         *,
         members: Members,
         membership: Membership,
-        spread: ObjectSpread,
+        dissemination: ObjectDissemination,
         peers: Peers,
         clock: Clock,
         random: Random,
     ) -> None:
         self._members = members
         self._membership = membership
-        self._spread = spread
+        self._dissemination = dissemination
         self._peers = peers
         self._clock = clock
         self._random = random
-        peers.handle(Heartbeat, self._heard)
+        peers.handle(Heartbeat, self._received)
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
@@ -85,15 +92,15 @@
             jitter = self._random.uniform(1 - _JITTER, 1 + _JITTER)
             await self._clock.sleep_ms(HEARTBEAT_MS * jitter)
 
-    def greeted(self, member: Member) -> None:
-        """Welcome the member at the other end of a new stream."""
-        self._membership.greeted(member)
+    def handshake_completed(self, member: Member) -> None:
+        """Process the handshake of a new stream and send the first heartbeat."""
+        self._membership.handshake_completed(member)
         self._peers.send(member.name, self.current())
 
     def current(self) -> Heartbeat:
-        """Return the heartbeat of this moment."""
-        return Heartbeat(self._spread.store.newest, self._members.digest)
+        """Return a heartbeat with the current state."""
+        return Heartbeat(self._dissemination.store.newest, self._members.digest)
 
-    def _heard(self, sender: str, message: Heartbeat) -> None:
-        self._membership.heard(sender, message.digest)
-        self._spread.heard_newest(sender, message.newest)
+    def _received(self, sender: str, message: Heartbeat) -> None:
+        self._membership.heartbeat_received(sender, message.digest)
+        self._dissemination.request_newer(sender, message.newest)
--- a/ibisfront/core/ledger.py
+++ b/ibisfront/core/ledger.py
@@ -107,7 +107,7 @@
     def use_peers(self, peers: Peers) -> None:
         """Exchange the status of attempts with the other instances."""
         self._claimer.peers = peers
-        peers.answer(AttemptStatusRequest, self._claimer.report_attempt)
+        peers.respond(AttemptStatusRequest, self._claimer.report_attempt)
 
     async def run(
         self,
--- a/ibisfront/core/members.py
+++ b/ibisfront/core/members.py
@@ -1,4 +1,4 @@
-"""The entry instances, as this one sees them."""
+"""The view that this instance has of all entry instances."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 __all__ = ["DIGEST_BUCKETS", "Member", "MemberState", "Members"]
 
 DIGEST_BUCKETS = 64
-"""Into how many parts the members are hashed to find where two views differ."""
+"""Number of hash buckets used to locate the differences between two views."""
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; at one incarnation, the larger wins."""
+    """State of a member; at equal incarnations, the larger value takes precedence."""
 
     LIVE = 0
     SUSPECT = 1
@@ -34,15 +34,15 @@
     Attributes
     ----------
     name : str
-        Its name.
+        Unique name.
     zone : str
-        Its availability zone.
+        Availability zone.
     peer_address, admin_address : str
-        Where its peers and its operators reach it.
+        Addresses for its peers and for operators.
     incarnation : int
-        Chosen at its start and raised by itself only, to refute a suspicion.
+        Chosen at startup; only the member itself raises it, to refute a suspicion.
     state : MemberState
-        What is believed of it.
+        State in the sender's view.
     """
 
     name: str
@@ -59,7 +59,7 @@
     Parameters
     ----------
     own : Member
-        This instance.
+        The entry of this instance.
     """
 
     __slots__ = (
@@ -82,56 +82,55 @@
 
     @property
     def own(self) -> Member:
-        """The member that this instance is."""
+        """The entry of this instance."""
         return self._members[self.own_name]
 
     @property
     def alone(self) -> bool:
-        """Whether no other member is believed to serve."""
+        """Whether no other member is live or suspect."""
         return self._serving <= 1
 
     @property
     def digest(self) -> int:
-        """A fingerprint of all serving members; equal for equal views."""
+        """Digest of all live and suspect members; equal for equal views."""
         return self._digest
 
     @property
     def bucket_digests(self) -> tuple[int, ...]:
-        """The fingerprint of each bucket of members."""
+        """The digest of each bucket of members."""
         return tuple(self._buckets)
 
     def in_bucket(self, bucket: int) -> list[Member]:
-        """Return the members of one bucket, whatever their states."""
+        """Return the members of one bucket, in any state."""
         return [item for item in self._members.values() if _bucket(item.name) == bucket]
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Call a function for each member that changes from now on."""
+        """Register a function that is called with each changed member."""
         self._listeners.append(listener)
 
     def get(self, name: str) -> Member | None:
-        """Return a member, whatever its state, or None if it is unknown."""
+        """Return a member in any state, or None if it is unknown."""
         return self._members.get(name)
 
     def live(self) -> list[Member]:
-        """Return the members believed to serve (suspects too), by name."""
+        """Return the live and suspect members, sorted by name."""
         return self._in_states(MemberState.LIVE, MemberState.SUSPECT)
 
     def expected(self) -> list[Member]:
-        """Return the members that have not left: the dead may only be cut off."""
+        """Return the members that have not left; dead ones may only be partitioned."""
         return self._in_states(MemberState.LIVE, MemberState.SUSPECT, MemberState.DEAD)
 
     def in_state(self, state: MemberState) -> list[Member]:
-        """Return the members believed to be in one state, by name."""
+        """Return the members in one state, sorted by name."""
         return self._in_states(state)
 
     def merge(self, member: Member) -> bool:
-        """Take in news of a member; return whether it was news."""
+        """Apply an update of a member; return whether it changed the view."""
         known = self._members.get(member.name)
         if known is not None and _rank(known) >= _rank(member):
             return False
-        # A tombstone that was forgotten here comes back from an instance that
-        # still holds it, and would go round for ever: the end of a member
-        # that is unknown is no news.
+        # A tombstone already removed here can return from an instance that
+        # still holds it; accepting it would make it circulate indefinitely.
         if known is None and member.state not in _SERVING:
             return False
         self._replace(member)
@@ -139,8 +138,8 @@
             listener(member)
         return True
 
-    def forget(self, name: str) -> None:
-        """Drop a member that is dead or has left."""
+    def remove(self, name: str) -> None:
+        """Remove a member that is dead or has left."""
         known = self._members.get(name)
         if known is not None and known.state not in _SERVING:
             del self._members[name]
@@ -175,8 +174,8 @@
 
 
 def _fingerprint(member: Member) -> int:
-    # Tombstones are forgotten at different moments, which must not look like
-    # a difference worth a comparison: they do not count.
+    # Instances remove tombstones at different times, which must not trigger a
+    # comparison of views.
     if member.state not in _SERVING:
         return 0
     return _hash(f"{member.name}\0{member.incarnation}\0{member.state}")
--- a/ibisfront/core/membership.py
+++ b/ibisfront/core/membership.py
@@ -1,10 +1,10 @@
-"""Keeping the view of the members: joining, suspicion, death, leaving.
+"""Group membership: joining, failure detection and leaving.
 
-Each instance watches the neighbours that it dials. One that is silent becomes
-suspect, and dead when nobody refutes that in time; only the member itself
-refutes, by a larger incarnation. News goes to all neighbours when, and only
-when, it was news here. Heartbeats carry a digest of the view, and two views
-that differ are compared bucket by bucket.
+Each instance monitors the neighbours that it dials. A silent neighbour becomes
+suspect, and dead unless the suspicion is refuted in time; only the member
+itself refutes it, with a larger incarnation. An update is forwarded to all
+neighbours if and only if it changed the local view. Heartbeats carry a digest
+of the view, and views that differ are compared bucket by bucket.
 """
 
 from __future__ import annotations
@@ -29,65 +29,65 @@
     from ibisfront.core.members import Members
     from ibisfront.core.peers import Peers
 
-__all__ = ["MemberNews", "Membership", "ViewsCompared"]
+__all__ = ["MemberUpdate", "Membership", "ViewsCompared"]
 
 SUSPECT_AFTER_MS = 3000.0
-"""After how long a silence a neighbour is suspected."""
+"""Silence after which a neighbour is suspected."""
 
 DEAD_AFTER_MS = 5000.0
-"""After how long a suspicion nobody refuted a member counts as dead."""
+"""Time after which a suspicion that is not refuted makes a member dead."""
 
-FORGET_LEFT_MS = 600_000.0
-"""After how long a member that left is forgotten."""
+LEFT_RETENTION_MS = 600_000.0
+"""Time after which a member that left is removed."""
 
-FORGET_DEAD_MS = 7_200_000.0
-"""After how long a dead member is forgotten, unless the platform lists it."""
+DEAD_RETENTION_MS = 7_200_000.0
+"""Time after which a dead member that the platform does not list is removed."""
 
-RETRY_DEAD_MS = 5000.0
-"""How often, on average, one dead member is tried again."""
+DEAD_RETRY_INTERVAL_MS = 5000.0
+"""Mean interval between connection attempts to dead members."""
 
 _TICK_MS = 250.0
 _LATE_TICK_MS = 500.0
-_FLUSH_MS = 20.0
-_FORGET_EVERY_MS = 10_000.0
-_COMPARE_AGAIN_MS = 1000.0
-_DIFFERENT_HEARTBEATS = 2
-_NEWS_MEMBERS = 200
-_REFUTE_AGAIN_MS = 1000.0
-_LONGEST_SUSPECT_AFTER_MS = 60_000.0
+_BATCH_DELAY_MS = 20.0
+_CLEANUP_INTERVAL_MS = 10_000.0
+_COMPARISON_INTERVAL_MS = 1000.0
+_MISMATCHES_BEFORE_COMPARISON = 2
+_MEMBERS_PER_UPDATE = 200
+_MINIMUM_REFUTATION_INTERVAL_MS = 1000.0
+_MAXIMUM_SUSPECT_AFTER_MS = 60_000.0
 _LOG = part_logger(LogPart.MEMBERS)
 
 
-class MemberNews(PeerMessage, frozen=True, tag="member_news"):
-    """What the sender believes of some members."""
+class MemberUpdate(PeerMessage, frozen=True, tag="member_news"):
+    """The sender's view of some members."""
 
     members: tuple[Member, ...]
 
 
 class ViewsCompared(PeerMessage, frozen=True, tag="views_compared"):
-    """The digest of each bucket of the sender's view, which differs."""
+    """The bucket digests of a sender whose view differs from the receiver's."""
 
     buckets: tuple[int, ...]
 
 
-class _Doubt(msgspec.Struct):
-    """What this instance has not yet heard of one neighbour.
+class _NeighbourLiveness(msgspec.Struct):
+    """Failure detection state of one neighbour.
 
     Attributes
     ----------
-    heard_at_ms : float
-        When it was last heard, or became a neighbour.
-    patience_ms : float
-        After how long a silence it is suspected; doubled each time that
-        somebody else heard it refute that.
+    received_at_ms : float
+        When the last message arrived, or when it became a neighbour.
+    suspect_after_ms : float
+        Silence after which it is suspected; doubled whenever it refutes a
+        suspicion by way of another instance.
     """
 
-    heard_at_ms: float
-    patience_ms: float = SUSPECT_AFTER_MS
+    received_at_ms: float
+    suspect_after_ms: float = SUSPECT_AFTER_MS
 
 
 class Membership:
-    """Keeps the members up to date, and says who the neighbours are.
+    """Maintains the view of the members and selects the neighbours.
 
     Parameters
     ----------
@@ -98,24 +98,24 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where changes are counted by what became of a member.
+        Counts changes by the new state of the member.
     random : random.Random
-        Decides which dead member is tried next.
+        Selects the dead member to retry.
     """
 
     __slots__ = (
         "_changed_at_ms",
         "_clock",
-        "_compare_at_ms",
         "_counters",
-        "_different",
-        "_doubts",
         "_listed",
+        "_liveness",
         "_members",
+        "_mismatches",
         "_neighbours",
-        "_news",
-        "_news_event",
+        "_next_comparison_ms",
         "_peers",
+        "_pending",
+        "_pending_event",
         "_random",
         "_refuted_at_ms",
         "_suspected_at_ms",
@@ -137,20 +137,20 @@
         self._clock = clock
         self._counters = counters
         self._random = random
-        self._doubts: dict[str, _Doubt] = {}
+        self._liveness: dict[str, _NeighbourLiveness] = {}
         self._suspected_at_ms: dict[str, float] = {}
         self._changed_at_ms: dict[str, float] = {}
-        self._different: dict[str, int] = {}
-        self._compare_at_ms = float("-inf")
+        self._mismatches: dict[str, int] = {}
+        self._next_comparison_ms = float("-inf")
         self._refuted_at_ms = float("-inf")
         self._listed: frozenset[str] = frozenset()
         self._neighbours: frozenset[str] | None = None
-        self._news: dict[str, Member] = {}
-        self._news_event = trio.Event()
+        self._pending: dict[str, Member] = {}
+        self._pending_event = trio.Event()
         self.neighbours_changed = trio.Event()
         self.leaving = False
         members.subscribe(self._member_changed)
-        peers.handle(MemberNews, self._news_heard)
+        peers.handle(MemberUpdate, self._update_received)
         peers.handle(ViewsCompared, self._views_compared)
 
     @property
@@ -160,103 +160,102 @@
             self._neighbours = neighbour_names(self._members.own, self._members.live())
         return self._neighbours
 
-    def greeted(self, member: Member) -> None:
-        """Take in a member that has just said who it is on a new stream."""
-        self._take(member)
-        self._heard(member.name)
+    def handshake_completed(self, member: Member) -> None:
+        """Apply the member that introduced itself on a new stream."""
+        self._apply(member)
+        self._message_received(member.name)
 
-    def heard(self, sender: str, digest: int) -> None:
-        """Note a heartbeat of a peer and the digest of its view."""
-        self._heard(sender)
+    def heartbeat_received(self, sender: str, digest: int) -> None:
+        """Process a heartbeat of a peer and the digest of its view."""
+        self._message_received(sender)
         if digest == self._members.digest:
-            self._different.pop(sender, None)
+            self._mismatches.pop(sender, None)
             return
-        different = self._different.get(sender, 0) + 1
-        self._different[sender] = different
+        mismatches = self._mismatches.get(sender, 0) + 1
+        self._mismatches[sender] = mismatches
         now_ms = self._clock.now_ms()
-        # News under way makes two views differ for a moment, which needs no
-        # comparison; and one comparison at a time fetches a difference once,
-        # though every neighbour shows it.
-        if now_ms < self._compare_at_ms:
+        # Updates in transit make views differ briefly, which needs no comparison.
+        # One comparison at a time fetches a difference only once, although all
+        # neighbours report it.
+        if now_ms < self._next_comparison_ms:
             return
-        if different >= _DIFFERENT_HEARTBEATS or self._members.alone:
-            self._compare_at_ms = now_ms + _COMPARE_AGAIN_MS
-            self._different[sender] = 0
+        if mismatches >= _MISMATCHES_BEFORE_COMPARISON or self._members.alone:
+            self._next_comparison_ms = now_ms + _COMPARISON_INTERVAL_MS
+            self._mismatches[sender] = 0
             buckets = self._members.bucket_digests
             self._peers.send(sender, ViewsCompared(buckets))
 
-    def list_read(self, listed: Iterable[Member]) -> None:
-        """Take in the platform's list of instances: first contacts only.
+    def ingest_instance_list(self, listed: Iterable[Member]) -> None:
+        """Add the instances on the platform's list that are not yet known.
 
-        The list lags, so that it decides nothing about a member that is known
-        here; it only keeps a dead one from being forgotten.
+        The list lags behind, so it does not change a known member; it only
+        prevents the removal of a dead one.
         """
         listed = tuple(listed)
         self._listed = frozenset(member.name for member in listed)
         for member in listed:
             if self._members.get(member.name) is None:
-                self._take(member)
+                self._apply(member)
 
     def leave(self) -> None:
-        """Tell the peers that this instance is leaving."""
+        """Notify the peers that this instance is leaving."""
         self.leaving = True
         left = msgspec.structs.replace(self._members.own, state=MemberState.LEFT)
         self._members.merge(left)
-        self._peers.send_neighbours(MemberNews((left,)))
+        self._peers.send_neighbours(MemberUpdate((left,)))
 
-    def renew(self) -> None:
-        """Raise the own incarnation, after a pause that others may have seen."""
+    def raise_incarnation(self) -> None:
+        """Raise the own incarnation after a pause that peers may have detected."""
         own = self._members.own
         if not self.leaving:
-            self._take(msgspec.structs.replace(own, incarnation=own.incarnation + 1))
-        self._forgive()
+            self._apply(msgspec.structs.replace(own, incarnation=own.incarnation + 1))
+        self._clear_suspicion()
 
     async def run(self) -> None:
-        """Watch the neighbours and send news, until cancelled."""
+        """Monitor the neighbours and send updates, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch)
+            nursery.start_soon(self._monitor)
             nursery.start_soon(self._flush)
-            nursery.start_soon(self._forget)
+            nursery.start_soon(self._clean_up)
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         due_ms = self._clock.now_ms()
         while True:
             due_ms += _TICK_MS
             await self._clock.sleep_ms(due_ms - self._clock.now_ms())
             late_ms = self._clock.now_ms() - due_ms
             if late_ms > _LATE_TICK_MS:
-                # This process was frozen or starved, not the neighbours. It
-                # shows as a tick that is late; what was not heard meanwhile
-                # proves nothing, and counts from now.
-                self._forgive()
+                # A late tick means that this process was frozen or starved of
+                # CPU, so the silence of the neighbours proves nothing.
+                self._clear_suspicion()
                 due_ms = self._clock.now_ms()
             self._suspect_silent()
-            self._bury_suspects()
+            self._declare_dead()
 
-    async def _forget(self) -> None:
+    async def _clean_up(self) -> None:
         while True:
-            await self._clock.sleep_ms(_FORGET_EVERY_MS)
-            self._forget_old()
+            await self._clock.sleep_ms(_CLEANUP_INTERVAL_MS)
+            self._remove_expired()
 
     async def _flush(self) -> None:
         while True:
-            await self._news_event.wait()
-            await self._clock.sleep_ms(_FLUSH_MS)
-            self._news_event = trio.Event()
-            news = tuple(self._news.values())
-            self._news.clear()
-            for start in range(0, len(news), _NEWS_MEMBERS):
-                part = news[start : start + _NEWS_MEMBERS]
-                self._peers.send_neighbours(MemberNews(part))
+            await self._pending_event.wait()
+            await self._clock.sleep_ms(_BATCH_DELAY_MS)
+            self._pending_event = trio.Event()
+            updated = tuple(self._pending.values())
+            self._pending.clear()
+            for start in range(0, len(updated), _MEMBERS_PER_UPDATE):
+                part = updated[start : start + _MEMBERS_PER_UPDATE]
+                self._peers.send_neighbours(MemberUpdate(part))
 
     def dead_to_retry(self) -> Member | None:
-        """Return a dead member to try again, drawn at random; None if none is."""
+        """Return a random dead member to retry, or None if there is none."""
         dead = self._members.in_state(MemberState.DEAD)
         return self._random.choice(dead) if dead else None
 
-    def _news_heard(self, sender: str, message: MemberNews) -> None:
+    def _update_received(self, sender: str, message: MemberUpdate) -> None:
         for member in message.members:
-            self._take(member)
+            self._apply(member)
 
     def _views_compared(self, sender: str, message: ViewsCompared) -> None:
         own = self._members.bucket_digests
@@ -268,57 +267,63 @@
         found = [
             member for bucket in differing for member in self._members.in_bucket(bucket)
         ]
-        for start in range(0, len(found), _NEWS_MEMBERS):
-            part = tuple(found[start : start + _NEWS_MEMBERS])
-            self._peers.send(sender, MemberNews(part))
+        for start in range(0, len(found), _MEMBERS_PER_UPDATE):
+            part = tuple(found[start : start + _MEMBERS_PER_UPDATE])
+            self._peers.send(sender, MemberUpdate(part))
 
-    def _take(self, member: Member) -> None:
+    def _apply(self, member: Member) -> None:
         if member.name == self._members.own_name:
-            self._take_own(member)
+            self._apply_own(member)
             return
         known = self._members.get(member.name)
         if not self._members.merge(member):
             return
         if known is not None and known.state is MemberState.SUSPECT:
             self._refuted(member)
-        self._say(member)
+        self._broadcast(member)
 
-    def _take_own(self, member: Member) -> None:
+    def _apply_own(self, member: Member) -> None:
         own = self._members.own
         if self.leaving or member.incarnation < own.incarnation:
             return
         if member.incarnation == own.incarnation and member.state is MemberState.LIVE:
             return
-        # Two instances started under one name would refute each other without
-        # end. It shows as a refutation right after the last one, which nobody
-        # can have doubted yet.
+        # Two instances with the same name would refute each other indefinitely.
+        # A refutation this soon after the last one indicates that: no peer can
+        # have suspected the new incarnation yet.
         now_ms = self._clock.now_ms()
-        if now_ms - self._refuted_at_ms < _REFUTE_AGAIN_MS:
+        if now_ms - self._refuted_at_ms < _MINIMUM_REFUTATION_INTERVAL_MS:
             self._counters.add(CounterKind.MEMBER_CHANGES, "name_taken")
             return
         self._refuted_at_ms = now_ms
         if member.peer_address != own.peer_address:
-            _LOG.warning("%s at %s has this name.", member.name, member.peer_address)
-        # Another instance believes this one suspect, dead or gone, or knows
-        # an incarnation of an earlier life whose clock was ahead.
+            _LOG.warning(
+                "%s at %s uses the name of this instance.",
+                member.name,
+                member.peer_address,
+            )
+        # Another instance considers this one suspect, dead or left, or holds an
+        # incarnation of an earlier process whose clock was ahead.
         refuted = msgspec.structs.replace(own, incarnation=member.incarnation + 1)
         self._counters.add(CounterKind.MEMBER_CHANGES, "refuted")
         self._members.merge(refuted)
-        self._say(refuted)
+        self._broadcast(refuted)
 
     def _refuted(self, member: Member) -> None:
-        doubt = self._doubts.get(member.name)
-        if doubt is None or member.state is not MemberState.LIVE:
+        liveness = self._liveness.get(member.name)
+        if liveness is None or member.state is not MemberState.LIVE:
             return
-        # The path from here to a member may be cut while others reach it. It
-        # shows as a refutation by news of a member that stays silent here:
-        # without more patience each round would go through the whole fleet.
-        doubt.heard_at_ms = self._clock.now_ms()
-        doubt.patience_ms = min(doubt.patience_ms * 2, _LONGEST_SUSPECT_AFTER_MS)
-
-    def _say(self, member: Member) -> None:
-        self._news[member.name] = member
-        self._news_event.set()
+        # The path to a member can fail while others reach it: it refutes the
+        # suspicion but stays silent here. Without a longer timeout every round
+        # would be broadcast to the whole fleet.
+        liveness.received_at_ms = self._clock.now_ms()
+        liveness.suspect_after_ms = min(
+            liveness.suspect_after_ms * 2, _MAXIMUM_SUSPECT_AFTER_MS
+        )
+
+    def _broadcast(self, member: Member) -> None:
+        self._pending[member.name] = member
+        self._pending_event.set()
 
     def _member_changed(self, member: Member) -> None:
         self._neighbours = None
@@ -334,50 +339,51 @@
             self._counters.add(CounterKind.MEMBER_CHANGES, reason)
             _LOG.info("%s is %s.", member.name, reason)
 
-    def _heard(self, name: str) -> None:
-        doubt = self._doubts.get(name)
-        if doubt is not None:
-            doubt.heard_at_ms = self._clock.now_ms()
-            doubt.patience_ms = SUSPECT_AFTER_MS
+    def _message_received(self, name: str) -> None:
+        liveness = self._liveness.get(name)
+        if liveness is not None:
+            liveness.received_at_ms = self._clock.now_ms()
+            liveness.suspect_after_ms = SUSPECT_AFTER_MS
         known = self._members.get(name)
         if known is not None and known.state is not MemberState.LIVE:
-            # The news may have missed the member itself, which then cannot
-            # refute it. It shows as life from one that does not count as live.
-            self._peers.send(name, MemberNews((known,)))
+            # The member sends messages although it is not live here: it may have
+            # missed the update, and must receive it to be able to refute it.
+            self._peers.send(name, MemberUpdate((known,)))
 
-    def _forgive(self) -> None:
+    def _clear_suspicion(self) -> None:
         now_ms = self._clock.now_ms()
-        for doubt in self._doubts.values():
-            doubt.heard_at_ms = now_ms
+        for liveness in self._liveness.values():
+            liveness.received_at_ms = now_ms
         for name in self._suspected_at_ms:
             self._suspected_at_ms[name] = now_ms
 
     def _suspect_silent(self) -> None:
         now_ms = self._clock.now_ms()
-        self._doubts = {
-            name: self._doubts.get(name) or _Doubt(now_ms) for name in self.neighbours
+        self._liveness = {
+            name: self._liveness.get(name) or _NeighbourLiveness(now_ms)
+            for name in self.neighbours
         }
-        for name, doubt in self._doubts.items():
-            if now_ms - doubt.heard_at_ms < doubt.patience_ms:
+        for name, liveness in self._liveness.items():
+            if now_ms - liveness.received_at_ms < liveness.suspect_after_ms:
                 continue
             member = self._members.get(name)
             if member is not None and member.state is MemberState.LIVE:
                 suspect = msgspec.structs.replace(member, state=MemberState.SUSPECT)
-                self._take(suspect)
+                self._apply(suspect)
 
-    def _bury_suspects(self) -> None:
+    def _declare_dead(self) -> None:
         now_ms = self._clock.now_ms()
         for name, since_ms in list(self._suspected_at_ms.items()):
             member = self._members.get(name)
             if member is None or now_ms - since_ms < DEAD_AFTER_MS:
                 continue
-            self._take(msgspec.structs.replace(member, state=MemberState.DEAD))
+            self._apply(msgspec.structs.replace(member, state=MemberState.DEAD))
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         now_ms = self._clock.now_ms()
         for state, after_ms in (
-            (MemberState.LEFT, FORGET_LEFT_MS),
-            (MemberState.DEAD, FORGET_DEAD_MS),
+            (MemberState.LEFT, LEFT_RETENTION_MS),
+            (MemberState.DEAD, DEAD_RETENTION_MS),
         ):
             for member in self._members.in_state(state):
                 changed_at_ms = self._changed_at_ms.get(member.name, now_ms)
@@ -385,5 +391,5 @@
                     continue
                 if state is MemberState.DEAD and member.name in self._listed:
                     continue
-                self._members.forget(member.name)
+                self._members.remove(member.name)
                 self._changed_at_ms.pop(member.name, None)
--- a/ibisfront/core/objects.py
+++ b/ibisfront/core/objects.py
@@ -1,4 +1,4 @@
-"""Versioned objects of the platform, as this instance knows them."""
+"""Versioned objects of the platform, as held by this instance."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 __all__ = [
-    "SPREAD_KINDS",
+    "REPLICATED_KINDS",
     "ObjectKind",
     "ObjectName",
     "ObjectStore",
@@ -33,12 +33,12 @@
     LEDGER = "ledger"
 
 
-SPREAD_KINDS = (ObjectKind.TABLE, ObjectKind.SERVICE, ObjectKind.INDEX)
-"""The kinds that every instance holds a copy of."""
+REPLICATED_KINDS = (ObjectKind.TABLE, ObjectKind.SERVICE, ObjectKind.INDEX)
+"""The kinds that are replicated to every instance."""
 
 
 class WriteConflict(Exception):
-    """A conditional write met another version; it took no effect."""
+    """A conditional write found another version and had no effect."""
 
 
 class ObjectName(msgspec.Struct, frozen=True, array_like=True):
@@ -54,13 +54,13 @@
     Attributes
     ----------
     kind : ObjectKind
-        What it is.
+        Kind of the object.
     name : str
-        Its name within its kind.
+        Name within the kind.
     version : int
         The platform's version.
     value_json : bytes or None
-        Its value; None once it was deleted.
+        The value; None for a deleted object.
     """
 
     kind: ObjectKind
@@ -70,20 +70,19 @@
 
 
 class ObjectStore:
-    """The newest version known of each object; versions only rise.
+    """The newest known version of each object; versions never decrease.
 
     Attributes
     ----------
     revision : int
-        The platform revision up to which everything is known: no object
-        changed at or before it in a way that is neither seen here nor
-        superseded by a change after it.
+        The platform revision up to which the store is complete: each change at
+        or before it is either held here or superseded by a later change.
     floor : int
-        The revision of the newest list taken in. Deletions at or before it may
-        have left no tombstone here.
+        The revision of the newest list ingested. Deletions at or before it may
+        have no tombstone here.
     newest : int
-        The largest version held, or the floor if that is larger. Whoever is
-        complete through it misses nothing that is held here.
+        The largest version held, or the floor if that is larger. An instance
+        that is complete through it lacks nothing held here.
     """
 
     __slots__ = ("_listeners", "_objects", "floor", "newest", "revision")
@@ -96,7 +95,7 @@
         self.newest: Version = 0
 
     def subscribe(self, listener: Callable[[VersionedObject], None]) -> None:
-        """Call a function for each object that changes from now on."""
+        """Register a function that is called with each changed object."""
         self._listeners.append(listener)
 
     def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
@@ -107,7 +106,7 @@
         return found
 
     def of_kind(self, kind: ObjectKind) -> list[VersionedObject]:
-        """Return the objects of one kind that are not deleted, by name."""
+        """Return the objects of one kind that are not deleted, sorted by name."""
         found = [
             item
             for item in self._objects.values()
@@ -116,30 +115,30 @@
         return sorted(found, key=lambda item: item.name)
 
     def present(self) -> tuple[ObjectName, ...]:
-        """Return the names of every object that is not deleted."""
+        """Return the names of all objects that are not deleted."""
         return tuple(
             name for name, item in self._objects.items() if item.value_json is not None
         )
 
     def changes_after(self, revision: Version) -> list[VersionedObject]:
-        """Return every object, deleted ones too, newer than a revision."""
+        """Return all objects newer than a revision, including deleted ones."""
         found = [item for item in self._objects.values() if item.version > revision]
         return sorted(found, key=lambda item: item.version)
 
     def merge(self, objects: Iterable[VersionedObject]) -> list[VersionedObject]:
-        """Take in objects and return those that were news.
+        """Apply objects and return those that changed the store.
 
-        An older version never replaces a newer one: a stale read or a late
-        message shows as a version that is not larger, and is dropped.
+        A version that is not larger than the one held, such as from a stale
+        read or a late message, is dropped.
         """
-        news = [item for item in objects if self._take(item)]
-        for item in news:
+        changed = [item for item in objects if self._apply(item)]
+        for item in changed:
             for listener in self._listeners:
                 listener(item)
-        return news
+        return changed
 
     def complete_through(self, revision: Version) -> None:
-        """Note that all changes up to a revision have been merged."""
+        """Record that all changes up to a revision have been merged."""
         self.revision = max(self.revision, revision)
 
     def delete_absent(
@@ -149,15 +148,15 @@
         kinds: Collection[ObjectKind],
         revision: Version,
     ) -> list[VersionedObject]:
-        """Delete what a list read at a revision no longer holds; return it.
+        """Delete the objects missing from a list read at a revision; return them.
 
-        A stale list says nothing of what changed after it. The deletions have
-        the list's revision as their version, so that newer objects stay.
+        A list proves nothing about later changes: each deletion gets the list's
+        revision as its version, so that newer objects are kept.
 
         Parameters
         ----------
         present : collection of ObjectName
-            What the list holds.
+            The objects on the list.
         kinds : collection of ObjectKind
             The kinds that the list covers.
         revision : int
@@ -166,24 +165,23 @@
         if revision > self.revision:
             self.floor = max(self.floor, revision)
             self.newest = max(self.newest, revision)
-        gone = [
+        deleted = [
             VersionedObject(item.kind, item.name, revision, None)
             for name, item in self._objects.items()
             if item.value_json is not None
             and item.kind in kinds
             and name not in present
         ]
-        return self.merge(gone)
+        return self.merge(deleted)
 
-    def _take(self, item: VersionedObject) -> bool:
+    def _apply(self, item: VersionedObject) -> bool:
         key = ObjectName(item.kind, item.name)
         known = self._objects.get(key)
         if known is not None and known.version >= item.version:
             return False
-        # A stale list can hold an object that was deleted before this store
-        # began and so left no tombstone here. It shows as an unknown object
-        # at or before the revision that the store is complete through; what
-        # still existed then would be known.
+        # A stale list can contain an object that was deleted before this store
+        # was created and has no tombstone here. Objects that still existed at
+        # the store's revision are known, so an unknown older one is dropped.
         if known is None and item.version <= self.revision:
             return False
         self._objects[key] = item
--- a/ibisfront/core/peers.py
+++ b/ibisfront/core/peers.py
@@ -1,4 +1,4 @@
-"""What the parts of an instance use to talk to the other instances."""
+"""The interface for messages to other instances."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
     """The base of every message between instances.
 
     Each message class is declared with ``tag=`` and listed in
-    ``ibisfront.adapters.peer_codec``, the one closed list. Messages travel as
-    arrays: a new field goes last and has a default, so that instances of two
-    releases understand each other during a rolling restart.
+    ``ibisfront.adapters.peer_codec``, the one closed list. Messages are encoded
+    as arrays: a new field goes last and has a default, so that two releases
+    stay compatible during a rolling restart.
     """
 
 
 MessageType = TypeVar("MessageType", bound=PeerMessage)
 PeerHandler: TypeAlias = Callable[[str, MessageType], None]
-"""Called with the sender's name and the message; must not wait."""
+"""Called with the sender's name and the message; must not block."""
 
 PeerReplyHandler: TypeAlias = Callable[[str, MessageType], PeerMessage]
-"""Called with the asker's name and the question; returns the reply at once."""
+"""Called with the requester's name and the request; returns the reply at once."""
 
 
 class Peers(Protocol):
-    """Sends messages to other instances; none is certain to arrive."""
+    """Sends messages to other instances, without a guarantee of delivery."""
 
     def send(self, name: str, message: PeerMessage) -> bool:
-        """Queue a message for one instance, neighbour or not.
+        """Queue a message for one instance, which need not be a neighbour.
 
         Returns
         -------
         bool
-            False if it is certain that it was dropped.
+            False if the message was certainly dropped.
         """
         ...
 
     def send_neighbours(self, message: PeerMessage) -> None:
         """Queue a message for every neighbour.
 
-        A part that wants news to reach all instances sends it on when, and
-        only when, it was news to itself.
+        To reach all instances, each receiver forwards an update if and only if
+        the update was new to it.
         """
         ...
 
-    async def ask(
+    async def request(
         self, name: str, message: PeerMessage, *, timeout_ms: float
     ) -> PeerMessage | None:
-        """Send a question and return its reply, or None if none came in time."""
+        """Send a request and return the reply, or None on timeout."""
         ...
 
     def handle(
         self, message_type: type[MessageType], handler: PeerHandler[MessageType]
     ) -> None:
-        """Call a function for each message of a type."""
+        """Register the handler of a message type."""
         ...
 
-    def answer(
+    def respond(
         self, message_type: type[MessageType], handler: PeerReplyHandler[MessageType]
     ) -> None:
-        """Let a function reply to each question of a type."""
+        """Register the function that replies to requests of a type."""
         ...
--- a/ibisfront/core/shares.py
+++ b/ibisfront/core/shares.py
@@ -160,7 +160,7 @@
         """
         self._peers = peers
         if peers is not None:
-            peers.answer(ShareReport, self.owner.handle_report)
+            peers.respond(ShareReport, self.owner.handle_report)
         async with trio.open_nursery() as nursery:
             while True:
                 self._early_report = trio.Event()
@@ -276,7 +276,7 @@
             return self.owner.handle_report(owner, report)
         if self._peers is None:
             return None
-        return await self._peers.ask(
+        return await self._peers.request(
             owner, report, timeout_ms=2 * self._times.report_ms
         )
 
--- a/ibisfront/core/status.py
+++ b/ibisfront/core/status.py
@@ -1,4 +1,4 @@
-"""What each instance says of itself, asked of all from one of them."""
+"""The status of all instances, collected by one of them."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
     "collect_status",
 ]
 
-_ASKED_AT_ONCE = 32
-_ASK_TIMEOUT_MS = 1000.0
+_MAXIMUM_CONCURRENT_REQUESTS = 32
+_REQUEST_TIMEOUT_MS = 1000.0
 
 
 class InstanceStatus(msgspec.Struct, frozen=True):
-    """What one instance says of itself.
+    """The status of one instance, as reported by itself.
 
     Attributes
     ----------
     name, zone : str
         The instance and its availability zone.
     table_version : int
-        The version of the table in force there; 0 if none is.
+        The version of the table in force; 0 if there is none.
     revision : int
-        The platform's revision up to which it knows everything.
+        The platform revision up to which its objects are complete.
     members : int
-        How many instances it believes to serve, itself included.
+        Number of live and suspect members in its view, including itself.
     ready : bool
-        Whether the balancer may send callers there.
+        Whether the load balancer may send requests to it.
     """
 
     name: str
@@ -54,14 +54,14 @@
 
 
 class TierStatus(msgspec.Struct, frozen=True):
-    """Every instance that has not left.
+    """The status of all instances that have not left.
 
     Attributes
     ----------
     instances : tuple of InstanceStatus
-        Those that answered, by name.
+        Those that replied, sorted by name.
     unreachable : tuple of str
-        The names of those that did not.
+        The names of those that did not reply, sorted.
     """
 
     instances: tuple[InstanceStatus, ...]
@@ -69,7 +69,7 @@
 
 
 class StatusRequest(PeerMessage, frozen=True, tag="status_request"):
-    """Asks an instance for its status."""
+    """Requests the status of an instance."""
 
 
 class StatusReply(PeerMessage, frozen=True, tag="status_reply"):
@@ -83,28 +83,28 @@
     members: Members,
     peers: Peers,
     own: Callable[[], InstanceStatus],
-    timeout_ms: float = _ASK_TIMEOUT_MS,
+    timeout_ms: float = _REQUEST_TIMEOUT_MS,
 ) -> TierStatus:
-    """Ask every expected instance for its status.
+    """Request the status of all instances that have not left.
 
     Parameters
     ----------
     members : Members
-        Whom to ask: the dead too, as they may only be cut off from here.
+        The view; dead members are included, as they may only be partitioned.
     peers : Peers
-        How to ask.
+        Messages to other instances.
     own : callable
         Returns the status of this instance.
     timeout_ms : float
-        How long each instance is waited for.
+        Timeout of each request.
     """
     statuses = [own()]
     unreachable: list[str] = []
-    limiter = trio.CapacityLimiter(_ASKED_AT_ONCE)
+    limiter = trio.CapacityLimiter(_MAXIMUM_CONCURRENT_REQUESTS)
 
-    async def ask(name: str) -> None:
+    async def request_status(name: str) -> None:
         async with limiter:
-            reply = await peers.ask(name, StatusRequest(), timeout_ms=timeout_ms)
+            reply = await peers.request(name, StatusRequest(), timeout_ms=timeout_ms)
         if isinstance(reply, StatusReply):
             statuses.append(reply.status)
         else:
@@ -113,6 +113,6 @@
     async with trio.open_nursery() as nursery:
         for member in members.expected():
             if member.name != members.own_name:
-                nursery.start_soon(ask, member.name)
+                nursery.start_soon(request_status, member.name)
     statuses.sort(key=lambda status: status.name)
     return TierStatus(tuple(statuses), tuple(sorted(unreachable)))
--- a/ibisfront/core/watch.py
+++ b/ibisfront/core/watch.py
@@ -1,4 +1,4 @@
-"""Following the platform's objects, by a few instances of each zone."""
+"""Watching the platform's objects, by a few instances of each zone."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.errors import IbisfrontError
 from ibisfront.core.logs import LogPart, part_logger
-from ibisfront.core.objects import SPREAD_KINDS
+from ibisfront.core.objects import REPLICATED_KINDS
 from ibisfront.core.rendezvous import rendezvous_order
 
 if TYPE_CHECKING:
@@ -19,9 +19,9 @@
 
     from ibisfront.core.clock import Clock
     from ibisfront.core.counters import Counters
+    from ibisfront.core.dissemination import ObjectDissemination
     from ibisfront.core.members import Member, Members
     from ibisfront.core.objects import ObjectKind, VersionedObject
-    from ibisfront.core.spread import ObjectSpread
     from ibisfront.core.types import Version
 
 __all__ = [
@@ -33,25 +33,25 @@
 ]
 
 WATCHERS_PER_ZONE = 2
-"""How many instances of each zone watch the platform."""
+"""Number of instances per zone that watch the platform."""
 
-FIRST_LIST_AFTER_MS = 500.0
-"""How long a starting instance waits for its peers before it lists itself."""
+FIRST_LIST_DELAY_MS = 500.0
+"""How long a starting instance waits for peers before it reads the list itself."""
 
-_ANSWER_BOUND_MS = 3000.0
-_RETRY_FIRST_MS = 200.0
-_RETRY_LONGEST_MS = 10_000.0
-_SHORTEST_ROUND_MS = 50.0
-_ROLE_CHECK_MS = 500.0
+_RESPONSE_MARGIN_MS = 3000.0
+_FIRST_RETRY_MS = 200.0
+_MAXIMUM_RETRY_MS = 10_000.0
+_MINIMUM_INTERVAL_MS = 50.0
+_ROLE_CHECK_INTERVAL_MS = 500.0
 _LOG = part_logger(LogPart.PLATFORM)
 
 
 class ObjectsReadLike(Protocol):
-    """Objects as read at one revision."""
+    """Objects read at one revision."""
 
     @property
     def revision(self) -> Version:
-        """The revision read at."""
+        """The revision of the read."""
         ...
 
     @property
@@ -64,7 +64,7 @@
     """The calls of the platform that a watch needs."""
 
     async def list_objects(self, kinds: Sequence[ObjectKind]) -> ObjectsReadLike:
-        """Return every object of some kinds."""
+        """Return all objects of some kinds."""
         ...
 
     async def changes(
@@ -81,24 +81,24 @@
 
 
 class PlatformWatch:
-    """Follows the platform while this instance is a watcher of its zone.
+    """Watches the platform while this instance is a watcher of its zone.
 
     Parameters
     ----------
     platform : WatchedPlatform
-        What is followed.
-    spread : ObjectSpread
-        Takes what was read.
+        The platform to watch.
+    dissemination : ObjectDissemination
+        Ingests the objects read.
     members : Members
-        Decides who watches.
+        Determines the watchers.
     connected : callable
         Returns the names of the neighbours with an open stream.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where calls are counted by outcome.
+        Counts calls by outcome.
     random : random.Random
-        Spreads retries over time.
+        Jitters the retry delays.
     wait_ms : float
         How long one call may wait for a change.
     """
@@ -108,13 +108,13 @@
         "_clock",
         "_connected",
         "_counters",
+        "_dissemination",
         "_failing",
         "_listed",
         "_members",
         "_platform",
         "_random",
         "_scope",
-        "_spread",
         "_wait_ms",
         "_watcher",
     )
@@ -123,7 +123,7 @@
         self,
         *,
         platform: WatchedPlatform,
-        spread: ObjectSpread,
+        dissemination: ObjectDissemination,
         members: Members,
         connected: Callable[[], Collection[str]],
         clock: Clock,
@@ -132,7 +132,7 @@
         wait_ms: float,
     ) -> None:
         self._platform = platform
-        self._spread = spread
+        self._dissemination = dissemination
         self._members = members
         self._connected = connected
         self._clock = clock
@@ -150,8 +150,7 @@
     def is_watcher(self) -> bool:
         """Whether this instance watches the platform for its zone.
 
-        An instance that knows no other one is the only one of its zone, and
-        so watches for itself.
+        An instance without other members in its zone is always a watcher.
         """
         if self._watcher is None:
             own = self._members.own
@@ -159,19 +158,19 @@
         return self._watcher
 
     def restart(self) -> None:
-        """Give up the call under way and read anew."""
+        """Cancel the current call and read again."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Follow the platform until cancelled."""
+        """Watch the platform until cancelled."""
         backoff = Backoff(
-            first_ms=_RETRY_FIRST_MS, maximum_ms=_RETRY_LONGEST_MS, random=self._random
+            first_ms=_FIRST_RETRY_MS, maximum_ms=_MAXIMUM_RETRY_MS, random=self._random
         )
         await self._wait_for_peers()
         while True:
             await self._wait_to_be_watcher()
             started_ms = self._clock.now_ms()
-            before = self._spread.store.revision
+            before = self._dissemination.store.revision
             with trio.CancelScope() as self._scope:
                 try:
                     await self._read()
@@ -180,60 +179,62 @@
                     await self._clock.sleep_ms(backoff.next_ms())
                     continue
             spent_ms = self._clock.now_ms() - started_ms
-            if self._spread.store.revision > before or spent_ms >= self._wait_ms / 2:
+            if (
+                self._dissemination.store.revision > before
+                or spent_ms >= self._wait_ms / 2
+            ):
                 backoff.reset()
             else:
-                # A platform that answers a waiting call at once and brings
-                # nothing, by fault, by an old replica or by a proxy between,
-                # must not be called in a tight loop.
+                # A faulty platform, an old replica or a proxy can return an
+                # empty response at once; it must not be called in a tight loop.
                 self._count("watch_empty")
-                await self._clock.sleep_ms(_SHORTEST_ROUND_MS + backoff.next_ms())
+                await self._clock.sleep_ms(_MINIMUM_INTERVAL_MS + backoff.next_ms())
 
     async def _read(self) -> None:
-        # A call can go silent without closing. It shows as no answer long
-        # after the wait that it was given; the next call is a new one.
-        with self._clock.timeout_ms(self._wait_ms + _ANSWER_BOUND_MS) as bound:
-            after = self._spread.store.revision
+        # A call can become silent without closing: it is abandoned when there is
+        # no response well after its wait time.
+        with self._clock.timeout_ms(self._wait_ms + _RESPONSE_MARGIN_MS) as timeout:
+            after = self._dissemination.store.revision
             if not (self._listed or after > 0) or not await self._read_changes(after):
                 await self._read_list()
-        if bound.cancelled_caught:
+        if timeout.cancelled_caught:
             self._count("watch_silent")
 
     async def _read_changes(self, after: Version) -> bool:
         changes = await self._platform.changes(
-            SPREAD_KINDS, after=after, wait_ms=self._wait_ms
+            REPLICATED_KINDS, after=after, wait_ms=self._wait_ms
         )
         if changes is None:
             self._count("watch_too_old")
             return False
         self._count("watched")
-        self._answered()
-        self._spread.take_changes(
+        self._succeeded()
+        self._dissemination.ingest_changes(
             changes.objects, after=after, revision=changes.revision
         )
         return True
 
     async def _read_list(self) -> None:
-        listed = await self._platform.list_objects(SPREAD_KINDS)
+        listed = await self._platform.list_objects(REPLICATED_KINDS)
         self._count("listed")
-        self._answered()
+        self._succeeded()
         self._listed = True
-        self._spread.take_list(listed.objects, revision=listed.revision)
+        self._dissemination.ingest_list(listed.objects, revision=listed.revision)
 
     async def _wait_for_peers(self) -> None:
-        # Instances that start together, say after a zone came back, would all
-        # list the platform. Whoever has peers takes the objects from them.
-        end_ms = self._clock.now_ms() + FIRST_LIST_AFTER_MS
-        while self._clock.now_ms() < end_ms and self._spread.store.revision == 0:
+        # Instances that start together, such as after a zone outage, would all
+        # list the platform. With peers connected, the objects come from them.
+        end_ms = self._clock.now_ms() + FIRST_LIST_DELAY_MS
+        while self._clock.now_ms() < end_ms and self._dissemination.store.revision == 0:
             if self._connected() and not self.is_watcher:
                 return
-            await self._clock.sleep_ms(_SHORTEST_ROUND_MS)
+            await self._clock.sleep_ms(_MINIMUM_INTERVAL_MS)
 
     async def _wait_to_be_watcher(self) -> None:
-        # Members that are listed or not yet believed dead may all be out of
-        # reach; an instance without any stream reads for itself.
+        # All other members may be unreachable although they are not yet declared
+        # dead, so an instance without any stream reads from the platform itself.
         while not self.is_watcher and self._connected():
-            with self._clock.timeout_ms(_ROLE_CHECK_MS):
+            with self._clock.timeout_ms(_ROLE_CHECK_INTERVAL_MS):
                 await self._changed.wait()
 
     def _member_changed(self, member: Member) -> None:
@@ -244,12 +245,12 @@
     def _failed(self, error: IbisfrontError) -> None:
         self._count("watch_failed")
         if not self._failing:
-            _LOG.warning("The watch fails: %s.", error.detail)
+            _LOG.warning("The platform watch failed: %s.", error.detail)
         self._failing = True
 
-    def _answered(self) -> None:
+    def _succeeded(self) -> None:
         if self._failing:
-            _LOG.info("The watch works again.")
+            _LOG.info("The platform watch has recovered.")
         self._failing = False
 
     def _count(self, reason: str) -> None:
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -116,7 +116,7 @@
             settings=settings.query,
         )
         self.stopping.on_leaving(self.shared.leave)
-        self.peers.answer(
+        self.peers.respond(
             StatusRequest, lambda asker, question: StatusReply(self.status())
         )
         self._adapters = adapters
--- a/ibisfront/shared_state.py
+++ b/ibisfront/shared_state.py
@@ -8,11 +8,11 @@
 import trio
 
 from ibisfront.core.discovery import Discovery, InstanceLister
+from ibisfront.core.dissemination import ObjectDissemination
 from ibisfront.core.heartbeat import Heartbeats
 from ibisfront.core.membership import Membership
 from ibisfront.core.pause import watch_for_pause
 from ibisfront.core.server_status import ServerStatuses
-from ibisfront.core.spread import ObjectSpread
 from ibisfront.core.watch import PlatformWatch, WatchedPlatform
 
 if TYPE_CHECKING:
@@ -67,14 +67,14 @@
         self.membership = Membership(
             members, peers=peers, clock=clock, counters=counters, random=random
         )
-        self.dissemination = ObjectSpread(
+        self.dissemination = ObjectDissemination(
             store, peers=peers, clock=clock, counters=counters
         )
         self.server_statuses = ServerStatuses(store, peers=peers, clock=clock)
         self.heartbeats = Heartbeats(
             members=members,
             membership=self.membership,
-            spread=self.dissemination,
+            dissemination=self.dissemination,
             peers=peers,
             clock=clock,
             random=random,
@@ -109,7 +109,7 @@
         """
         watch = PlatformWatch(
             platform=platform,
-            spread=self.dissemination,
+            dissemination=self.dissemination,
             members=self.members,
             connected=lambda: self.peers.connected,
             clock=self._clock,
@@ -130,13 +130,15 @@
 
         def on_pause(late_ms: float) -> None:
             # State read or agreed before the pause may be stale.
-            self.membership.renew()
+            self.membership.raise_incarnation()
             self.peers.reset()
             watch.restart()
 
         async with trio.open_nursery() as nursery:
             keep_streams = partial(
-                self.peers.run, self.membership, greeted=self.heartbeats.greeted
+                self.peers.run,
+                self.membership,
+                greeted=self.heartbeats.handshake_completed,
             )
             await nursery.start(keep_streams)
             task_status.started()
--- a/ibisfront/testing/peer_streams.py
+++ b/ibisfront/testing/peer_streams.py
@@ -1,4 +1,4 @@
-"""Streams between instances in one process, for tests: they can be cut."""
+"""In-process streams between instances for tests, with network partitions."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 class MemoryNetwork:
     """Carries the streams of one test between addresses.
 
-    A cut shows as a network without a word does: bytes vanish, streams stay
-    open, new ones are not answered.
+    A partition is silent: bytes are lost, open streams stay open, and new ones
+    are never accepted.
 
     Attributes
     ----------
     dial_ms : float
-        How long it takes to open a stream.
+        Time to open a stream.
     opened : int
-        How many streams were opened.
+        Number of streams opened.
     """
 
     def __init__(self) -> None:
@@ -37,47 +37,47 @@
         self.opened = 0
         self.listeners: dict[Address, Callable[[trio.abc.Stream], None]] = {}
         self._sides: list[frozenset[Address]] = []
-        self._paths: set[frozenset[Address]] = set()
-        self._silent: set[_Carrier] = set()
-        self.open_streams: set[_Carrier] = set()
+        self._blocked_paths: set[frozenset[Address]] = set()
+        self._silent: set[_Link] = set()
+        self.open_streams: set[_Link] = set()
 
     def transport(self, address: Address) -> MemoryTransport:
         """Return the transport of the instance at an address."""
         return MemoryTransport(address, self)
 
-    def cut(self, *sides: frozenset[Address]) -> None:
-        """Lose all bytes between addresses on different sides, from now on."""
+    def partition(self, *sides: frozenset[Address]) -> None:
+        """Drop all bytes between addresses on different sides."""
         self._sides = list(sides)
 
-    def cut_path(self, first: Address, second: Address) -> None:
-        """Lose all bytes between two addresses, from now on."""
-        self._paths.add(frozenset((first, second)))
+    def block_path(self, first: Address, second: Address) -> None:
+        """Drop all bytes between two addresses."""
+        self._blocked_paths.add(frozenset((first, second)))
 
-    def mend(self) -> None:
-        """End the cut; what was lost stays lost, and its streams silent."""
-        for carrier in self.open_streams:
-            if not self.reaches(*carrier.ends):
-                self._silent.add(carrier)
+    def heal(self) -> None:
+        """Heal all partitions; streams that were open across them stay silent."""
+        for link in self.open_streams:
+            if not self.is_reachable(*link.ends):
+                self._silent.add(link)
         self._sides = []
-        self._paths.clear()
+        self._blocked_paths.clear()
 
     def silence_streams(self) -> None:
-        """Lose track of every open stream, while new ones work."""
+        """Make all open streams silent; new ones work."""
         self._silent |= self.open_streams
 
-    def reaches(self, first: Address, second: Address) -> bool:
-        """Return whether bytes pass between two addresses now."""
-        if frozenset((first, second)) in self._paths:
+    def is_reachable(self, first: Address, second: Address) -> bool:
+        """Return whether bytes are currently delivered between two addresses."""
+        if frozenset((first, second)) in self._blocked_paths:
             return False
         return all((first in side) == (second in side) for side in self._sides)
 
-    def carries(self, carrier: _Carrier) -> bool:
-        """Return whether bytes pass on an open stream now."""
-        return carrier not in self._silent and self.reaches(*carrier.ends)
+    def is_delivering(self, link: _Link) -> bool:
+        """Return whether bytes are currently delivered on an open stream."""
+        return link not in self._silent and self.is_reachable(*link.ends)
 
 
-class _Carrier:
-    """One stream of a network; both its ends send through it."""
+class _Link:
+    """One stream of a network, shared by its two ends."""
 
     __slots__ = ("ends", "network")
 
@@ -86,15 +86,15 @@
         self.ends = ends
 
 
-class _CuttableStream(trio.abc.Stream):
-    """One end of a stream, which loses bytes while its network is cut."""
+class _PartitionableStream(trio.abc.Stream):
+    """One end of a stream, which drops bytes while its network is partitioned."""
 
-    def __init__(self, carrier: _Carrier, inner: trio.abc.Stream) -> None:
-        self._carrier = carrier
+    def __init__(self, link: _Link, inner: trio.abc.Stream) -> None:
+        self._link = link
         self._inner = inner
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        if self._carrier.network.carries(self._carrier):
+        if self._link.network.is_delivering(self._link):
             await self._inner.send_all(data)
         else:
             await trio.lowlevel.checkpoint()
@@ -104,12 +104,12 @@
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes | bytearray:
         received = await self._inner.receive_some(max_bytes)
-        if not received and not self._carrier.network.carries(self._carrier):
+        if not received and not self._link.network.is_delivering(self._link):
             await trio.sleep_forever()
         return received
 
     async def aclose(self) -> None:
-        self._carrier.network.open_streams.discard(self._carrier)
+        self._link.network.open_streams.discard(self._link)
         await self._inner.aclose()
 
 
@@ -123,20 +123,20 @@
         self._network = network
 
     async def dial(self, address: Address) -> trio.abc.Stream:
-        """Return a new stream; raise ``OSError`` if nobody listens."""
+        """Return a new stream; raise ``OSError`` if there is no listener."""
         network = self._network
-        if not network.reaches(self._address, address):
+        if not network.is_reachable(self._address, address):
             await trio.sleep_forever()
         await trio.sleep(network.dial_ms / MILLISECONDS_PER_SECOND)
         accept = network.listeners.get(address)
         if accept is None:
-            raise OSError(f"nobody listens at {address}")
-        carrier = _Carrier(network, (self._address, address))
-        network.open_streams.add(carrier)
+            raise OSError(f"connection refused: no listener at {address}")
+        link = _Link(network, (self._address, address))
+        network.open_streams.add(link)
         network.opened += 1
         near, far = trio.testing.memory_stream_pair()
-        accept(_CuttableStream(carrier, far))
-        return _CuttableStream(carrier, near)
+        accept(_PartitionableStream(link, far))
+        return _PartitionableStream(link, near)
 
     async def listen(
         self,
@@ -146,8 +146,7 @@
         """Accept streams until cancelled."""
         listeners = self._network.listeners
         async with trio.open_nursery() as nursery:
-            # The accepted streams of an instance end with it, as those of a
-            # process do.
+            # The accepted streams end with their instance, as in a process.
             listeners[self._address] = lambda stream: nursery.start_soon(accept, stream)
             try:
                 task_status.started()
--- a/ibisfront/testing/peers.py
+++ b/ibisfront/testing/peers.py
@@ -1,4 +1,4 @@
-"""Peers in one process, for tests: a network that can be cut."""
+"""In-process fake of the peers for tests, with network partitions."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 class PeerNetwork:
-    """Carries messages between the fakes of one test.
+    """Delivers messages between the fake peers of one test.
 
     Parameters
     ----------
     clock : Clock
         The test's clock.
     nursery : trio.Nursery
-        Where deliveries run.
+        The nursery of the deliveries.
     delay_ms : float
-        How long each message takes one way.
+        One-way delay of each message.
 
     Attributes
     ----------
     sent, bytes_sent, largest_bytes : int
-        How many messages were sent, their sizes together and the largest.
+        Number of messages sent, their total size and the largest size.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.nursery = nursery
         self.delay_ms = delay_ms
         self.peers: dict[str, FakePeers] = {}
-        self._cut: set[frozenset[str]] = set()
+        self._partitioned: set[frozenset[str]] = set()
         self.sent = 0
         self.bytes_sent = 0
         self.largest_bytes = 0
@@ -56,30 +56,30 @@
         return self.peers[name]
 
     def leave(self, name: str) -> None:
-        """Take an instance off the network, without a word."""
+        """Remove an instance from the network without notifying the others."""
         self.peers.pop(name, None)
 
-    def cut(self, first: str, second: str) -> None:
-        """Lose every message between two instances from now on."""
-        self._cut.add(frozenset((first, second)))
+    def partition(self, first: str, second: str) -> None:
+        """Drop all messages between two instances until the partition heals."""
+        self._partitioned.add(frozenset((first, second)))
 
-    def mend(self) -> None:
-        """End every cut."""
-        self._cut.clear()
+    def heal(self) -> None:
+        """Heal all partitions."""
+        self._partitioned.clear()
 
     def count(self, message: PeerMessage) -> None:
-        """Count a message and its size on the wire."""
+        """Count a message and its encoded size."""
         size_bytes = len(encode(message))
         self.sent += 1
         self.bytes_sent += size_bytes
         self.largest_bytes = max(self.largest_bytes, size_bytes)
 
-    def reaches(self, sender: str, receiver: str) -> bool:
-        """Return whether a message would arrive now."""
+    def is_reachable(self, sender: str, receiver: str) -> bool:
+        """Return whether a message would currently be delivered."""
         return (
             sender in self.peers
             and receiver in self.peers
-            and frozenset((sender, receiver)) not in self._cut
+            and frozenset((sender, receiver)) not in self._partitioned
         )
 
 
@@ -106,18 +106,18 @@
             if name != self.name:
                 self.send(name, message)
 
-    async def ask(
+    async def request(
         self, name: str, message: PeerMessage, *, timeout_ms: float
     ) -> PeerMessage | None:
-        """Send a question; see ``Peers``."""
+        """Send a request; see ``Peers``."""
         network = self._network
         with network.clock.timeout_ms(timeout_ms):
             await network.clock.sleep_ms(network.delay_ms)
-            if not network.reaches(self.name, name):
+            if not network.is_reachable(self.name, name):
                 await trio.sleep_forever()
             reply = network.peers[name].reply(self.name, message)
             await network.clock.sleep_ms(network.delay_ms)
-            if not network.reaches(name, self.name):
+            if not network.is_reachable(name, self.name):
                 await trio.sleep_forever()
             return reply
         return None
@@ -125,26 +125,26 @@
     def handle(
         self, message_type: type[MessageType], handler: PeerHandler[MessageType]
     ) -> None:
-        """Call a function for each message of a type; see ``Peers``."""
+        """Register the handler of a message type; see ``Peers``."""
         self._handlers[message_type] = handler  # type: ignore[assignment]
 
-    def answer(
+    def respond(
         self, message_type: type[MessageType], handler: PeerReplyHandler[MessageType]
     ) -> None:
-        """Let a function reply to questions; see ``Peers``."""
+        """Register the function that replies to requests; see ``Peers``."""
         self._repliers[message_type] = handler  # type: ignore[assignment]
 
-    def reply(self, asker: str, message: PeerMessage) -> PeerMessage:
-        """Return the reply of this instance to a question."""
-        return self._repliers[type(message)](asker, message)
+    def reply(self, requester: str, message: PeerMessage) -> PeerMessage:
+        """Return the reply of this instance to a request."""
+        return self._repliers[type(message)](requester, message)
 
     async def _deliver(self, name: str, message: PeerMessage) -> None:
         await self._network.clock.sleep_ms(self._network.delay_ms)
-        if self._network.reaches(self.name, name):
+        if self._network.is_reachable(self.name, name):
             self._network.peers[name].receive(self.name, message)
 
     def receive(self, sender: str, message: PeerMessage) -> None:
-        """Hand a message to its handler; dropped if there is none."""
+        """Pass a message to its handler; without one, drop it."""
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(sender, message)
--- a/ibisfront/testing/share_cluster.py
+++ b/ibisfront/testing/share_cluster.py
@@ -156,13 +156,13 @@
         """Partition some instances from the others, in both directions."""
         for name in side:
             for other in set(self.nodes) - side:
-                self.network.cut(name, other)
+                self.network.partition(name, other)
                 self._partitioned_pairs.add(frozenset((name, other)))
         self._nursery.start_soon(self._detect_partition)
 
     def heal(self) -> None:
         """End every partition; members become live again after a delay."""
-        self.network.mend()
+        self.network.heal()
         self._partitioned_pairs.clear()
         for node in self.nodes.values():
             self._incarnation += 1
@@ -179,9 +179,9 @@
         load, node.load = node.load, Load()
         others = set(self.nodes) - {name}
         for other in others:
-            self.network.cut(name, other)
+            self.network.partition(name, other)
         await self.clock.sleep_ms(duration_ms)
-        self.network.mend()
+        self.network.heal()
         node.load = load
         self._nursery.start_soon(self._report, node)
 
--- a/ibisfront/testing/shared_state_cluster.py
+++ b/ibisfront/testing/shared_state_cluster.py
@@ -149,13 +149,13 @@
         """Partition one zone from the others, and by default from the platform."""
         inside = [n for n in self.nodes.values() if n.members.own.zone == zone]
         addresses = frozenset(node.members.own.peer_address for node in inside)
-        self.network.cut(addresses)
+        self.network.partition(addresses)
         for node in inside:
             node.platform.cut_off = from_platform
 
     def heal(self) -> None:
         """End every partition."""
-        self.network.mend()
+        self.network.heal()
         for node in self.nodes.values():
             node.platform.cut_off = False
 
--- a/ibisfront/tests/test_spread.py
+++ b/ibisfront/tests/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Tests of handing objects on among instances."""
+"""Tests of the dissemination of objects among instances."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import Counters
+from ibisfront.core.dissemination import PUSH_BYTES, REPLY_BYTES, ObjectDissemination
 from ibisfront.core.objects import ObjectKind, ObjectStore, VersionedObject
-from ibisfront.core.spread import PUSH_BYTES, REPLY_BYTES, ObjectSpread
 from ibisfront.testing.peers import FakePeers, PeerNetwork
 from ibisfront.tests import trio_test
 
@@ -19,7 +19,7 @@
         self.name = name
         self.peers: FakePeers = network.join(name)
         self.store = ObjectStore()
-        self.spread = ObjectSpread(
+        self.dissemination = ObjectDissemination(
             self.store, peers=self.peers, clock=network.clock, counters=Counters()
         )
 
@@ -32,8 +32,8 @@
     return VersionedObject(ObjectKind.SERVICE, name, version, value)
 
 
-class ObjectSpreadTest(unittest.TestCase):
-    """Changes reach all, whole and in any order."""
+class ObjectDisseminationTest(unittest.TestCase):
+    """Changes reach all instances, in full and in any order."""
 
     async def _run(self, scenario) -> None:
         clock = Clock()
@@ -44,9 +44,9 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_change_reaches_all_and_comes_to_rest(self) -> None:
+    async def test_change_reaches_all_and_traffic_ends(self) -> None:
         async def scenario(clock, network, first, second, third) -> None:
-            first.spread.take_list([_item("a", 3)], revision=5)
+            first.dissemination.ingest_list([_item("a", 3)], revision=5)
             await clock.sleep_ms(100.0)
             self.assertEqual([second.value("a"), third.value("a")], [b"{}", b"{}"])
             self.assertEqual([second.store.revision, third.store.revision], [5, 5])
@@ -60,18 +60,18 @@
     async def test_missed_change_is_fetched_at_the_next_heartbeat(self) -> None:
         """A change is lost on its way to one instance, and another follows.
 
-        The second alone would leave the first one missing for good.
+        The second change alone would leave the first one missing permanently.
         """
 
         async def scenario(clock, network, first, second, third) -> None:
-            first.spread.take_list([_item("a", 1)], revision=1)
+            first.dissemination.ingest_list([_item("a", 1)], revision=1)
             await clock.sleep_ms(100.0)
-            network.cut("i1", "i3")
-            network.cut("i2", "i3")
-            first.spread.take_changes([_item("b", 2)], after=1, revision=2)
+            network.partition("i1", "i3")
+            network.partition("i2", "i3")
+            first.dissemination.ingest_changes([_item("b", 2)], after=1, revision=2)
             await clock.sleep_ms(100.0)
-            network.mend()
-            first.spread.take_changes([_item("c", 3)], after=2, revision=3)
+            network.heal()
+            first.dissemination.ingest_changes([_item("c", 3)], after=2, revision=3)
             await clock.sleep_ms(100.0)
             self.assertEqual([third.value("b"), third.value("c")], [b"{}", b"{}"])
             self.assertEqual(third.store.revision, 3)
@@ -79,14 +79,14 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_gap_heals_by_the_version_in_a_heartbeat(self) -> None:
+    async def test_gap_is_closed_by_the_version_in_a_heartbeat(self) -> None:
         async def scenario(clock, network, first, second, third) -> None:
-            network.cut("i1", "i3")
-            network.cut("i2", "i3")
-            first.spread.take_list([_item("a", 1)], revision=1)
+            network.partition("i1", "i3")
+            network.partition("i2", "i3")
+            first.dissemination.ingest_list([_item("a", 1)], revision=1)
             await clock.sleep_ms(100.0)
-            network.mend()
-            third.spread.heard_newest("i2", second.store.newest)
+            network.heal()
+            third.dissemination.request_newer("i2", second.store.newest)
             await clock.sleep_ms(100.0)
             self.assertEqual(third.value("a"), b"{}")
 
@@ -94,23 +94,23 @@
 
     @trio_test
     async def test_deletion_reaches_an_instance_that_missed_it(self) -> None:
-        """A service is deleted while one instance is cut off.
+        """A service is deleted while one instance is partitioned.
 
-        The others were replaced meanwhile and so hold no tombstone. The one
-        that was cut off would keep the service, and send work to it, for ever.
+        The others are replaced meanwhile and so have no tombstone. The
+        partitioned instance would keep the service and route requests to it.
         """
 
         async def scenario(clock, network, first, second, third) -> None:
-            first.spread.take_list([_item("a", 1), _item("b", 2)], revision=2)
+            first.dissemination.ingest_list([_item("a", 1), _item("b", 2)], revision=2)
             await clock.sleep_ms(100.0)
             network.leave("i1")
             network.leave("i2")
             fresh = _Node("i4", network)
             network.peers.pop("i3")
-            fresh.spread.take_list([_item("b", 2)], revision=7)
+            fresh.dissemination.ingest_list([_item("b", 2)], revision=7)
             await clock.sleep_ms(100.0)
             network.peers["i3"] = third.peers
-            third.spread.heard_newest("i4", fresh.store.newest)
+            third.dissemination.request_newer("i4", fresh.store.newest)
             await clock.sleep_ms(100.0)
             self.assertIsNone(third.value("a"))
             self.assertEqual(third.value("b"), b"{}")
@@ -118,17 +118,19 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_large_change_is_fetched_once_by_each(self) -> None:
-        """A table of many rows changes, and every neighbour has it to offer.
+    async def test_large_change_is_transferred_once_to_each(self) -> None:
+        """A large table changes, and every neighbour announces it.
 
-        Pushed whole by each, it would arrive once for each neighbour.
+        If each pushed it in full, it would arrive once per neighbour.
         """
 
         async def scenario(clock, network, first, second, third) -> None:
-            first.spread.take_list([], revision=1)
+            first.dissemination.ingest_list([], revision=1)
             await clock.sleep_ms(100.0)
             value = b"x" * (PUSH_BYTES + 1)
-            first.spread.take_changes([_item("a", 2, value)], after=1, revision=2)
+            first.dissemination.ingest_changes(
+                [_item("a", 2, value)], after=1, revision=2
+            )
             await clock.sleep_ms(100.0)
             self.assertEqual([second.value("a"), third.value("a")], [value, value])
             self.assertLess(network.bytes_sent, 3 * len(value))
@@ -136,11 +138,11 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_many_objects_come_in_parts(self) -> None:
+    async def test_many_objects_are_sent_in_parts(self) -> None:
         async def scenario(clock, network, first, second, third) -> None:
             value = b"x" * (REPLY_BYTES // 3)
             items = [_item(f"s{number}", number, value) for number in range(1, 12)]
-            first.spread.take_list(items, revision=20)
+            first.dissemination.ingest_list(items, revision=20)
             await clock.sleep_ms(1000.0)
             self.assertEqual(len(third.store.of_kind(ObjectKind.SERVICE)), 11)
             self.assertEqual(third.store.revision, 20)
@@ -149,45 +151,45 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_lost_reply_is_asked_for_again(self) -> None:
+    async def test_lost_reply_is_requested_again(self) -> None:
         async def scenario(clock, network, first, second, third) -> None:
-            network.cut("i1", "i3")
-            network.cut("i2", "i3")
-            first.spread.take_list([_item("a", 1)], revision=1)
+            network.partition("i1", "i3")
+            network.partition("i2", "i3")
+            first.dissemination.ingest_list([_item("a", 1)], revision=1)
             await clock.sleep_ms(100.0)
-            third.spread.heard_newest("i2", second.store.newest)
+            third.dissemination.request_newer("i2", second.store.newest)
             await clock.sleep_ms(100.0)
-            network.mend()
-            third.spread.heard_newest("i2", second.store.newest)
+            network.heal()
+            third.dissemination.request_newer("i2", second.store.newest)
             await clock.sleep_ms(100.0)
             self.assertIsNone(third.value("a"))
             await clock.sleep_ms(1000.0)
-            third.spread.heard_newest("i2", second.store.newest)
+            third.dissemination.request_newer("i2", second.store.newest)
             await clock.sleep_ms(100.0)
             self.assertEqual(third.value("a"), b"{}")
 
         await self._run(scenario)
 
     @trio_test
-    async def test_slow_reply_is_not_asked_for_each_second(self) -> None:
-        """An instance on a slow link never gets a new table.
+    async def test_slow_reply_is_not_requested_each_second(self) -> None:
+        """An instance on a slow link never receives a new table.
 
-        Its heartbeats bring the newest version twice a second. It asked again a
-        second after each question, although the reply was on its way; eight
-        whole copies queued on a link that needs eight seconds for one.
+        Heartbeats announce the newest version twice a second. With a fixed retry
+        delay of 1 s, eight full copies queue on a link that needs 8 s for one
+        reply.
         """
 
         async def scenario(clock, network, first, second, third) -> None:
             value = b"x" * REPLY_BYTES
-            network.cut("i2", "i3")
+            network.partition("i2", "i3")
             network.delay_ms = 4_000.0
-            second.spread.take_list([], revision=1)
-            first.spread.take_list([_item("a", 2, value)], revision=2)
+            second.dissemination.ingest_list([], revision=1)
+            first.dissemination.ingest_list([_item("a", 2, value)], revision=2)
             for _ in range(20):
-                third.spread.heard_newest("i1", first.store.newest)
+                third.dissemination.request_newer("i1", first.store.newest)
                 await clock.sleep_ms(500.0)
             self.assertEqual(third.value("a"), value)
-            # Waits that double: asked at 0, 1, 3 and 7 s, and by i2 once.
+            # The delay doubles: requests at 0, 1, 3 and 7 s, and one by i2.
             self.assertLess(network.bytes_sent, 6 * len(value))
 
         await self._run(scenario)
--- a/ibisfront/tests/test_membership.py
+++ b/ibisfront/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of joining, suspicion, death, leaving and cuts."""
+"""Tests of joining, failure detection, leaving and partitions."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from ibisfront.core.members import Member, Members, MemberState
 from ibisfront.core.membership import (
     DEAD_AFTER_MS,
-    FORGET_DEAD_MS,
-    FORGET_LEFT_MS,
+    DEAD_RETENTION_MS,
+    LEFT_RETENTION_MS,
     SUSPECT_AFTER_MS,
-    MemberNews,
     Membership,
+    MemberUpdate,
 )
 from ibisfront.testing.peers import PeerNetwork
 from ibisfront.testing.platform_state import FakePlatform
@@ -26,7 +26,7 @@
 from ibisfront.tests import trio_test
 
 
-def _sees(cluster: SharedStateCluster, count: int) -> bool:
+def _views_agree(cluster: SharedStateCluster, count: int) -> bool:
     return all(
         len(node.members.live()) == count and node.members.digest == digest
         for node in cluster.nodes.values()
@@ -52,20 +52,22 @@
                 zones=zones,
             )
             cluster.start(*range(count))
-            await cluster.wait_until(lambda: _sees(cluster, count))
+            await cluster.wait_until(lambda: _views_agree(cluster, count))
             await clock.sleep_ms(3000.0)
             await scenario(cluster)
             nursery.cancel_scope.cancel()
 
 
 class LossTest(_ClusterTest):
-    """Instances die, come back and leave."""
+    """Instances fail, restart and leave."""
 
     @trio_test
-    async def test_killed_instance_is_dead_everywhere_within_the_bound(self) -> None:
+    async def test_killed_instance_is_dead_everywhere_within_the_time_limit(
+        self,
+    ) -> None:
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
-            took_ms = await cluster.wait_until(lambda: _sees(cluster, 4))
+            took_ms = await cluster.wait_until(lambda: _views_agree(cluster, 4))
             self.assertLess(took_ms, SUSPECT_AFTER_MS + DEAD_AFTER_MS + 1500.0)
             self.assertGreater(took_ms, DEAD_AFTER_MS)
 
@@ -73,17 +75,17 @@
 
     @trio_test
     async def test_replaced_instance_is_live_at_once(self) -> None:
-        """An instance is killed and started anew under its name.
+        """An instance is killed and restarted under the same name.
 
-        The others believe it suspect, and its new life must count at once,
-        without waiting until the old one is buried.
+        The others suspect it; the restarted instance must be live at once,
+        without waiting until the old one is declared dead.
         """
 
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
             await cluster.clock.sleep_ms(SUSPECT_AFTER_MS + 500.0)
             (fresh,) = cluster.start(2)
-            await cluster.wait_until(lambda: _sees(cluster, 5), within_ms=3000.0)
+            await cluster.wait_until(lambda: _views_agree(cluster, 5), within_ms=3000.0)
             incarnation = fresh.members.own.incarnation
             for node in cluster.nodes.values():
                 seen = node.members.get("i2")
@@ -93,73 +95,77 @@
         await self._run(5, scenario)
 
     @trio_test
-    async def test_new_life_with_an_older_clock_is_taken_in(self) -> None:
+    async def test_restarted_instance_with_an_earlier_clock_rejoins(self) -> None:
         """An instance is replaced on a machine whose clock is behind.
 
-        Its incarnation, taken from the clock, is smaller than that of its
-        earlier life, which the others hold for dead. Without a larger one it
-        would never count as live.
+        Its incarnation, taken from the clock, is smaller than that of the
+        previous process, which the others consider dead. Unless it raises its
+        incarnation, it never becomes live.
         """
 
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
-            await cluster.wait_until(lambda: _sees(cluster, 4))
+            await cluster.wait_until(lambda: _views_agree(cluster, 4))
             cluster.incarnations = -100
             cluster.start(2)
-            await cluster.wait_until(lambda: _sees(cluster, 5), within_ms=10_000.0)
+            await cluster.wait_until(
+                lambda: _views_agree(cluster, 5), within_ms=10_000.0
+            )
 
         await self._run(5, scenario)
 
     @trio_test
-    async def test_leaving_is_known_at_once(self) -> None:
+    async def test_leaving_is_applied_at_once(self) -> None:
         async def scenario(cluster) -> None:
             await cluster.nodes["i2"].shared_state.leave()
             await cluster.kill("i2")
-            await cluster.wait_until(lambda: _sees(cluster, 4), within_ms=200.0)
+            await cluster.wait_until(lambda: _views_agree(cluster, 4), within_ms=200.0)
             await cluster.clock.sleep_ms(30_000.0)
-            self.assertTrue(_sees(cluster, 4))
+            self.assertTrue(_views_agree(cluster, 4))
             self.assertEqual(_changes(cluster, "suspect"), 0)
 
         await self._run(5, scenario)
 
     @trio_test
-    async def test_late_platform_list_does_not_bring_the_dead_back(self) -> None:
-        """The platform goes on listing an instance that is dead.
+    async def test_stale_platform_list_does_not_revive_a_dead_member(self) -> None:
+        """The platform still lists an instance that is dead.
 
-        Taken at its word, the instance would come back at every reading of
-        the list, and get shares that it cannot use.
+        Trusting the list would revive the instance at each read, and grant it
+        shares that it cannot use.
         """
 
         async def scenario(cluster) -> None:
             await cluster.kill("i2")
-            await cluster.wait_until(lambda: _sees(cluster, 4))
+            await cluster.wait_until(lambda: _views_agree(cluster, 4))
             before = _changes(cluster, "live")
             await cluster.clock.sleep_ms(60_000.0)
-            self.assertTrue(_sees(cluster, 4))
+            self.assertTrue(_views_agree(cluster, 4))
             self.assertEqual(_changes(cluster, "live"), before)
 
         await self._run(5, scenario)
 
     @trio_test
-    async def test_half_of_a_larger_tier_dies_at_once(self) -> None:
-        """Every other instance of a ring of 18 goes, watchers with watched."""
+    async def test_half_of_a_larger_tier_fails_at_once(self) -> None:
+        """Every other instance of 18 fails, together with those that monitor it."""
 
         async def scenario(cluster) -> None:
             await cluster.kill(*(f"i{number}" for number in range(0, 18, 2)))
-            await cluster.wait_until(lambda: _sees(cluster, 9), within_ms=30_000.0)
+            await cluster.wait_until(
+                lambda: _views_agree(cluster, 9), within_ms=30_000.0
+            )
 
         await self._run(18, scenario, zones=2)
 
 
-class CutTest(_ClusterTest):
-    """Zones lose each other, or single paths go."""
+class PartitionTest(_ClusterTest):
+    """Zones are partitioned, or single network paths fail."""
 
     @trio_test
-    async def test_cut_zone_goes_on_and_is_taken_in_again(self) -> None:
-        """A zone is cut off from the others and from the platform.
+    async def test_partitioned_zone_continues_and_rejoins(self) -> None:
+        """A zone is partitioned from the others and from the platform.
 
-        Both sides believe the other dead. When the cut ends nothing says so,
-        and without trying the dead again the two would stay apart for good.
+        Each side declares the other dead. Healing is not signalled, so unless
+        dead members are retried, the two sides stay separate.
         """
 
         async def scenario(cluster) -> None:
@@ -174,22 +180,24 @@
             )
             await cluster.clock.sleep_ms(15_000.0)
             cluster.heal()
-            await cluster.wait_until(lambda: _sees(cluster, 9), within_ms=15_000.0)
+            await cluster.wait_until(
+                lambda: _views_agree(cluster, 9), within_ms=15_000.0
+            )
 
         await self._run(9, scenario)
 
     @trio_test
-    async def test_cut_of_one_path_does_not_go_round_for_ever(self) -> None:
+    async def test_failed_path_does_not_cause_endless_broadcasts(self) -> None:
         """Two instances cannot reach each other, while all others reach both.
 
-        Each suspects the other, which refutes it through the rest, again and
-        again: at every round the news would go through the whole fleet.
+        Each suspects the other, which refutes it through the others. If this
+        repeated, each round would be broadcast to the whole fleet.
         """
 
         async def scenario(cluster) -> None:
-            cluster.network.cut_path("peer-0", "peer-1")
+            cluster.network.block_path("peer-0", "peer-1")
             await cluster.clock.sleep_ms(120_000.0)
-            self.assertTrue(_sees(cluster, 5))
+            self.assertTrue(_views_agree(cluster, 5))
             self.assertEqual(_changes(cluster, "dead"), 0)
             self.assertLess(_changes(cluster, "refuted"), 25)
 
@@ -200,21 +208,23 @@
         async def scenario(cluster) -> None:
             cluster.platform.set_faults(PlatformFaults(outage=Outage.HANG))
             await cluster.clock.sleep_ms(40_000.0)
-            self.assertTrue(_sees(cluster, 5))
+            self.assertTrue(_views_agree(cluster, 5))
             self.assertEqual(_changes(cluster, "suspect"), 0)
 
         await self._run(5, scenario)
 
 
 class NameTest(_ClusterTest):
-    """Two instances have one name by mistake."""
+    """Two instances are configured with the same name."""
 
     @trio_test
-    async def test_two_of_one_name_do_not_refute_each_other_without_end(self) -> None:
+    async def test_two_with_the_same_name_do_not_refute_each_other_endlessly(
+        self,
+    ) -> None:
         """An operator starts a second instance with the settings of a first.
 
-        Each hears of the other under its own name and raises its incarnation,
-        and the news goes through the whole fleet as fast as streams carry it.
+        Each receives updates of the other under its own name, raises its
+        incarnation and would flood the whole fleet with updates.
         """
 
         async def scenario(cluster) -> None:
@@ -237,7 +247,7 @@
 
 
 class _JumpingClock(Clock):
-    """A clock of a process that was frozen for a while."""
+    """The clock of a process that can be frozen."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -247,8 +257,8 @@
         return super().now_ms() + self.frozen_ms
 
 
-class AloneTest(unittest.TestCase):
-    """Parts of the membership without streams."""
+class MembershipTest(unittest.TestCase):
+    """The membership of one instance, without streams."""
 
     async def _run(self, scenario) -> None:
         clock = _JumpingClock()
@@ -268,17 +278,17 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_frozen_instance_suspects_nobody_on_waking(self) -> None:
-        """An instance is frozen for a minute and wakes.
+    async def test_frozen_instance_suspects_nobody_on_resuming(self) -> None:
+        """An instance is frozen for a minute and resumes.
 
-        By its clock it has not heard of anybody for a minute, and would tell
+        By its clock it has received nothing for a minute, and would report to
         the whole fleet that all its neighbours are suspect.
         """
 
         async def scenario(clock, members, membership) -> None:
             members.merge(Member("i2", "z1", "p2", "a2", 1))
             for _ in range(20):
-                membership.heard("i2", members.digest)
+                membership.heartbeat_received("i2", members.digest)
                 await clock.sleep_ms(500.0)
             clock.frozen_ms = 60_000.0
             await clock.sleep_ms(500.0)
@@ -290,41 +300,43 @@
     async def test_suspicion_of_itself_is_refuted(self) -> None:
         async def scenario(clock, members, membership) -> None:
             suspected = msgspec.structs.replace(members.own, state=MemberState.SUSPECT)
-            membership.list_read(())
-            membership._take(suspected)
+            membership.ingest_instance_list(())
+            membership._apply(suspected)
             self.assertEqual(members.own.incarnation, 6)
             self.assertIs(members.own.state, MemberState.LIVE)
 
         await self._run(scenario)
 
     @trio_test
-    async def test_one_believed_dead_is_told_when_it_is_heard(self) -> None:
-        """A cut ends, and one that is believed dead sends a heartbeat.
+    async def test_dead_member_is_notified_when_it_sends_a_heartbeat(self) -> None:
+        """A partition heals, and a member declared dead sends a heartbeat.
 
-        The news of its death went round while it could hear nobody, so that
-        it does not know what to refute.
+        It was unreachable when the update was broadcast, so it must receive the
+        update now to be able to refute it.
         """
 
         async def scenario(clock, members, membership) -> None:
-            heard = []
+            received = []
             other = self.network.join("i2")
-            other.handle(MemberNews, lambda sender, news: heard.extend(news.members))
+            other.handle(
+                MemberUpdate, lambda sender, update: received.extend(update.members)
+            )
             member = Member("i2", "z1", "p2", "a2", 1)
             members.merge(member)
             dead = msgspec.structs.replace(member, state=MemberState.DEAD)
             members.merge(dead)
-            membership.heard("i2", members.digest)
+            membership.heartbeat_received("i2", members.digest)
             await clock.sleep_ms(100.0)
-            self.assertIn(dead, heard)
+            self.assertIn(dead, received)
 
         await self._run(scenario)
 
     @trio_test
-    async def test_news_that_was_lost_is_found_by_comparing(self) -> None:
-        """News of a member is lost on its way to one instance.
+    async def test_lost_update_is_recovered_by_comparison_of_views(self) -> None:
+        """An update of a member is lost on its way to one instance.
 
-        It is told once only. Without comparing views that instance would not
-        know of the member, nor ever share anything with it.
+        Updates are sent only once. Without a comparison of views, the instance
+        would never learn of the member or exchange anything with it.
         """
 
         async def scenario(clock, members, membership) -> None:
@@ -338,12 +350,12 @@
             )
             other.merge(members.own)
             members.merge(other.own)
-            self.network.cut("i1", "i2")
+            self.network.partition("i1", "i2")
             members.merge(Member("i3", "z1", "p3", "a3", 1))
             await clock.sleep_ms(1000.0)
-            self.network.mend()
+            self.network.heal()
             for _ in range(3):
-                other_membership.heard("i1", members.digest)
+                other_membership.heartbeat_received("i1", members.digest)
                 await clock.sleep_ms(500.0)
             self.assertIsNotNone(other.get("i3"))
             self.assertEqual(other.digest, members.digest)
@@ -351,22 +363,22 @@
         await self._run(scenario)
 
     @trio_test
-    async def test_a_member_that_is_leaving_refutes_nothing(self) -> None:
+    async def test_leaving_member_does_not_refute(self) -> None:
         async def scenario(clock, members, membership) -> None:
             membership.leave()
             dead = msgspec.structs.replace(members.own, state=MemberState.DEAD)
-            membership._take(dead)
+            membership._apply(dead)
             self.assertIs(members.own.state, MemberState.LEFT)
             self.assertEqual(members.own.incarnation, 5)
 
         await self._run(scenario)
 
     @trio_test
-    async def test_the_gone_are_forgotten_and_the_listed_dead_are_not(self) -> None:
+    async def test_left_and_dead_members_are_removed_unless_listed(self) -> None:
         """Instances are replaced under new names thousands of times a day.
 
-        Kept for ever, the dead would fill the memory. One that the platform
-        still lists may only be cut off, and is kept to be tried again.
+        If dead members were never removed, memory use would grow without bound.
+        One that the platform lists may only be partitioned and is retried.
         """
 
         async def scenario(clock, members, membership) -> None:
@@ -378,12 +390,12 @@
                 member = Member(name, "z1", "p", "a", 1)
                 members.merge(member)
                 members.merge(msgspec.structs.replace(member, state=state))
-            membership.list_read((Member("cut", "z1", "p", "a"),))
-            clock.frozen_ms = FORGET_LEFT_MS
+            membership.ingest_instance_list((Member("cut", "z1", "p", "a"),))
+            clock.frozen_ms = LEFT_RETENTION_MS
             await clock.sleep_ms(11_000.0)
             self.assertIsNone(members.get("left"))
             self.assertIsNotNone(members.get("dead"))
-            clock.frozen_ms = FORGET_DEAD_MS
+            clock.frozen_ms = DEAD_RETENTION_MS
             await clock.sleep_ms(11_000.0)
             self.assertIsNone(members.get("dead"))
             self.assertIsNotNone(members.get("cut"))
@@ -392,32 +404,32 @@
 
 
 class MembersTest(unittest.TestCase):
-    """The order of news of one member."""
+    """The order of the updates of one member."""
 
-    def test_news_in_any_order_gives_one_view(self) -> None:
+    def test_updates_in_any_order_give_the_same_view(self) -> None:
         base = Member("i2", "z1", "p2", "a2", 1)
-        news = [
+        updates = [
             msgspec.structs.replace(base, incarnation=incarnation, state=state)
             for incarnation in (1, 2)
             for state in (MemberState.LIVE, MemberState.SUSPECT, MemberState.DEAD)
         ]
         views = set()
         for seed in range(20):
-            random.Random(seed).shuffle(news)
+            random.Random(seed).shuffle(updates)
             members = Members(Member("i1", "z1", "p1", "a1", 1))
             members.merge(base)
-            for member in news:
+            for member in updates:
                 members.merge(member)
             views.add(members.get("i2"))
         self.assertEqual(len(views), 1)
         self.assertEqual(views.pop().state, MemberState.DEAD)
 
-    def test_end_of_an_unknown_member_is_no_news(self) -> None:
+    def test_death_of_an_unknown_member_is_ignored(self) -> None:
         members = Members(Member("i1", "z1", "p1", "a1", 1))
         dead = Member("i2", "z1", "p2", "a2", 1, MemberState.DEAD)
         self.assertFalse(members.merge(dead))
 
-    def test_digest_depends_on_the_view_alone(self) -> None:
+    def test_digest_depends_only_on_the_view(self) -> None:
         first = Members(Member("i1", "z1", "p1", "a1", 1))
         second = Members(Member("i2", "z1", "p2", "a2", 1))
         self.assertNotEqual(first.digest, second.digest)
--- a/ibisfront/tests/test_objects.py
+++ b/ibisfront/tests/test_objects.py
@@ -1,11 +1,11 @@
-"""Tests of the object store: versions only rise."""
+"""Tests of the object store: versions never decrease."""
 
 from __future__ import annotations
 
 import unittest
 
 from ibisfront.core.objects import (
-    SPREAD_KINDS,
+    REPLICATED_KINDS,
     ObjectKind,
     ObjectName,
     ObjectStore,
@@ -20,12 +20,12 @@
 def _list(store: ObjectStore, revision: int, *objects: VersionedObject) -> None:
     store.merge(objects)
     present = {ObjectName(item.kind, item.name) for item in objects}
-    store.delete_absent(present, kinds=SPREAD_KINDS, revision=revision)
+    store.delete_absent(present, kinds=REPLICATED_KINDS, revision=revision)
     store.complete_through(revision)
 
 
 class StaleReadTest(unittest.TestCase):
-    """Whatever comes late or out of order, nothing falls back."""
+    """Late, stale or reordered input never reverts an object."""
 
     def test_older_version_is_dropped(self) -> None:
         store = ObjectStore()
@@ -34,11 +34,11 @@
         found = store.get(ObjectKind.SERVICE, "a")
         self.assertEqual(found and found.value_json, b"5")
 
-    def test_stale_list_does_not_bring_a_deleted_server_back(self) -> None:
-        """Operators delete a service; a reconnecting watch reads an old list.
+    def test_stale_list_does_not_restore_a_deleted_service(self) -> None:
+        """A service is deleted, then a reconnecting watch reads a stale list.
 
-        The old list still holds the service. Taken in, it would send work to
-        servers that are gone.
+        The stale list still contains the service. Restoring it would route
+        requests to servers that no longer exist.
         """
         store = ObjectStore()
         _list(store, 5, _item("a", 5))
@@ -47,21 +47,21 @@
         _list(store, 6, _item("a", 5))
         self.assertIsNone(store.get(ObjectKind.SERVICE, "a"))
 
-    def test_stale_list_does_not_bring_back_what_was_never_seen(self) -> None:
-        """An instance starts after a deletion, and then meets an old list.
+    def test_stale_list_does_not_restore_an_object_without_tombstone(self) -> None:
+        """An instance starts after a deletion, then reads a stale list.
 
-        It has no tombstone of the deleted service, as no list holds one.
+        It has no tombstone of the deleted service, since lists contain none.
         """
         store = ObjectStore()
         _list(store, 8, _item("b", 3))
         _list(store, 6, _item("a", 5), _item("b", 3))
         self.assertIsNone(store.get(ObjectKind.SERVICE, "a"))
 
-    def test_stale_list_does_not_delete_what_is_newer(self) -> None:
-        """A service is created; a list from before that is read afterwards.
+    def test_stale_list_does_not_delete_newer_objects(self) -> None:
+        """A service is created, then a list from before its creation is read.
 
-        It is missing from the list because the list is old. Deleting it would
-        take its servers away until the next change.
+        Deleting the service because it is missing from the list would make its
+        servers unavailable until the next change.
         """
         store = ObjectStore()
         _list(store, 4, _item("a", 3))
@@ -69,7 +69,7 @@
         _list(store, 6, _item("a", 3))
         self.assertIsNotNone(store.get(ObjectKind.SERVICE, "b"))
 
-    def test_list_deletes_what_it_no_longer_holds(self) -> None:
+    def test_list_deletes_objects_it_no_longer_contains(self) -> None:
         store = ObjectStore()
         _list(store, 4, _item("a", 3), _item("b", 4))
         _list(store, 9, _item("b", 4))
@@ -82,7 +82,7 @@
         store.delete_absent(frozenset(), kinds=(ObjectKind.INDEX,), revision=9)
         self.assertIsNotNone(store.get(ObjectKind.SERVICE, "a"))
 
-    def test_object_made_anew_after_its_deletion_counts(self) -> None:
+    def test_object_recreated_after_its_deletion_is_kept(self) -> None:
         store = ObjectStore()
         _list(store, 4, _item("a", 3))
         _list(store, 9)
--- a/ibisfront/tests/test_peer_codec.py
+++ b/ibisfront/tests/test_peer_codec.py
@@ -13,10 +13,10 @@
     MalformedFrame,
     encode,
 )
+from ibisfront.core.dissemination import ObjectsChanged, ObjectsWanted
 from ibisfront.core.members import Member
-from ibisfront.core.membership import MemberNews
+from ibisfront.core.membership import MemberUpdate
 from ibisfront.core.objects import ObjectKind, ObjectName, VersionedObject
-from ibisfront.core.spread import ObjectsChanged, ObjectsWanted
 
 
 def _framed(payload: bytes) -> bytes:
@@ -36,7 +36,7 @@
                 present=(ObjectName(ObjectKind.TABLE, "main"),),
                 present_at=9,
             ),
-            MemberNews((Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2", 7),)),
+            MemberUpdate((Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2", 7),)),
             ObjectsWanted(3),
         ]
         data = b"".join(encode(message, ask_id=4) for message in messages)
--- a/ibisfront/tests/test_peers.py
+++ b/ibisfront/tests/test_peers.py
@@ -9,9 +9,9 @@
 from ibisfront.adapters.peer_codec import encode
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import CounterKind
+from ibisfront.core.dissemination import NewestKnown
 from ibisfront.core.hello import PROTOCOL_VERSION, Hello
 from ibisfront.core.members import Member
-from ibisfront.core.spread import NewestKnown
 from ibisfront.core.status import InstanceStatus, StatusReply, StatusRequest
 from ibisfront.testing.platform_state import FakePlatform
 from ibisfront.testing.shared_state_cluster import SharedStateCluster
@@ -26,7 +26,7 @@
 
 
 class PeerStreamsTest(unittest.TestCase):
-    """Streams come up, stay single, and come back."""
+    """Streams are opened, deduplicated and reopened."""
 
     async def _run(self, count: int, scenario) -> None:
         clock = Clock()
@@ -54,12 +54,14 @@
         await self._run(3, scenario)
 
     @trio_test
-    async def test_two_that_dial_each_other_at_once_keep_one_stream(self) -> None:
-        """Two instances learn of each other and dial at the same moment.
+    async def test_two_that_dial_each_other_simultaneously_keep_one_stream(
+        self,
+    ) -> None:
+        """Two instances learn of each other and dial simultaneously.
 
-        If each closed the stream that the other keeps, they would go on
-        dialling each other for ever; if neither did, every message would have
-        two ways, of which one end forgets one.
+        If each closed the stream that the other keeps, they would redial
+        endlessly; if neither did, two streams would stay open, of which one end
+        tracks only one.
         """
         clock = Clock()
         async with trio.open_nursery() as nursery:
@@ -76,14 +78,14 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_silent_streams_are_replaced_before_anybody_is_suspected(
+    async def test_silent_streams_are_replaced_before_any_suspicion(
         self,
     ) -> None:
-        """Something between the instances loses track of every open stream.
+        """A network device loses the state of all open streams.
 
-        They stay open and carry nothing, while new ones work. Without a bound
-        on silence the instances would count each other dead, or share nothing
-        until somebody restarts them.
+        They stay open and deliver nothing, while new ones work. Without a silence
+        timeout the instances would declare each other dead, or exchange nothing
+        until restarted.
         """
 
         async def scenario(cluster) -> None:
@@ -106,8 +108,8 @@
         await self._run(3, scenario)
 
     @trio_test
-    async def test_malformed_frame_costs_only_its_stream(self) -> None:
-        """Something that is no peer writes garbage to the peers' listener."""
+    async def test_malformed_frame_closes_only_its_stream(self) -> None:
+        """A client that is not a peer sends invalid data to the peer listener."""
 
         async def scenario(cluster) -> None:
             stream = await cluster.network.transport("elsewhere").dial("peer-0")
@@ -126,7 +128,7 @@
         await self._run(2, scenario)
 
     @trio_test
-    async def test_other_protocol_version_is_not_taken_in(self) -> None:
+    async def test_other_protocol_version_is_rejected(self) -> None:
         async def scenario(cluster) -> None:
             stream = await cluster.network.transport("elsewhere").dial("peer-0")
             stranger = Member("x", "z0", "elsewhere", "", 1)
@@ -139,12 +141,12 @@
         await self._run(2, scenario)
 
     @trio_test
-    async def test_handler_that_fails_costs_only_its_message(self) -> None:
+    async def test_failing_handler_loses_only_its_message(self) -> None:
         async def scenario(cluster) -> None:
             node = cluster.nodes["i0"]
 
             def fail(sender: str, message: NewestKnown) -> None:
-                raise RuntimeError("a fault of our own")
+                raise RuntimeError("handler failed")
 
             node.peers.handle(NewestKnown, fail)
             with self.assertLogs("ibisfront", "ERROR"):
@@ -155,24 +157,26 @@
         await self._run(2, scenario)
 
     @trio_test
-    async def test_question_is_answered_or_times_out(self) -> None:
+    async def test_request_is_answered_or_times_out(self) -> None:
         async def scenario(cluster) -> None:
-            asker, asked = cluster.nodes["i0"].peers, cluster.nodes["i1"].peers
+            requester, responder = cluster.nodes["i0"].peers, cluster.nodes["i1"].peers
             reply = StatusReply(InstanceStatus("i1", "z1", 1, 2, 3, ready=True))
-            asked.answer(StatusRequest, lambda name, question: reply)
-            found = await asker.ask("i1", StatusRequest(), timeout_ms=1000.0)
+            responder.respond(StatusRequest, lambda name, request: reply)
+            found = await requester.request("i1", StatusRequest(), timeout_ms=1000.0)
             self.assertEqual(found, reply)
             cluster.partition_zone("z1")
-            found = await asker.ask("i1", StatusRequest(), timeout_ms=1000.0)
+            found = await requester.request("i1", StatusRequest(), timeout_ms=1000.0)
             self.assertIsNone(found)
-            found = await asker.ask("unknown", StatusRequest(), timeout_ms=1000.0)
+            found = await requester.request(
+                "unknown", StatusRequest(), timeout_ms=1000.0
+            )
             self.assertIsNone(found)
 
         await self._run(2, scenario)
 
     @trio_test
-    async def test_stream_on_demand_opens_and_closes_again(self) -> None:
-        """Above the full mesh an instance asks one that is no neighbour."""
+    async def test_stream_on_demand_opens_and_closes(self) -> None:
+        """Above the full mesh, an instance sends a request to a non-neighbour."""
         clock = Clock()
         async with trio.open_nursery() as nursery:
             cluster = SharedStateCluster(
@@ -183,14 +187,16 @@
                 lambda: all(len(node.members.live()) == 18 for node in nodes)
             )
             await clock.sleep_ms(12_000.0)
-            asker = nodes[0]
-            others = set(cluster.nodes) - asker.peers.connected - {"i0"}
+            requester = nodes[0]
+            others = set(cluster.nodes) - requester.peers.connected - {"i0"}
             name = min(others)
             reply = StatusReply(InstanceStatus(name, "z1", 1, 2, 3, ready=True))
-            asked = cluster.nodes[name].peers
-            asked.answer(StatusRequest, lambda sender, question: reply)
+            responder = cluster.nodes[name].peers
+            responder.respond(StatusRequest, lambda sender, request: reply)
             streams = len(cluster.network.open_streams)
-            found = await asker.peers.ask(name, StatusRequest(), timeout_ms=1000.0)
+            found = await requester.peers.request(
+                name, StatusRequest(), timeout_ms=1000.0
+            )
             self.assertEqual(found, reply)
             self.assertEqual(len(cluster.network.open_streams), streams + 1)
             await clock.sleep_ms(12_000.0)
@@ -198,7 +204,7 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_sending_to_one_that_is_gone_does_not_dial_each_time(self) -> None:
+    async def test_sending_to_a_killed_instance_does_not_dial_each_time(self) -> None:
         async def scenario(cluster) -> None:
             await cluster.kill("i1")
             await cluster.clock.sleep_ms(100.0)
--- a/ibisfront/tests/test_shared_state.py
+++ b/ibisfront/tests/test_shared_state.py
@@ -115,7 +115,7 @@
                 is_partitioned = node.members.own.zone == "z1"
                 expected = old if is_partitioned else version
                 self.assertEqual(node.catalogue.table_version, expected)
-            cluster.network.mend()
+            cluster.network.heal()
             await cluster.wait_until(
                 lambda: _in_force(cluster, version), within_ms=15_000.0
             )
@@ -158,7 +158,7 @@
             await cluster.wait_until(lambda: _in_force(cluster, version))
             cluster.platform.set_faults(PlatformFaults(stale_revisions=1))
             await cluster.kill("i1")
-            cluster.network.cut(frozenset({"peer-1"}))
+            cluster.network.partition(frozenset({"peer-1"}))
             (fresh,) = cluster.start(1)
 
             def lose_platform(item: VersionedObject) -> None:
@@ -166,7 +166,7 @@
 
             fresh.store.subscribe(lose_platform)
             await cluster.wait_until(lambda: fresh.catalogue.table_version == old)
-            cluster.network.mend()
+            cluster.network.heal()
             seen = cluster.nodes["i0"].catalogue
             for _ in range(200):
                 await cluster.clock.sleep_ms(50.0)
--- a/ibisfront/tests/test_status.py
+++ b/ibisfront/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of asking all instances for their status."""
+"""Tests of collecting the status of all instances."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class CollectStatusTest(unittest.TestCase):
-    """An edit is in force at these, and those could not be reached."""
+    """The report lists the status of reachable instances and the unreachable ones."""
 
     @trio_test
-    async def test_unreachable_instances_are_named(self) -> None:
-        """An edit was accepted while one instance is cut off.
+    async def test_unreachable_instances_are_listed(self) -> None:
+        """An edit is accepted while one instance is partitioned.
 
-        Left out of the report, it would go on by the old table while the
-        operator believes that the new one holds everywhere.
+        If the report omitted it, operators would assume that the new table is
+        in force everywhere, while that instance still uses the old one.
         """
         clock = Clock()
         async with trio.open_nursery() as nursery:
@@ -39,17 +39,17 @@
             peers = [network.join(f"i{number}") for number in range(4)]
             members = Members(Member("i0", "z1", "p0", "a0", 1))
             for number in range(1, 4):
-                peers[number].answer(
+                peers[number].respond(
                     StatusRequest,
-                    lambda asker, question, number=number: StatusReply(
+                    lambda requester, request, number=number: StatusReply(
                         _status(f"i{number}", 7)
                     ),
                 )
                 members.merge(Member(f"i{number}", "z1", "p", "a", 1))
             dead = msgspec.structs.replace(members.get("i3"), state=MemberState.DEAD)
             members.merge(dead)
-            network.cut("i0", "i2")
-            network.cut("i0", "i3")
+            network.partition("i0", "i2")
+            network.partition("i0", "i3")
             report = await collect_status(
                 members=members, peers=peers[0], own=lambda: _status("i0", 9)
             )
--- a/ibisfront/tests/test_watch.py
+++ b/ibisfront/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of following the platform by a few instances of each zone."""
+"""Tests of watching the platform by a few instances of each zone."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from ibisfront.adapters.platform import ObjectsRead
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import CounterKind, Counters
+from ibisfront.core.dissemination import ObjectDissemination
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectKind, ObjectStore
-from ibisfront.core.spread import ObjectSpread
 from ibisfront.core.watch import WATCHERS_PER_ZONE, PlatformWatch, watcher_names
 from ibisfront.testing.peers import PeerNetwork
 from ibisfront.testing.platform_state import FakePlatform
@@ -24,7 +24,7 @@
 
 
 class WatchersTest(unittest.TestCase):
-    """The calls on the platform do not grow with the fleet."""
+    """The platform call rate does not grow with the fleet."""
 
     async def _run(self, count: int, scenario) -> None:
         clock = Clock()
@@ -53,8 +53,8 @@
     async def test_calls_do_not_grow_with_the_fleet(self) -> None:
         """A fleet grows from 6 to 12 instances.
 
-        Were each to watch, the platform's rates, which grow more slowly than
-        the fleet, would be used up.
+        If each instance watched, the fleet would exceed the platform's rate
+        limits, which grow more slowly than the fleet.
         """
         reads = {}
 
@@ -90,11 +90,11 @@
         await self._run(12, scenario)
 
     @trio_test
-    async def test_no_herd_after_an_outage(self) -> None:
-        """The platform is out for a minute and comes back.
+    async def test_no_thundering_herd_after_an_outage(self) -> None:
+        """The platform recovers after an outage of a minute.
 
-        Instances that all retry at once, or list all at once, would take it
-        down again.
+        Instances that all retried or listed simultaneously would overload it
+        again.
         """
 
         async def scenario(cluster) -> None:
@@ -116,13 +116,13 @@
         await self._run(9, scenario)
 
 
-class _OddPlatform:
-    """A platform whose watches misbehave as told."""
+class _FaultyPlatform:
+    """A fake platform whose watches fail as configured."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
         self.silent = True
-        self.changes_found = ObjectsRead(5, ())
+        self.change_result = ObjectsRead(5, ())
 
     async def list_objects(self, kinds) -> ObjectsRead:
         self.calls.append("list")
@@ -134,23 +134,23 @@
         if self.silent:
             await trio.sleep_forever()
         await trio.lowlevel.checkpoint()
-        return self.changes_found
+        return self.change_result
 
 
-class OddWatchTest(unittest.TestCase):
-    """A watch goes silent, or answers too fast."""
+class FaultyWatchTest(unittest.TestCase):
+    """A watch becomes silent, or returns at once without changes."""
 
-    async def _run(self, platform: _OddPlatform, duration_ms: float) -> Counters:
+    async def _run(self, platform: _FaultyPlatform, duration_ms: float) -> Counters:
         clock = Clock()
         counters = Counters()
         async with trio.open_nursery() as nursery:
             network = PeerNetwork(clock=clock, nursery=nursery)
-            spread = ObjectSpread(
+            dissemination = ObjectDissemination(
                 ObjectStore(), peers=network.join("i1"), clock=clock, counters=counters
             )
             watch = PlatformWatch(
                 platform=platform,
-                spread=spread,
+                dissemination=dissemination,
                 members=Members(Member("i1", "z1", "p1", "a1", 1)),
                 connected=lambda: (),
                 clock=clock,
@@ -164,12 +164,12 @@
         return counters
 
     @trio_test
-    async def test_silent_watch_is_given_up(self) -> None:
-        """A watch stays open and never answers again; new calls would work.
+    async def test_silent_watch_is_abandoned(self) -> None:
+        """A watch stays open without a response, while new calls would work.
 
-        Without a bound of its own the instance would never see an edit again.
+        Without a timeout the instance would never receive another edit.
         """
-        platform = _OddPlatform()
+        platform = _FaultyPlatform()
         counters = await self._run(platform, 60_000.0)
         self.assertEqual(
             counters.value(CounterKind.PLATFORM_CALLS, "watch_silent"),
@@ -178,20 +178,20 @@
         self.assertGreaterEqual(platform.calls.count("changes"), 3)
 
     @trio_test
-    async def test_watch_that_answers_at_once_is_not_called_in_a_loop(self) -> None:
-        """A proxy answers each waiting call at once with nothing.
+    async def test_watch_that_returns_at_once_is_not_called_in_a_loop(self) -> None:
+        """A proxy answers each watch at once with an empty response.
 
-        Called in a loop, one instance would use up the platform's reads.
+        One instance that called it in a loop would exhaust the read rate limit.
         """
-        platform = _OddPlatform()
+        platform = _FaultyPlatform()
         platform.silent = False
         await self._run(platform, 60_000.0)
         self.assertLess(len(platform.calls), 60)
 
     @trio_test
     async def test_revision_always_too_old_is_not_called_in_a_loop(self) -> None:
-        platform = _OddPlatform()
+        platform = _FaultyPlatform()
         platform.silent = False
-        platform.changes_found = None
+        platform.change_result = None
         await self._run(platform, 60_000.0)
         self.assertLess(len(platform.calls), 100)
--- a/properties/ledger_histories.py
+++ b/properties/ledger_histories.py
@@ -107,7 +107,7 @@
     def clear_faults(self):
         """Clear all faults."""
         simulation = self.simulation
-        simulation.network.mend()
+        simulation.network.heal()
         simulation.refused_connections_fraction = 0.0
         simulation.connect_ms = 0.0
         simulation.platform.set_faults(PlatformFaults())
@@ -269,8 +269,10 @@
     def partition_peers(self, instance, duration_ms):
         def step(execution):
             for other in range(INSTANCES):
-                execution.simulation.network.cut(f"i{instance + 1}", f"i{other + 1}")
-            execution.call_later(duration_ms, execution.simulation.network.mend)
+                execution.simulation.network.partition(
+                    f"i{instance + 1}", f"i{other + 1}"
+                )
+            execution.call_later(duration_ms, execution.simulation.network.heal)
 
         self.add(step)
 
--- a/properties/test_spread_properties.py
+++ b/properties/test_dissemination_properties.py
@@ -1,7 +1,7 @@
-"""Edits, restarts, stale reads, cuts and lost answers in any order.
+"""Edits, restarts, stale reads, lost messages and lost replies in any order.
 
-Whatever happens, versions never fall at an instance, an accepted edit never
-vanishes, a refused one never shows, and no edit takes effect twice.
+In every history, versions never decrease at an instance, an accepted edit never
+disappears, a refused one never takes effect, and no edit takes effect twice.
 """
 
 from __future__ import annotations
@@ -23,6 +23,7 @@
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.clock import Clock
 from ibisfront.core.counters import Counters
+from ibisfront.core.dissemination import NewestKnown, ObjectDissemination
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.objects import (
     ObjectKind,
@@ -31,7 +32,6 @@
     VersionedObject,
     WriteConflict,
 )
-from ibisfront.core.spread import NewestKnown, ObjectSpread
 from ibisfront.core.table import TABLE_NAME, Purpose, Row, Table
 from ibisfront.core.table_edit import (
     EditAccepted,
@@ -47,21 +47,21 @@
 
 
 class _Platform:
-    """The platform's objects with their whole past, and drawn faults."""
+    """A fake platform with all versions of its objects, and drawn faults."""
 
     def __init__(self) -> None:
-        self.past: list[VersionedObject] = []
+        self.write_log: list[VersionedObject] = []
         self.write_faults: list[str] = []
         self.stale_revisions = 0
         self.late: list[tuple[ObjectName, bytes, int | None]] = []
 
     @property
     def revision(self) -> int:
-        return len(self.past)
+        return len(self.write_log)
 
     def at(self, revision: int) -> dict[ObjectName, VersionedObject]:
         found = {}
-        for item in self.past[:revision]:
+        for item in self.write_log[:revision]:
             found[ObjectName(item.kind, item.name)] = item
         return found
 
@@ -76,10 +76,12 @@
         if (None if known is None else known.version) != if_version:
             raise WriteConflict(name.name)
         version = self.revision + 1
-        self.past.append(VersionedObject(name.kind, name.name, version, value_json))
+        self.write_log.append(
+            VersionedObject(name.kind, name.name, version, value_json)
+        )
         return version
 
-    def land_late(self) -> None:
+    def apply_late_write(self) -> None:
         name, value_json, if_version = self.late.pop(0)
         try:
             self.write(name, value_json, if_version)
@@ -115,7 +117,7 @@
 
 
 class _Network:
-    """Messages that wait until the machine delivers or drops them."""
+    """Queues messages until the state machine delivers or drops them."""
 
     def __init__(self) -> None:
         self.waiting: list[tuple[str, str, bytes]] = []
@@ -129,7 +131,7 @@
 
 
 class _Node:
-    """One life of an instance; it is its own ``Peers``."""
+    """One process of an instance, which also implements ``Peers``."""
 
     def __init__(self, name: str, network: _Network) -> None:
         self.name = name
@@ -138,8 +140,8 @@
         self.store = ObjectStore()
         counters = Counters()
         self.catalogue = Catalogue(self.store, counters)
-        self.spread = ObjectSpread(
-            self.store, peers=self, clock=_StillClock(), counters=counters
+        self.dissemination = ObjectDissemination(
+            self.store, peers=self, clock=_SteppingClock(), counters=counters
         )
         self.seen: dict[ObjectName, int] = {}
         self.table_version = 0
@@ -157,19 +159,19 @@
                 self.send(name, message)
 
 
-class _StillClock(Clock):
-    """A clock that moves a wait's length at each look, so that none lasts."""
+class _SteppingClock(Clock):
+    """A clock that advances 10 s at each reading, so that no delay applies."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._looks = 0
+        self._reads = 0
 
     def now_ms(self) -> float:
-        self._looks += 1
-        return self._looks * 10_000.0
+        self._reads += 1
+        return self._reads * 10_000.0
 
 
-class SpreadMachine(RuleBasedStateMachine):
+class DisseminationMachine(RuleBasedStateMachine):
     """Three instances, two operators and a platform with faults."""
 
     def __init__(self) -> None:
@@ -183,24 +185,24 @@
         self.unknown: list[TableProposal] = []
 
     @initialize()
-    def first_table(self) -> None:
+    def create_table(self) -> None:
         table = Table(purposes=(Purpose("name-check", "search", index="register"),))
         self._edit(table, 0)
 
     @rule(
         faults=st.lists(st.sampled_from(WRITE_FAULTS), max_size=4),
         stale=st.integers(0, 3),
-        back=st.integers(0, 2),
+        versions_back=st.integers(0, 2),
     )
-    def edit(self, faults: list[str], stale: int, back: int) -> None:
-        versions = [item.version for item in self.platform.past if _is_table(item)]
-        base = versions[-1 - min(back, len(versions) - 1)]
-        table = _decoded(self.platform.past[base - 1])
+    def edit(self, faults: list[str], stale: int, versions_back: int) -> None:
+        versions = [item.version for item in self.platform.write_log if _is_table(item)]
+        base_version = versions[-1 - min(versions_back, len(versions) - 1)]
+        table = _decoded(self.platform.write_log[base_version - 1])
         row = Row(f"branch-{self.edits}", "name-check")
         table = msgspec.structs.replace(table, rows=(*table.rows, row))
         self.platform.write_faults = list(faults)
         self.platform.stale_revisions = stale
-        self._edit(table, base)
+        self._edit(table, base_version)
 
     @precondition(lambda self: self.unknown)
     @rule()
@@ -222,8 +224,8 @@
 
     @precondition(lambda self: self.platform.late)
     @rule()
-    def late_write_lands(self) -> None:
-        self.platform.land_late()
+    def late_write_takes_effect(self) -> None:
+        self.platform.apply_late_write()
 
     @rule(name=st.sampled_from(NODES), stale=st.integers(0, 6))
     def list_platform(self, name: str, stale: int) -> None:
@@ -233,7 +235,7 @@
             for item in self.platform.at(revision).values()
             if item.value_json is not None
         ]
-        self.nodes[name].spread.take_list(found, revision=revision)
+        self.nodes[name].dissemination.ingest_list(found, revision=revision)
 
     @rule(name=st.sampled_from(NODES), stale=st.integers(0, 3))
     def watch_platform(self, name: str, stale: int) -> None:
@@ -245,17 +247,20 @@
             (item for item in newest if item.version > after),
             key=lambda item: item.version,
         )
-        node.spread.take_changes(found, after=after, revision=revision)
+        node.dissemination.ingest_changes(found, after=after, revision=revision)
 
     @precondition(lambda self: self.network.waiting)
-    @rule(data=st.data(), fate=st.sampled_from(("deliver", "deliver", "twice", "drop")))
-    def message(self, data: st.DataObject, fate: str) -> None:
+    @rule(
+        data=st.data(),
+        delivery=st.sampled_from(("deliver", "deliver", "twice", "drop")),
+    )
+    def message(self, data: st.DataObject, delivery: str) -> None:
         waiting = self.network.waiting
         position = data.draw(st.integers(0, len(waiting) - 1))
-        if fate == "drop":
+        if delivery == "drop":
             waiting.pop(position)
             return
-        if fate == "twice":
+        if delivery == "twice":
             waiting.append(waiting[position])
         self.network.deliver(position, self.nodes)
 
@@ -284,18 +289,18 @@
         self.restart(name)
         self.list_platform(name, stale)
 
-    @rule(name=st.sampled_from(("a", "b", "c")), behind=st.sampled_from(NODES))
-    def delete_service_unseen_by_one(self, name: str, behind: str) -> None:
+    @rule(name=st.sampled_from(("a", "b", "c")), lagging=st.sampled_from(NODES))
+    def delete_service_missed_by_one(self, name: str, lagging: str) -> None:
         for node in NODES:
             self.watch_platform(node, 0)
         self.change_service(name, delete=True)
         for node in NODES:
-            if node != behind:
+            if node != lagging:
                 self.restart_and_list(node, 0)
         self.network.waiting.clear()
 
     @invariant()
-    def versions_never_fall(self) -> None:
+    def versions_never_decrease(self) -> None:
         for node in self.nodes.values():
             assert node.catalogue.table_version >= node.table_version
             node.table_version = node.catalogue.table_version
@@ -308,10 +313,10 @@
     def complete_through_the_revision(self) -> None:
         for node in self.nodes.values():
             revision = node.store.revision
-            due = self.platform.at(revision)
-            for name in set(due) | set(node.store.present()):
+            expected = self.platform.at(revision)
+            for name in set(expected) | set(node.store.present()):
                 held = node.store.get(name.kind, name.name)
-                item = due.get(name)
+                item = expected.get(name)
                 if held is None:
                     changed = self.platform.at(self.platform.revision)[name]
                     assert item.value_json is None or changed.version > revision
@@ -319,27 +324,29 @@
                     assert held == item
 
     @invariant()
-    def what_is_in_force_was_written(self) -> None:
+    def table_in_force_was_written(self) -> None:
         for node in self.nodes.values():
             version = node.catalogue.table_version
             if version:
-                assert node.catalogue.table == _decoded(self.platform.past[version - 1])
+                assert node.catalogue.table == _decoded(
+                    self.platform.write_log[version - 1]
+                )
 
     @invariant()
-    def edits_keep_their_word(self) -> None:
+    def outcomes_of_edits_hold(self) -> None:
         newest = self.platform.current(TABLE)
-        made = [] if newest is None else _edit_ids(_decoded(newest))
-        assert len(made) == len(set(made))
-        assert [edit_id for edit_id in made if edit_id in self.accepted] == sorted(
+        applied = [] if newest is None else _edit_ids(_decoded(newest))
+        assert len(applied) == len(set(applied))
+        assert [edit_id for edit_id in applied if edit_id in self.accepted] == sorted(
             self.accepted, key=_number
         )
-        assert not set(made) & set(self.refused)
+        assert not set(applied) & set(self.refused)
 
     def teardown(self) -> None:
-        """Heal everything: all instances end with what the platform has."""
+        """Deliver everything; all instances must converge to the platform's state."""
         while self.platform.late:
-            self.platform.land_late()
-            self.edits_keep_their_word()
+            self.platform.apply_late_write()
+            self.outcomes_of_edits_hold()
         self.network.waiting.clear()
         self.watch_platform("i1", 0)
         for _ in range(4):
@@ -349,7 +356,7 @@
                         self.heartbeat([sender, receiver])
             while self.network.waiting:
                 self.network.deliver(0, self.nodes)
-                self.versions_never_fall()
+                self.versions_never_decrease()
         expected = {
             name: item
             for name, item in self.platform.at(self.platform.revision).items()
@@ -362,12 +369,12 @@
                 assert found is not None
                 assert found.version == item.version
 
-    def _edit(self, table: Table, base: int) -> None:
+    def _edit(self, table: Table, base_version: int) -> None:
         self.edits += 1
         self._send(
             TableProposal(
                 table=table,
-                base_version=base,
+                base_version=base_version,
                 edit_id=f"e{self.edits}",
                 edited_by="operator",
             )
@@ -386,7 +393,7 @@
             self.unknown.append(proposal)
         else:
             self.accepted.append(accepted.edit_id)
-            written = _decoded(self.platform.past[accepted.version - 1])
+            written = _decoded(self.platform.write_log[accepted.version - 1])
             assert written.edit_id == proposal.edit_id
 
     def _run_edit(self, proposal: TableProposal) -> EditAccepted:
@@ -415,8 +422,8 @@
     return int(edit_id.removeprefix("e"))
 
 
-class SpreadProperties(SpreadMachine.TestCase):
-    """Run the machine."""
+class DisseminationProperties(DisseminationMachine.TestCase):
+    """Runs the state machine."""
 
     settings = settings(
         max_examples=120,
