--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -163,7 +163,10 @@
             return 1
         shared = routed.maximum_connections * CONNECTIONS_SHARE
         instances = max(self._budgets.instances, 1)
-        if self._coordinators.is_followed and service in table.gathered_services:
+        if (
+            self._coordinators.receives_delegated_queries
+            and service in table.gathered_services
+        ):
             instances = self._coordinators.count
         return max(int(shared / instances), 1)
 
--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -18,7 +18,7 @@
 from ibisfront.front.garbage_collection import collect_garbage
 from ibisfront.front.process import FrontProcess
 from ibisfront.front.stopping import stop_in_order
-from ibisfront.gateway.instances.directory import keep_instances
+from ibisfront.gateway.instances.directory import sync_instances
 from ibisfront.http1.caller_listener import CallerListener
 from ibisfront.http1.listening import listening_socket
 from ibisfront.platform.headers import WIRE
@@ -130,11 +130,11 @@
     stack.callback(directory.close)
     nursery.start_soon(
         partial(
-            keep_instances,
+            sync_instances,
             directory,
             process.own,
             on_list=process.take_instances,
-            on_first_try=process.state_sync.record_listed,
+            on_first_attempt=process.state_sync.record_listed,
             is_needed=lambda: process.state_sync.watches_store,
             is_first_start=settings.is_first_start,
             clock=clock,
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -385,7 +385,7 @@
             await self._clock.sleep_ms(_UPKEEP_MS)
             if self.registry.remove_stale():
                 self.source.record_change()
-            self._event_log.tell()
+            self._event_log.flush()
             self.registry.probe_unreachable()
             self.peers.probe_unreachable()
 
--- a/ibisfront/front/stopping.py
+++ b/ibisfront/front/stopping.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ibisfront.core.logs import LogPart, part_logger
-from ibisfront.gateway.instances.rotation import NOTICED_AFTER_MS
+from ibisfront.gateway.instances.rotation import BALANCER_DETECTION_MS
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
@@ -16,7 +16,7 @@
 
 _LOG = part_logger(LogPart.STOP)
 
-_OUT_OF_ROTATION_MS = NOTICED_AFTER_MS + 600.0
+_OUT_OF_ROTATION_MS = BALANCER_DETECTION_MS + 600.0
 """How long the balancer may go on sending new callers; a connection may be on its
 way when it notices."""
 
--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -93,7 +93,7 @@
 
         One that has just started would else ask servers that must get nothing.
         """
-        return self.table is not None and self._request_services.registry.is_known
+        return self.table is not None and self._request_services.registry.is_initialized
 
     def record_learnt(self) -> None:
         """Go on with the requests that wait, if all that they need is known."""
--- a/ibisfront/gateway/instances/coordinators.py
+++ b/ibisfront/gateway/instances/coordinators.py
@@ -14,23 +14,23 @@
 
 __all__ = ["CONNECTIONS_SHARE", "Coordinators", "strongest_first"]
 
-_LEAST_CONNECTIONS = 2
+_MIN_CONNECTIONS = 2
 """Connections to each server that an instance needs to gather by itself: one
 for a query and one for what comes meanwhile."""
 
-_MOST_ALONE = 12
+_MAX_UNCOORDINATED_INSTANCES = 12
 """Up to so many instances each gather for themselves, if the connections allow
 it. Beyond, each meets a server too rarely to keep a connection to it warm or to
 know how it does."""
 
-_CONNECTIONS = 4
+_COORDINATOR_CONNECTIONS = 4
 """Connections to each server that a coordinator is given."""
 
 CONNECTIONS_SHARE = 0.9
 """Share of the connections that a server accepts which the instances use
 together; the rest is for probes and for connections that are closing."""
 
-_LEAST_PER_ZONE = 2
+_MIN_PER_ZONE = 2
 """Coordinators of a zone, so that one is left when one is lost. Few keep their
 connections warm and know more of each server."""
 
@@ -60,11 +60,11 @@
         All instances, this one included.
     """
 
-    __slots__ = ("_accepted", "_by_zone", "_own", "instances")
+    __slots__ = ("_by_zone", "_connection_limit", "_own", "instances")
 
     def __init__(self, own: InstanceEntry) -> None:
         self._own = own
-        self._accepted = 0
+        self._connection_limit = 0
         self._by_zone: dict[str, tuple[str, ...]] = {}
         self.instances: Sequence[InstanceEntry] = (own,)
 
@@ -79,7 +79,7 @@
         return not self._by_zone or self._own.name in self.of_zone(self._own.zone)
 
     @property
-    def is_followed(self) -> bool:
+    def receives_delegated_queries(self) -> bool:
         """Whether other instances follow this one."""
         return self.uses_coordinators and self.is_coordinator
 
@@ -119,27 +119,27 @@
         """
         self.instances = instances
         if table is not None:
-            self._accepted = _accepted(table)
-        usable = self._accepted * CONNECTIONS_SHARE
-        has_connections = len(instances) * _LEAST_CONNECTIONS <= usable
-        if not usable or (has_connections and len(instances) <= _MOST_ALONE):
+            self._connection_limit = _connection_limit(table)
+        usable = self._connection_limit * CONNECTIONS_SHARE
+        has_connections = len(instances) * _MIN_CONNECTIONS <= usable
+        if not usable or (
+            has_connections and len(instances) <= _MAX_UNCOORDINATED_INSTANCES
+        ):
             self._by_zone = {}
             return
         zones = sorted({item.zone for item in instances})
-        share = max(int(usable / (len(zones) * _CONNECTIONS)), 1)
-        self._by_zone = {zone: self._chosen(zone, share) for zone in zones}
+        share = max(int(usable / (len(zones) * _COORDINATOR_CONNECTIONS)), 1)
+        self._by_zone = {zone: self._select(zone, share) for zone in zones}
 
-    def _chosen(self, zone: str, share: int) -> tuple[str, ...]:
+    def _select(self, zone: str, share: int) -> tuple[str, ...]:
         """Return a zone's coordinators, given how many the connections allow."""
         listed = [item for item in self.instances if item.zone == zone]
-        wanted = max(
-            math.ceil(len(listed) / _INSTANCES_PER_COORDINATOR), _LEAST_PER_ZONE
-        )
+        wanted = max(math.ceil(len(listed) / _INSTANCES_PER_COORDINATOR), _MIN_PER_ZONE)
         chosen = sorted(listed, key=strongest_first)[: min(wanted, share)]
         return tuple(item.name for item in chosen)
 
 
-def _accepted(table: RouteTable) -> int:
+def _connection_limit(table: RouteTable) -> int:
     """Return the fewest connections that a gathered service's server accepts."""
     services = table.configuration.services
     return min(
--- a/ibisfront/gateway/instances/directory.py
+++ b/ibisfront/gateway/instances/directory.py
@@ -22,19 +22,19 @@
     "ASSUMED_INSTANCES",
     "Directory",
     "InstanceEntry",
-    "keep_instances",
     "peer_entry",
+    "sync_instances",
 ]
 
 _LOG = part_logger(LogPart.MEMBERS)
 
-_FIRST_POLL_MS = 1_000.0
+_STARTUP_POLL_INTERVAL_MS = 1_000.0
 """How often the list is read at the start, while the others register too."""
 
-_POLLS_AT_START = 4
+_STARTUP_POLLS = 4
 """Reads of the list that come at the pace of the start."""
 
-_POLL_MS = 5_000.0
+_POLL_INTERVAL_MS = 5_000.0
 """How often the list is read. Instances that die are noticed by their silence,
 and new ones are not missed for a few seconds; a stale read has a tenth of a
 call's price."""
@@ -82,12 +82,12 @@
         """Return all entries, perhaps some seconds old; raises ``StoreError``."""
 
 
-async def keep_instances(
+async def sync_instances(
     directory: Directory,
     own: InstanceEntry,
     *,
     on_list: Callable[[Sequence[InstanceEntry]], None],
-    on_first_try: Callable[[], None],
+    on_first_attempt: Callable[[], None],
     is_needed: Callable[[], bool],
     is_first_start: bool,
     clock: Clock,
@@ -128,10 +128,12 @@
                 is_registered = is_registered or own in listed
                 on_list(listed)
         if polls == 0:
-            on_first_try()
+            on_first_attempt()
         is_registered = is_registered or await _register(directory, own)
         polls += 1
-        wait_ms = _FIRST_POLL_MS if polls < _POLLS_AT_START else _POLL_MS
+        wait_ms = (
+            _STARTUP_POLL_INTERVAL_MS if polls < _STARTUP_POLLS else _POLL_INTERVAL_MS
+        )
         if not is_registered:
             wait_ms = _RETRY_MS
         await clock.sleep_ms(wait_ms * random.uniform(0.8, 1.2))
--- a/ibisfront/gateway/instances/liveness_probe.py
+++ b/ibisfront/gateway/instances/liveness_probe.py
@@ -24,11 +24,11 @@
 
 _TARGET = b"/ibisfront/alive"
 
-_REPLY_MS = 120.0
+_REPLY_TIMEOUT_MS = 120.0
 """How long the reply may take: an instance whose processor time is rationed by the
 tenth of a second stands still for just under that."""
 
-_PAUSE_MS = 200.0
+_INTERVAL_MS = 200.0
 """Pause between a reply and the next question."""
 
 
@@ -41,7 +41,7 @@
 def liveness_prober(wire: WireCodec, clock: Clock) -> StartLivenessProbe:
     """Return what makes the checks of instances that were asked."""
 
-    def check(remote: RemoteCall, on_change: Callable[[], None]) -> LivenessProbe:
+    def start(remote: RemoteCall, on_change: Callable[[], None]) -> LivenessProbe:
         return LivenessProbe(
             remote.peer,
             wire=wire,
@@ -50,7 +50,7 @@
             on_change=on_change,
         )
 
-    return check
+    return start
 
 
 def answer_liveness_probe(
@@ -112,12 +112,12 @@
         exchange = self._exchange
         if exchange is None:
             if now_ms >= self.next_at_ms:
-                self._ask(now_ms)
+                self._send(now_ms)
             return False
         if self._peer.last_reply_at_ms >= exchange.created_at_ms:
             # Any reply is as good as the one to this question.
             self.end()
-            self.next_at_ms = now_ms + _PAUSE_MS
+            self.next_at_ms = now_ms + _INTERVAL_MS
             return False
         return exchange.has_ended or now_ms >= self.next_at_ms
 
@@ -125,9 +125,9 @@
         """Wait for no reply any more."""
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
-            exchange.give_up(at_once=False)
+            exchange.abandon(at_once=False)
 
-    def _ask(self, now_ms: float) -> None:
+    def _send(self, now_ms: float) -> None:
         peer = self._peer
         request_id = secrets.token_hex(8)
         request = InboundRequest(
@@ -144,22 +144,22 @@
             arrived_at_ms=now_ms,
         )
         encode_for = self._wire.encode_request(request)
-        self.next_at_ms = now_ms + _REPLY_MS
+        self.next_at_ms = now_ms + _REPLY_TIMEOUT_MS
         self._exchange = Exchange(
             peer,
             request_id=request.request_id.encode(),
-            payload=lambda at_ms: encode_for(peer.entry.server_id, _REPLY_MS),
-            on_end=self._ended,
+            payload=lambda at_ms: encode_for(peer.entry.server_id, _REPLY_TIMEOUT_MS),
+            on_end=self._on_exchange_end,
             rank=0,
             created_at_ms=now_ms,
-            expected_ms=_REPLY_MS,
+            expected_ms=_REPLY_TIMEOUT_MS,
         )
         assert peer.pool is not None
         peer.pool.submit(self._exchange)
 
-    def _ended(self, exchange: Exchange) -> None:
+    def _on_exchange_end(self, exchange: Exchange) -> None:
         if self._peer.pool is not None:
-            self._peer.pool.forget(exchange)
+            self._peer.pool.record_ended(exchange)
         if exchange.reply is not None:
             self._peer.record_alive(self._clock.now_ms())
         if not exchange.is_abandoned:
--- a/ibisfront/gateway/instances/rotation.py
+++ b/ibisfront/gateway/instances/rotation.py
@@ -5,25 +5,25 @@
 import math
 import random
 
-__all__ = ["NOTICED_AFTER_MS", "Rotation"]
+__all__ = ["BALANCER_DETECTION_MS", "Rotation"]
 
-NOTICED_AFTER_MS = 2_000.0
+BALANCER_DETECTION_MS = 2_000.0
 """How long the balancer may take to notice that an instance is not ready: it asks
 once a second and needs two misses."""
 
-_OUT_AFTER_MS = NOTICED_AFTER_MS + 200.0
+_REROUTED_AFTER_MS = BALANCER_DETECTION_MS + 200.0
 """When a new connection reaches another zone: the other instances of the zone know a
 little later."""
 
-_LEAST_WAIT_MS = 20.0
+_MIN_WAIT_MS = 20.0
 """The shortest wait that is told: the caller's next connection goes elsewhere
 already."""
 
-_UNDECIDED_WAIT_MS = 150.0
+_READY_WAIT_MS = 150.0
 """What is told while the instance is still ready: the time in which a cut path is
 found, or a server that has failed is tried again."""
 
-_SPREAD_MS = 200.0
+_JITTER_MS = 200.0
 """Over how long those are spread that would all come back at the same moment."""
 
 
@@ -51,8 +51,8 @@
     def wait_ms(self, now_ms: float) -> float:
         """Return in how many milliseconds a refused caller should come back."""
         if math.isinf(self._unready_since_ms):
-            return _UNDECIDED_WAIT_MS
-        left_ms = self._unready_since_ms + _OUT_AFTER_MS - now_ms
+            return _READY_WAIT_MS
+        left_ms = self._unready_since_ms + _REROUTED_AFTER_MS - now_ms
         if left_ms <= 0.0:
-            return _LEAST_WAIT_MS
-        return left_ms + random.uniform(0.0, _SPREAD_MS)
+            return _MIN_WAIT_MS
+        return left_ms + random.uniform(0.0, _JITTER_MS)
--- a/ibisfront/gateway/instances/zone_path_monitor.py
+++ b/ibisfront/gateway/instances/zone_path_monitor.py
@@ -22,7 +22,7 @@
 
 _LOG = part_logger(LogPart.MEMBERS)
 
-_CHECK_MS = 25.0
+_EVALUATION_INTERVAL_MS = 25.0
 """How often the paths are looked at: a fifth of the time that a suspicion and its
 probes take. Waking for it costs more than the look, however many paths there are."""
 
@@ -76,30 +76,30 @@
     async def run(self) -> None:
         """Look at the paths until cancelled."""
         while True:
-            due_ms = self._clock.now_ms() + _CHECK_MS
-            await self._clock.sleep_ms(_CHECK_MS)
+            due_ms = self._clock.now_ms() + _EVALUATION_INTERVAL_MS
+            await self._clock.sleep_ms(_EVALUATION_INTERVAL_MS)
             now_ms = self._clock.now_ms()
             late_ms = now_ms - due_ms
             for path in self._paths.all():
                 if late_ms > OVERSLEPT_MS:
-                    path.postpone(late_ms)
+                    path.extend_deadlines(late_ms)
                 else:
-                    self._take_step(path, path.step(now_ms), now_ms)
+                    self._apply_action(path, path.evaluate(now_ms), now_ms)
 
-    def _take_step(
-        self, path: ZonePath, step: PathAction | None, now_ms: float
+    def _apply_action(
+        self, path: ZonePath, action: PathAction | None, now_ms: float
     ) -> None:
-        match step:
+        match action:
             case PathAction.PROBE:
-                path.record_probed(self._probe(path.zone), now_ms)
-            case PathAction.CUT:
-                self._let_go(path.zone)
+                path.record_probes(self._probe(path.zone), now_ms)
+            case PathAction.PARTITIONED:
+                self._fail_requests(path.zone)
                 # Perhaps it is this zone that is cut off.
                 for other in self._paths.all():
-                    other.suspect()
+                    other.mark_suspect()
                 self._on_change()
-            case PathAction.OPENED:
-                self._take_back(path.zone)
+            case PathAction.RESTORED:
+                self._restore(path.zone)
                 self._on_change()
 
     def _probe(self, zone: str) -> int:
@@ -115,7 +115,7 @@
             if endpoint.pool is not None
         )
 
-    def _let_go(self, zone: str) -> None:
+    def _fail_requests(self, zone: str) -> None:
         """End the exchanges that wait for a reply from a zone that is cut off.
 
         Their requests are then asked of servers elsewhere while there is time,
@@ -125,15 +125,15 @@
         ended = 0
         for registry in (self._servers, self._peers):
             for endpoint in self._endpoints(registry, zone):
-                ended += endpoint.break_off()
+                ended += endpoint.fail_in_flight()
         _LOG.warning("Zone %s is cut off from here; %d requests end.", zone, ended)
 
-    def _take_back(self, zone: str) -> None:
+    def _restore(self, zone: str) -> None:
         """Use a zone's endpoints again, whatever befell them during the cut."""
         self._counters.add(CounterKind.MEMBER_CHANGES, "zone_back")
         for registry in (self._servers, self._peers):
             for endpoint in self._endpoints(registry, zone):
-                endpoint.forget_losses()
+                endpoint.clear_failures()
         _LOG.info("Zone %s is within reach again.", zone)
 
     def _endpoints(self, registry: ServerRegistry, zone: str) -> list[Server]:
--- a/ibisfront/gateway/instances/zone_paths.py
+++ b/ibisfront/gateway/instances/zone_paths.py
@@ -20,15 +20,15 @@
 """A reply owed for this many times the latency at which one is late is past its
 time."""
 
-_DUE_LEAST_MS = 40.0
+_MIN_DUE_MS = 40.0
 """The least time that a reply is given: above the lateness with which a busy process
 reads replies."""
 
-_PROBE_MS = 60.0
+_PROBE_WAIT_MS = 60.0
 """How long probes of a suspect zone may take: several times what the paths between
 zones and a server's accepting take."""
 
-_PROBE_AGAIN_MS = 150.0
+_PROBE_INTERVAL_MS = 150.0
 """Pause between probes of a zone that is cut off: it is in use again this long
 after the path heals, at seven connection attempts a second."""
 
@@ -37,15 +37,15 @@
     """What is to be done about a zone."""
 
     PROBE = "probe"
-    CUT = "cut"
-    OPENED = "opened"
+    PARTITIONED = "cut"
+    RESTORED = "opened"
 
 
 class _State(Enum):
     OPEN = "open"
     SUSPECT = "suspect"
     PROBED = "probed"
-    CUT = "cut"
+    PARTITIONED = "cut"
 
 
 class ZonePath:
@@ -65,12 +65,12 @@
         The zone.
     """
 
-    __slots__ = ("_decide_at_ms", "_due_ms", "_state", "_was_cut", "zone")
+    __slots__ = ("_decide_at_ms", "_due_ms", "_state", "_was_partitioned", "zone")
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
         self._state = _State.OPEN
-        self._was_cut = False
+        self._was_partitioned = False
         self._decide_at_ms = math.inf
         # When a reply of each endpoint is past its time, of those that were
         # asked since the zone last showed life.
@@ -79,9 +79,9 @@
     @property
     def is_partitioned(self) -> bool:
         """Whether nothing there can be reached."""
-        return self._state is _State.CUT
+        return self._state is _State.PARTITIONED
 
-    def record_asked(self, endpoint: str, now_ms: float, *, late_ms: float) -> None:
+    def record_request(self, endpoint: str, now_ms: float, *, late_ms: float) -> None:
         """Take in that a server or an instance of the zone was sent a request.
 
         Parameters
@@ -93,7 +93,7 @@
         late_ms : float
             After how long its reply is late.
         """
-        due_ms = now_ms + max(_DUE_FACTOR * late_ms, _DUE_LEAST_MS)
+        due_ms = now_ms + max(_DUE_FACTOR * late_ms, _MIN_DUE_MS)
         self._due_ms.setdefault(endpoint, due_ms)
 
     def record_liveness(self) -> None:
@@ -101,10 +101,10 @@
         if self._due_ms:
             self._due_ms.clear()
         if self._state is not _State.OPEN:
-            self._was_cut = self._state is _State.CUT
+            self._was_partitioned = self._state is _State.PARTITIONED
             self._state = _State.OPEN
 
-    def suspect(self) -> None:
+    def mark_suspect(self) -> None:
         """Have the zone probed, on a sign from elsewhere that its path may be cut.
 
         An instance that asks rarely would find a cut by nothing else, and one that
@@ -113,39 +113,39 @@
         if self._state is _State.OPEN:
             self._state = _State.SUSPECT
 
-    def record_probed(self, probes: int, now_ms: float) -> None:
+    def record_probes(self, probes: int, now_ms: float) -> None:
         """Take in that connections were begun to endpoints of the zone."""
         if self._state is _State.SUSPECT and probes:
             self._state = _State.PROBED
-            self._decide_at_ms = now_ms + _PROBE_MS
+            self._decide_at_ms = now_ms + _PROBE_WAIT_MS
 
-    def postpone(self, duration_ms: float) -> None:
+    def extend_deadlines(self, duration_ms: float) -> None:
         """Give more time: this process did not run, and may have unread replies."""
         self._decide_at_ms += duration_ms
         self._due_ms = {
             endpoint: due_ms + duration_ms for endpoint, due_ms in self._due_ms.items()
         }
 
-    def step(self, now_ms: float) -> PathAction | None:
+    def evaluate(self, now_ms: float) -> PathAction | None:
         """Return what is to be done now; to be called every few milliseconds."""
         match self._state:
             case _State.OPEN:
-                return self._step_open(now_ms)
+                return self._evaluate_open(now_ms)
             case _State.SUSPECT:
                 return PathAction.PROBE
             case _State.PROBED if now_ms >= self._decide_at_ms:
-                self._state = _State.CUT
+                self._state = _State.PARTITIONED
                 self._decide_at_ms = now_ms
-                return PathAction.CUT
-            case _State.CUT if now_ms >= self._decide_at_ms:
-                self._decide_at_ms = now_ms + _PROBE_AGAIN_MS
+                return PathAction.PARTITIONED
+            case _State.PARTITIONED if now_ms >= self._decide_at_ms:
+                self._decide_at_ms = now_ms + _PROBE_INTERVAL_MS
                 return PathAction.PROBE
         return None
 
-    def _step_open(self, now_ms: float) -> PathAction | None:
-        if self._was_cut:
-            self._was_cut = False
-            return PathAction.OPENED
+    def _evaluate_open(self, now_ms: float) -> PathAction | None:
+        if self._was_partitioned:
+            self._was_partitioned = False
+            return PathAction.RESTORED
         if len(self._due_ms) < _SUSPECT_ENDPOINTS:
             return None
         overdue = sum(due_ms <= now_ms for due_ms in self._due_ms.values())
--- a/ibisfront/gateway/load/server_choice.py
+++ b/ibisfront/gateway/load/server_choice.py
@@ -69,7 +69,7 @@
     """
     cost = server.slowness(now_ms) * (1.0 + _IN_FLIGHT_PENALTY * len(server.in_flight))
     cost += _reported_delay(server, now_ms)
-    cost += _FAILURE_PENALTY * server.failing(now_ms)
+    cost += _FAILURE_PENALTY * server.failure_rate(now_ms)
     if server.is_overdue(now_ms, baseline_ms):
         cost += _OVERDUE_PENALTY
     if not server.is_near:
@@ -117,7 +117,7 @@
     for server in servers:
         if not server.is_usable or server.is_behind_partition or server in tried:
             continue
-        if not server.may_take(now_ms):
+        if not server.can_accept(now_ms):
             continue
         cost = server_cost(server, now_ms, baseline_ms)
         if server.pool is not None and not server.pool.has_room:
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -234,13 +234,13 @@
     def end(self, *, at_once: bool) -> None:
         """Wait for it no longer."""
         if self._exchange is not None:
-            self._exchange.give_up(at_once=at_once)
+            self._exchange.abandon(at_once=at_once)
 
     def _ended(self, exchange: Exchange) -> None:
         now_ms = self._clock.now_ms()
         peer = self._plan.peer
         if peer.pool is not None:
-            peer.pool.forget(exchange)
+            peer.pool.record_ended(exchange)
         if exchange.reply is not None:
             baseline = self._plan.baseline
             took_ms = now_ms - exchange.waits_since_ms
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -242,7 +242,7 @@
         for exchange in list(self._open):
             if exchange.sent_at_ms is None:
                 self.last_error = "no_connection"
-                exchange.give_up(at_once=False)
+                exchange.abandon(at_once=False)
 
     def is_silent_since(self, since_ms: float) -> bool:
         """Return whether no server that was asked has replied since a time."""
@@ -259,7 +259,7 @@
         for exchange in list(self._open):
             server = exchange.server
             stops = server.slowness(now_ms) > _SLOW or (is_large and not server.is_near)
-            exchange.give_up(at_once=at_once or stops)
+            exchange.abandon(at_once=at_once or stops)
 
     def _choose(self, now_ms: float) -> Server | None:
         chosen = self._best(self._tried, now_ms)
@@ -296,7 +296,7 @@
             created_at_ms=now_ms,
             expected_ms=context.baseline.late_ms,
             has_reply_body=context.has_reply_body,
-            may_break_off=context.is_idempotent,
+            may_fail_fast=context.is_idempotent,
         )
         self._tried.append(server)
         self._open.append(exchange)
@@ -308,7 +308,7 @@
         """Take in the end of an exchange, also of an abandoned one."""
         server = exchange.server
         if server.pool is not None:
-            server.pool.forget(exchange)
+            server.pool.record_ended(exchange)
         if exchange in self._open:
             self._open.remove(exchange)
         if exchange.reply is not None:
--- a/ibisfront/gateway/servers/exchange.py
+++ b/ibisfront/gateway/servers/exchange.py
@@ -61,14 +61,14 @@
 
     __slots__ = (
         "_on_end",
-        "abandon",
         "created_at_ms",
         "error",
         "expected_ms",
         "has_reply_body",
         "is_abandoned",
         "is_cancelled",
-        "may_break_off",
+        "may_fail_fast",
+        "on_abandon",
         "payload",
         "rank",
         "reply",
@@ -88,10 +88,10 @@
         created_at_ms: float,
         expected_ms: float,
         has_reply_body: bool = True,
-        may_break_off: bool = True,
+        may_fail_fast: bool = True,
     ) -> None:
         self.has_reply_body = has_reply_body
-        self.may_break_off = may_break_off
+        self.may_fail_fast = may_fail_fast
         self.server = server
         self.request_id = request_id
         self.payload = payload
@@ -103,7 +103,7 @@
         self.error: ExchangeError | None = None
         self.is_abandoned = False
         self.is_cancelled = False
-        self.abandon: Callable[[bool], None] | None = None
+        self.on_abandon: Callable[[bool], None] | None = None
         self._on_end = on_end
 
     @property
@@ -128,14 +128,14 @@
             self.error = ExchangeError(kind, may_have_run=self.sent_at_ms is not None)
             self._on_end(self)
 
-    def break_off(self) -> None:
+    def fail_fast(self) -> None:
         """End it as lost, at once: no reply can come on the way that it went."""
         if self.sent_at_ms is None:
             self.fail(ExchangeErrorKind.CONNECT_FAILED)
-        elif self.abandon is not None:
-            self.abandon(True)
+        elif self.on_abandon is not None:
+            self.on_abandon(True)
 
-    def give_up(self, *, at_once: bool) -> None:
+    def abandon(self, *, at_once: bool) -> None:
         """Wait for it no longer.
 
         Parameters
@@ -150,8 +150,8 @@
         self.is_abandoned = True
         if self.sent_at_ms is None:
             self.fail(ExchangeErrorKind.WITHDRAWN)
-        elif at_once and self.abandon is not None:
+        elif at_once and self.on_abandon is not None:
             self.is_cancelled = True
-            self.abandon(True)
-        elif self.abandon is not None:
-            self.abandon(False)
+            self.on_abandon(True)
+        elif self.on_abandon is not None:
+            self.on_abandon(False)
--- a/ibisfront/gateway/servers/pool.py
+++ b/ibisfront/gateway/servers/pool.py
@@ -21,19 +21,19 @@
 
 __all__ = ["OpenServerConnection", "ServerConnection", "ServerPool"]
 
-_ABANDONED_MS = 700.0
+_MIN_ABANDONED_MS = 700.0
 _ABANDONED_FACTOR = 4.0
 """How long a reply that nobody waits for may take before its connection is
 closed, at least and in units of the time after which it is late: longer than a
 pause and a slow reply, after which the connection can be used again."""
 
 
-_READY_CONNECTIONS = 3
+_PREOPENED_CONNECTIONS = 3
 """Connections up to which the next one is opened before it is needed: two queries at
 once and a hedged request."""
 
 
-_ASKED_OFTEN_MS = 1_000.0
+_RECENT_REPLY_MS = 1_000.0
 """A server that replied this recently is likely to be asked again soon."""
 
 
@@ -144,13 +144,13 @@
         while self._idle:
             connection = self._idle.pop()
             if self._send(connection, exchange, now_ms):
-                self._open_next(now_ms)
+                self._preopen(now_ms)
                 return
         self._enqueue(exchange)
         if self.size < self.maximum:
             self._start_opening()
 
-    def _open_next(self, now_ms: float) -> None:
+    def _preopen(self, now_ms: float) -> None:
         """Open a connection for the next request, once the last idle one is taken.
 
         Load pattern: a query comes while another one waits for its parts. Each of its
@@ -158,9 +158,9 @@
         """
         if self._idle or self._opening or not self.keeps_idle:
             return
-        if now_ms - self._server.last_reply_at_ms > _ASKED_OFTEN_MS:
+        if now_ms - self._server.last_reply_at_ms > _RECENT_REPLY_MS:
             return
-        if self.size < min(self.maximum, _READY_CONNECTIONS):
+        if self.size < min(self.maximum, _PREOPENED_CONNECTIONS):
             self._start_opening()
 
     def _replace(self, connection: ServerConnection) -> None:
@@ -197,7 +197,7 @@
         self._start_opening(timeout_ms)
         return True
 
-    def forget(self, exchange: Exchange) -> None:
+    def record_ended(self, exchange: Exchange) -> None:
         """Note that an exchange has ended."""
         self._server.in_flight.pop(exchange, None)
 
@@ -257,9 +257,9 @@
 
     def _record_unreachable(self, error: OSError) -> None:
         entry = self._server.entry
-        why = error.strerror or type(error).__name__
-        what = f"Cannot be reached, {why}"
-        self._event_log.record(what, entry.server_id, entry.service, is_fault=True)
+        reason = error.strerror or type(error).__name__
+        event = f"Cannot be reached, {reason}"
+        self._event_log.record(event, entry.server_id, entry.service, is_fault=True)
         self._server.record_unreachable(self._clock.now_ms())
         if not self.size:
             self._fail_waiting(ExchangeErrorKind.CONNECT_FAILED)
@@ -294,21 +294,21 @@
             return False
         self._server.record_sent(now_ms)
 
-        def abandon(at_once: bool) -> None:
+        def on_abandon(at_once: bool) -> None:
             if at_once:
                 connection.close()
                 self._replace(connection)
             else:
                 self._nursery.start_soon(self._close_late, connection, exchange)
 
-        exchange.abandon = abandon
+        exchange.on_abandon = on_abandon
         return True
 
     async def _close_late(
         self, connection: ServerConnection, exchange: Exchange
     ) -> None:
         """Close a connection on which an abandoned reply does not come."""
-        wait_ms = max(_ABANDONED_MS, _ABANDONED_FACTOR * exchange.expected_ms)
+        wait_ms = max(_MIN_ABANDONED_MS, _ABANDONED_FACTOR * exchange.expected_ms)
         await self._clock.sleep_ms(wait_ms)
         if not exchange.has_ended:
             connection.close()
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -36,13 +36,13 @@
 """How fast failures lose half of their weight: a little longer than the longest time
 for which a server is left alone."""
 
-_FIRST_BACK_OFF_MS = 250.0
+_INITIAL_BACKOFF_MS = 250.0
 """How long a server is left alone at first; doubled with each loss."""
 
-_LONGEST_BACK_OFF_MS = 1_000.0
+_MAX_BACKOFF_MS = 1_000.0
 """How long at the most, so that a server that is back is used within a second."""
 
-_DEAD_AFTER = 2
+_LOSSES_BEFORE_BACKOFF = 2
 """Connections lost or refused in a row after which a server is left alone."""
 
 _UNREACHABLE_MS = 400.0
@@ -104,10 +104,10 @@
     """
 
     __slots__ = (
-        "_failing",
-        "_failing_at_ms",
+        "_consecutive_losses",
+        "_failure_rate",
+        "_failure_rate_at_ms",
         "_is_unreachable",
-        "_lost_in_row",
         "_slowness",
         "_slowness_at_ms",
         "cold_start_limit",
@@ -152,9 +152,9 @@
         self.load_at_ms = -math.inf
         self._slowness = 1.0
         self._slowness_at_ms = now_ms
-        self._failing = 0.0
-        self._failing_at_ms = now_ms
-        self._lost_in_row = 0
+        self._failure_rate = 0.0
+        self._failure_rate_at_ms = now_ms
+        self._consecutive_losses = 0
         self._is_unreachable = False
 
     @property
@@ -171,7 +171,7 @@
         """Return whether it has just started, or has become cold again."""
         return now_ms < self.warm_at_ms
 
-    def may_take(self, now_ms: float) -> bool:
+    def can_accept(self, now_ms: float) -> bool:
         """Return whether it bears one more request from here."""
         if not self.is_cold(now_ms):
             return True
@@ -194,10 +194,10 @@
         left = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self._slowness - 1.0) * left
 
-    def failing(self, now_ms: float) -> float:
+    def failure_rate(self, now_ms: float) -> float:
         """Return the smoothed share of its exchanges that failed."""
-        age_ms = now_ms - self._failing_at_ms
-        return self._failing * math.exp2(-age_ms / _FAILURE_HALF_LIFE_MS)
+        age_ms = now_ms - self._failure_rate_at_ms
+        return self._failure_rate * math.exp2(-age_ms / _FAILURE_HALF_LIFE_MS)
 
     def silent_ms(self, now_ms: float) -> float:
         """Return for how long it has owed a reply without sending any."""
@@ -226,7 +226,7 @@
         limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_FLOOR_MS
         return self.silent_ms(now_ms) > limit_ms
 
-    def use_entry(self, entry: ServerEntry, now_ms: float) -> None:
+    def update_entry(self, entry: ServerEntry, now_ms: float) -> None:
         """Take in what the store says now of this incarnation.
 
         A server may become cold while it runs. An entry that is read again says what
@@ -259,20 +259,20 @@
         self.in_flight[exchange] = None
         if self.path is not None:
             name = self.entry.server_id
-            self.path.record_asked(name, now_ms, late_ms=exchange.expected_ms)
+            self.path.record_request(name, now_ms, late_ms=exchange.expected_ms)
 
-    def break_off(self) -> int:
+    def fail_in_flight(self) -> int:
         """End what waits for its reply and may be sent again; return how many."""
-        exchanges = [item for item in self.in_flight if item.may_break_off]
+        exchanges = [item for item in self.in_flight if item.may_fail_fast]
         for exchange in exchanges:
-            exchange.break_off()
+            exchange.fail_fast()
         return len(exchanges)
 
-    def forget_losses(self) -> None:
+    def clear_failures(self) -> None:
         """Take it for reachable and sound: what it lost was lost on a cut path."""
-        self._lost_in_row = 0
+        self._consecutive_losses = 0
         self._is_unreachable = False
-        self._failing = 0.0
+        self._failure_rate = 0.0
         self.not_before_ms = -math.inf
 
     def record_load(self, now_ms: float, load: ServerLoad) -> None:
@@ -285,12 +285,12 @@
     ) -> None:
         """Take in a reply that shows how fast it works."""
         self.record_alive(now_ms)
-        self._lost_in_row = 0
+        self._consecutive_losses = 0
         self.not_before_ms = -math.inf
         ratio = min(took_ms / baseline_ms, _LARGEST_RATIO)
         self._record_ratio(now_ms, ratio)
-        self._failing = self.failing(now_ms) * (1.0 - _FAILURE_WEIGHT)
-        self._failing_at_ms = now_ms
+        self._failure_rate = self.failure_rate(now_ms) * (1.0 - _FAILURE_WEIGHT)
+        self._failure_rate_at_ms = now_ms
 
     def record_cancelled(
         self, now_ms: float, *, waited_ms: float, baseline_ms: float
@@ -308,23 +308,23 @@
     def record_refused(self, now_ms: float, retry_after_ms: float | None) -> None:
         """Take in a reply that says that the request did not run."""
         self.record_alive(now_ms)
-        self._lost_in_row = 0
-        self._record_failing(now_ms)
+        self._consecutive_losses = 0
+        self._record_failure(now_ms)
         if retry_after_ms is not None:
-            wait_ms = min(retry_after_ms, _FIRST_BACK_OFF_MS)
+            wait_ms = min(retry_after_ms, _INITIAL_BACKOFF_MS)
             self.not_before_ms = max(self.not_before_ms, now_ms + wait_ms)
 
     def record_failed(self, now_ms: float) -> None:
         """Take in a reply that is a failure."""
         self.record_alive(now_ms)
-        self._record_failing(now_ms)
+        self._record_failure(now_ms)
 
     def record_connected(self, now_ms: float) -> None:
         """Take in that a connection to it could be opened."""
         self.connected_at_ms = now_ms
         if self.path is not None:
             self.path.record_liveness()
-        self._lost_in_row = 0
+        self._consecutive_losses = 0
         if self._is_unreachable and self.cold_start_limit.share is not None:
             # It may have started again, which the store says a moment later.
             warm_up_ms = self.cold_start_limit.warm_up_ms
@@ -341,7 +341,7 @@
         """Take in that it did not even reply whether it is there."""
         self.record_unreachable(now_ms)
         if self.path is not None:
-            self.path.suspect()
+            self.path.mark_suspect()
 
     def record_silent(self, now_ms: float, exchange: Exchange) -> None:
         """Take in that a reply was waited for in vain, long past its use."""
@@ -355,11 +355,11 @@
         A server that resets connections may only have too many of them; it
         is left alone for a while, and still counts as there.
         """
-        self._record_failing(now_ms)
-        self._lost_in_row += 1
-        if self._lost_in_row >= _DEAD_AFTER:
-            doublings = self._lost_in_row - _DEAD_AFTER
-            wait_ms = min(_FIRST_BACK_OFF_MS * 2**doublings, _LONGEST_BACK_OFF_MS)
+        self._record_failure(now_ms)
+        self._consecutive_losses += 1
+        if self._consecutive_losses >= _LOSSES_BEFORE_BACKOFF:
+            doublings = self._consecutive_losses - _LOSSES_BEFORE_BACKOFF
+            wait_ms = min(_INITIAL_BACKOFF_MS * 2**doublings, _MAX_BACKOFF_MS)
             self.not_before_ms = max(self.not_before_ms, now_ms + wait_ms)
 
     def record_alive(self, now_ms: float) -> None:
@@ -375,10 +375,10 @@
         self._slowness = slowness + _SLOWNESS_WEIGHT * (ratio - slowness)
         self._slowness_at_ms = now_ms
 
-    def _record_failing(self, now_ms: float) -> None:
-        failing = self.failing(now_ms)
-        self._failing = failing + _FAILURE_WEIGHT * (1.0 - failing)
-        self._failing_at_ms = now_ms
+    def _record_failure(self, now_ms: float) -> None:
+        failure_rate = self.failure_rate(now_ms)
+        self._failure_rate = failure_rate + _FAILURE_WEIGHT * (1.0 - failure_rate)
+        self._failure_rate_at_ms = now_ms
 
 
 def _silence_limit_ms(exchange: Exchange) -> float:
--- a/ibisfront/gateway/servers/server_event_log.py
+++ b/ibisfront/gateway/servers/server_event_log.py
@@ -13,7 +13,7 @@
 
 _LOG = part_logger(LogPart.BACKEND)
 
-_NAMED = 12
+_MAX_NAMED_SERVERS = 12
 """Servers that one line names: those of one zone's part of a release."""
 
 
@@ -29,33 +29,33 @@
         The tier's clock.
     """
 
-    __slots__ = ("_by_what", "_clock", "_first_ms")
+    __slots__ = ("_by_event", "_clock", "_first_ms")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._by_what: dict[tuple[str, bool], list[str]] = {}
+        self._by_event: dict[tuple[str, bool], list[str]] = {}
         self._first_ms = 0.0
 
     def record(
-        self, what: str, server_id: str, service: str, *, is_fault: bool = False
+        self, event: str, server_id: str, service: str, *, is_fault: bool = False
     ) -> None:
         """Note what has befallen a server, to be told with the next lines."""
-        if not self._by_what:
+        if not self._by_event:
             self._first_ms = self._clock.now_ms()
-        servers = self._by_what.setdefault((what, is_fault), [])
+        servers = self._by_event.setdefault((event, is_fault), [])
         servers.append(f"{server_id} of {service}")
 
-    def tell(self) -> None:
+    def flush(self) -> None:
         """Log what was noted since the last time."""
-        if not self._by_what:
+        if not self._by_event:
             return
         age_ms = round(self._clock.now_ms() - self._first_ms, 1)
-        for (what, is_fault), servers in self._by_what.items():
+        for (event, is_fault), servers in self._by_event.items():
             log = _LOG.warning if is_fault else _LOG.info
-            names = ", ".join(servers[:_NAMED])
-            left_out = len(servers) - _NAMED
+            names = ", ".join(servers[:_MAX_NAMED_SERVERS])
+            left_out = len(servers) - _MAX_NAMED_SERVERS
             if left_out > 0:
                 names += f" and {left_out} more"
             fields = {"servers": len(servers), "age_ms": age_ms}
-            log("%s: %s.", what, names, extra=fields)
-        self._by_what.clear()
+            log("%s: %s.", event, names, extra=fields)
+        self._by_event.clear()
--- a/ibisfront/gateway/servers/server_registry.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -18,7 +18,7 @@
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.servers.server_entry import ServerEntry
 
-__all__ = ["BIRTHS_KEPT", "STALE_ENTRY_GRACE_MS", "ServerRegistry"]
+__all__ = ["MAX_REMOVED_STARTS", "STALE_ENTRY_GRACE_MS", "ServerRegistry"]
 
 _LOG = part_logger(LogPart.BACKEND)
 
@@ -27,7 +27,7 @@
 after the store is back: live servers write theirs again within about two
 seconds; what is missing then has gone."""
 
-BIRTHS_KEPT = 1_000
+MAX_REMOVED_STARTS = 1_000
 """Servers that are gone whose start is remembered, so that an entry that comes late
 is told from that of a new one: one is seconds late, and a thousand leave in hours."""
 
@@ -62,10 +62,10 @@
         "_complete_at_ms",
         "_evacuated",
         "_event_log",
-        "_gone_born_ms",
         "_is_listed",
         "_make_pool",
         "_paths",
+        "_removed_start_ms",
         "_stale",
         "_zone",
     )
@@ -89,12 +89,12 @@
         self._by_service: dict[str, list[Server]] = {}
         self._stale: dict[str, float] = {}
         self._complete_at_ms = -math.inf
-        self._gone_born_ms: dict[str, int] = {}
+        self._removed_start_ms: dict[str, int] = {}
         self._evacuated = evacuated
         self._is_listed = False
 
     @property
-    def is_known(self) -> bool:
+    def is_initialized(self) -> bool:
         """Whether the servers, and which of them get nothing, were learnt."""
         return self._is_listed and self._evacuated is not None
 
@@ -172,25 +172,25 @@
         """Take in a new or changed entry; one of an older incarnation is not."""
         self._is_listed = True
         server_id = entry.server_id
-        if entry.born_ms < self._newest_born_ms(server_id):
+        if entry.born_ms < self._newest_start_ms(server_id):
             # A stale read, or an instance that is behind, still names the
             # incarnation before. Taken in, it would drop the server that lives
             # and send requests to one that is dead.
             _LOG.info("An entry of an earlier start of %s is left aside.", server_id)
             return
-        known = self._by_id.get(server_id)
-        if known is not None:
+        current = self._by_id.get(server_id)
+        if current is not None:
             self._stale.pop(server_id, None)
-            known.is_stale = False
-        if known is not None and known.entry.is_same_server(entry):
-            if entry.is_draining and not known.entry.is_draining:
+            current.is_stale = False
+        if current is not None and current.entry.is_same_server(entry):
+            if entry.is_draining and not current.entry.is_draining:
                 self._event_log.record("Draining", server_id, entry.service)
-            known.use_entry(entry, self._clock.now_ms())
+            current.update_entry(entry, self._clock.now_ms())
             return
-        if known is not None:
-            is_reborn = entry.born_ms > known.entry.born_ms
-            why = "it has started again" if is_reborn else "it has moved"
-            self._remove(server_id, why, is_reborn=is_reborn)
+        if current is not None:
+            is_restart = entry.born_ms > current.entry.born_ms
+            reason = "it has started again" if is_restart else "it has moved"
+            self._remove(server_id, reason, is_restart=is_restart)
         self._add(entry)
 
     def _add(self, entry: ServerEntry) -> None:
@@ -207,20 +207,20 @@
         self._by_service.setdefault(entry.service, []).append(server)
         self._event_log.record("Listed", entry.server_id, entry.service)
 
-    def _newest_born_ms(self, server_id: str) -> int:
+    def _newest_start_ms(self, server_id: str) -> int:
         """Return the newest start of a server that is listed, or was; 0 for none."""
-        known = self._by_id.get(server_id)
-        if known is not None:
-            return known.entry.born_ms
-        return self._gone_born_ms.get(server_id, 0)
+        current = self._by_id.get(server_id)
+        if current is not None:
+            return current.entry.born_ms
+        return self._removed_start_ms.get(server_id, 0)
 
-    def _record_gone(self, entry: ServerEntry) -> None:
+    def _record_removed(self, entry: ServerEntry) -> None:
         if not entry.born_ms:
             return
-        self._gone_born_ms.pop(entry.server_id, None)
-        self._gone_born_ms[entry.server_id] = entry.born_ms
-        if len(self._gone_born_ms) > BIRTHS_KEPT:
-            del self._gone_born_ms[next(iter(self._gone_born_ms))]
+        self._removed_start_ms.pop(entry.server_id, None)
+        self._removed_start_ms[entry.server_id] = entry.born_ms
+        if len(self._removed_start_ms) > MAX_REMOVED_STARTS:
+            del self._removed_start_ms[next(iter(self._removed_start_ms))]
 
     def remove(self, server_id: str) -> None:
         """Take in that an entry was removed while the store was well."""
@@ -277,21 +277,21 @@
             self._complete_at_ms = -math.inf
         return bool(due) or is_complete_now
 
-    def _remove(self, server_id: str, why: str, *, is_reborn: bool = False) -> None:
+    def _remove(self, server_id: str, reason: str, *, is_restart: bool = False) -> None:
         self._stale.pop(server_id, None)
         server = self._by_id.pop(server_id, None)
         if server is None:
             return
         server.is_gone = True
-        self._record_gone(server.entry)
+        self._record_removed(server.entry)
         servers = self._by_service[server.entry.service]
         servers.remove(server)
         if not servers:
             del self._by_service[server.entry.service]
-        if server.pool is not None and is_reborn:
+        if server.pool is not None and is_restart:
             # Its process is dead: no reply comes any more. Behind a cut no
             # reset comes either, and requests would wait for their deadline.
             server.pool.retire()
         elif server.pool is not None:
             server.pool.close()
-        self._event_log.record(f"Gone, {why}", server_id, server.entry.service)
+        self._event_log.record(f"Gone, {reason}", server_id, server.entry.service)
--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -56,7 +56,7 @@
 _FEW_CONNECTIONS = 4
 """Connections that a server accepts where not every instance can gather."""
 
-_MOST_READS = 1_000_000
+_MAX_CLOCK_READS = 1_000_000
 """Far beyond the reads of any test: forty queries take some ten thousand."""
 
 
@@ -76,7 +76,7 @@
     def now_ms(self) -> float:
         """Return the monotonic time in milliseconds."""
         self.reads += 1
-        if self.reads > _MOST_READS:
+        if self.reads > _MAX_CLOCK_READS:
             raise AssertionError("a task spins: the time was read without end")
         return super().now_ms()
 
@@ -111,18 +111,18 @@
         self,
         route: Route,
         *,
-        also: Route | None = None,
+        extra_route: Route | None = None,
         latency_ms: float = 10.0,
-        follows: bool = False,
+        delegates: bool = False,
     ) -> None:
-        self._follows = follows
-        self._zones = ("z0", "z1", "z2") if follows else ("z0", "z1")
+        self._delegates = delegates
+        self._zones = ("z0", "z1", "z2") if delegates else ("z0", "z1")
         self.clock = _CountingClock()
         self.delegated = 0
         self.frozen = False
         self.peer_connect_ms = CONNECT_MS
         self._route = route
-        routes = [route] if also is None else [route, also]
+        routes = [route] if extra_route is None else [route, extra_route]
         self._names = [name for item in routes for name in item.service_names]
         self._servers: dict[str, StandInServer] = {}
         for index, service in enumerate(self._names):
@@ -169,7 +169,7 @@
         """Return which instances gather, as an instance sees it."""
         own = InstanceEntry(f"instance-{zone}", zone, zone)
         coordinators = Coordinators(own)
-        if self._follows:
+        if self._delegates:
             # The strongest of each zone gather; that of z0 is out of reach.
             listed = [
                 InstanceEntry("instance-z0", "z0", "z0"),
@@ -189,10 +189,10 @@
         """Ask the instance of a zone as a caller would."""
         return await self.gateways[zone].answer(self.request("/search/a"))
 
-    def received_from(self, asker: str, *, zone: str) -> int:
+    def received_from(self, sender: str, *, zone: str) -> int:
         """Return how many sub-requests crossed from an instance to a zone."""
         return sum(
-            exchange.server.is_near is (asker == zone)
+            exchange.server.is_near is (sender == zone)
             and not exchange.server.is_near
             and server.entry.zone == zone
             for server in self._servers.values()
@@ -215,8 +215,8 @@
     ) -> None:
         """Let the servers of a zone, or one of each service, take so long."""
         for name, server in self._servers.items():
-            is_meant = copy is None or name.endswith(f".{copy}")
-            if server.entry.zone == zone and is_meant:
+            is_selected = copy is None or name.endswith(f".{copy}")
+            if server.entry.zone == zone and is_selected:
                 server.latency_ms = latency_ms
 
     def cut(self, zone: str) -> None:
--- a/ibisfront/tests/test_gateway_cold_start_limit.py
+++ b/ibisfront/tests/test_gateway_cold_start_limit.py
@@ -77,7 +77,7 @@
         server,
         request_id=b"r",
         payload=lambda at_ms: b"X-Deadline-Ms: 9\r\n",
-        on_end=lambda exchange: server.pool.forget(exchange),
+        on_end=lambda exchange: server.pool.record_ended(exchange),
         rank=0,
         created_at_ms=now_ms,
         expected_ms=20.0,
--- a/ibisfront/tests/test_gateway_coordinators.py
+++ b/ibisfront/tests/test_gateway_coordinators.py
@@ -15,12 +15,10 @@
 from ibisfront.testing.gateway_fixture import gather_route
 
 
-def table(accepted):
+def table(limit):
     """Return a table whose gathered services accept so many connections."""
     route = gather_route(4)
-    services = {
-        name: RoutedService(name, accepted) for name in route.gathering.services
-    }
+    services = {name: RoutedService(name, limit) for name in route.gathering.services}
     return RouteTable(Configuration(1, (route,), services, CallerLimits()))
 
 
--- a/ibisfront/tests/test_gateway_delegation.py
+++ b/ibisfront/tests/test_gateway_delegation.py
@@ -41,7 +41,7 @@
         A new version names other services for the same route. What was found
         out for the old one a moment ago must not be used for the new one.
         """
-        zones = TwoZones(route(), also=route(30, "shard"))
+        zones = TwoZones(route(), extra_route=route(30, "shard"))
         async with zones.running():
             await zones.ask("z0")
             zones.put(2, route(30, "shard"))
@@ -77,7 +77,7 @@
         One instance knows the new version, the other does not yet. The first
         must ask all services itself instead of mixing both.
         """
-        zones = TwoZones(route(), also=route(30, "shard"))
+        zones = TwoZones(route(), extra_route=route(30, "shard"))
         async with zones.running():
             await zones.ask("z0")
             zones.put(2, route(30, "shard"), only="z0")
@@ -94,7 +94,7 @@
         An instance knows the new version, the one that gathers for it does not.
         The search itself is the same in both, and must be gathered.
         """
-        zones = TwoZones(route(), follows=True)
+        zones = TwoZones(route(), delegates=True)
         async with zones.running():
             zones.put(2, route(), only="z0")
             reply = await zones.ask("z0")
@@ -165,7 +165,7 @@
         in, the query would fail for too few parts, long before the caller's
         time was up; a late answer is wanted instead.
         """
-        zones = TwoZones(route(minimum=0.9), follows=True)
+        zones = TwoZones(route(minimum=0.9), delegates=True)
         zones.set_latency("z0", 130.0)
         async with zones.running():
             reply = await zones.ask("z0")
@@ -179,7 +179,7 @@
         seconds: no reply to anything else says that the other one is at work. Its
         answer was given up after two objectives and would have come.
         """
-        zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), follows=True)
+        zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), delegates=True)
         async with zones.running():
             await zones.ask("z0")
             await trio.sleep(5.0)
@@ -195,7 +195,7 @@
         It took their queries and says nothing more. Each of them has to find that
         out by itself, and its caller comes again to one that has not yet.
         """
-        zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), follows=True)
+        zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), delegates=True)
         async with zones.running():
             for _ in range(40):
                 await zones.ask("z0")
@@ -217,7 +217,7 @@
         Each service has more servers than the route allows attempts. The instance
         that gathered the query was lost with it, and may have asked any of them.
         """
-        zones = TwoZones(route(timeout_ms=2000.0, attempts=1), follows=True)
+        zones = TwoZones(route(timeout_ms=2000.0, attempts=1), delegates=True)
         async with zones.running():
             await zones.ask("z0")
             zones.frozen = True
@@ -233,7 +233,7 @@
         servers themselves, so that each seems ready to the balancer. Every
         search there fails while the other zones could serve it.
         """
-        zones = TwoZones(route(minimum=0.9), follows=True)
+        zones = TwoZones(route(minimum=0.9), delegates=True)
         async with zones.running():
             await zones.ask("z0")
             zones.cut("z0")
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -7,7 +7,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.instances.directory import InstanceEntry, keep_instances
+from ibisfront.gateway.instances.directory import InstanceEntry, sync_instances
 from ibisfront.gateway.state.store import StoreError, StoreErrorKind
 from ibisfront.tests import trio_test
 
@@ -20,7 +20,7 @@
 
     def __init__(self, *entries):
         self.entries = list(entries)
-        self.is_away = False
+        self.is_unavailable = False
         self.writes = 0
         self.reads = 0
 
@@ -35,7 +35,7 @@
         return list(self.entries)
 
     def _check(self):
-        if self.is_away:
+        if self.is_unavailable:
             raise StoreError(StoreErrorKind.UNREACHABLE, "away")
 
 
@@ -44,27 +44,27 @@
 
     def setUp(self):
         self.listed = []
-        self.first_try_at_s = None
+        self.first_attempt_at_s = None
         self.is_needed = True
 
-    async def keep(self, directory, *, is_first_start=False):
-        await keep_instances(
+    async def sync(self, directory, *, is_first_start=False):
+        await sync_instances(
             directory,
             OWN,
             on_list=self.listed.append,
-            on_first_try=self.record_first_try,
+            on_first_attempt=self.record_first_attempt,
             is_needed=lambda: self.is_needed,
             is_first_start=is_first_start,
             clock=Clock(),
         )
 
-    def record_first_try(self):
-        self.first_try_at_s = trio.current_time() - self.started_s
+    def record_first_attempt(self):
+        self.first_attempt_at_s = trio.current_time() - self.started_s
 
     async def run_for(self, seconds, directory, **options):
         self.started_s = trio.current_time()
         with trio.move_on_after(seconds):
-            await self.keep(directory, **options)
+            await self.sync(directory, **options)
 
     @trio_test
     async def test_first_start_lists_once_the_others_are_there(self):
@@ -78,7 +78,7 @@
         directory = FakeDirectory(OTHER, OWN)
         await self.run_for(20.0, directory)
         self.assertEqual(directory.writes, 0)
-        self.assertLess(self.first_try_at_s, 0.01)
+        self.assertLess(self.first_attempt_at_s, 0.01)
 
     @trio_test
     async def test_new_instance_registers_after_its_first_read(self):
@@ -95,10 +95,10 @@
         others, and register as soon as the store serves it.
         """
         directory = FakeDirectory(OTHER)
-        directory.is_away = True
+        directory.is_unavailable = True
         await self.run_for(5.0, directory, is_first_start=True)
-        self.assertLess(self.first_try_at_s, 1.0)
-        directory.is_away = False
+        self.assertLess(self.first_attempt_at_s, 1.0)
+        directory.is_unavailable = False
         await self.run_for(2.0, directory)
         self.assertEqual(directory.writes, 1)
 
--- a/ibisfront/tests/test_gateway_pool.py
+++ b/ibisfront/tests/test_gateway_pool.py
@@ -42,7 +42,7 @@
 class LargeReplyTest(unittest.TestCase):
     """Replies that nobody waits for any more, on their way from another zone."""
 
-    async def _hedged(self, size_bytes):
+    async def _hedge(self, size_bytes):
         """Return what the other zone's server saw after it lost against the near one.
 
         That is how many requests were cut, and how many connections were opened.
@@ -63,9 +63,9 @@
     @trio_test
     async def test_large_reply_is_stopped_and_its_connection_replaced(self):
         """Guards against bytes between zones that are of use to nobody."""
-        self.assertEqual(await self._hedged(1_000), (1, 2))
+        self.assertEqual(await self._hedge(1_000), (1, 2))
 
     @trio_test
     async def test_small_reply_is_let_come(self):
         """Guards against connections that cost more bytes than they save."""
-        self.assertEqual(await self._hedged(96), (0, 1))
+        self.assertEqual(await self._hedge(96), (0, 1))
--- a/ibisfront/tests/test_gateway_server_event_log.py
+++ b/ibisfront/tests/test_gateway_server_event_log.py
@@ -24,7 +24,7 @@
             event_log.record("Listed", f"i-{number}", "s")
         event_log.record("Cannot be reached, timed out", "i-7", "s", is_fault=True)
         with self.assertLogs("ibisfront", "INFO") as logs:
-            event_log.tell()
+            event_log.flush()
         listed, failed = logs.records
         self.assertIn("i-0 of s", listed.getMessage())
         self.assertIn("and 288 more", listed.getMessage())
@@ -37,6 +37,6 @@
         event_log = ServerEventLog(Clock())
         event_log.record("Listed", "i-1", "s")
         with self.assertLogs("ibisfront", "INFO"):
-            event_log.tell()
+            event_log.flush()
         with self.assertNoLogs("ibisfront", "INFO"):
-            event_log.tell()
+            event_log.flush()
--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -13,7 +13,7 @@
 from ibisfront.gateway.servers.server import Server
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.gateway.servers.server_registry import (
-    BIRTHS_KEPT,
+    MAX_REMOVED_STARTS,
     STALE_ENTRY_GRACE_MS,
     ServerRegistry,
 )
@@ -146,7 +146,7 @@
         pools = []
 
         def make_pool(server):
-            pools.append(RetiredPool())
+            pools.append(FakePool())
             return pools[-1]
 
         registry = ServerRegistry(clock=Clock(), make_pool=make_pool, zone="z0")
@@ -188,7 +188,7 @@
         """
         registry = registry_of()
         registry.put(entry("a", born_ms=2_000))
-        for number in range(BIRTHS_KEPT + 1):
+        for number in range(MAX_REMOVED_STARTS + 1):
             registry.put(entry(f"b{number}", born_ms=1))
             registry.remove(f"b{number}")
         registry.put(entry("a", born_ms=1_000, is_draining=True))
@@ -225,7 +225,7 @@
         self.assertEqual(listed(registry), {"a"})
 
 
-class RetiredPool:
+class FakePool:
     """Connections that note how they were ended."""
 
     def __init__(self):
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -39,7 +39,7 @@
         zone.start(nursery)
         await trio.sleep(5.0)
         for instance in zone.instances[:3]:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         # Until the silence shows: a watch waits up to three seconds.
         await trio.sleep(6.0)
         heard_s = []
@@ -54,13 +54,13 @@
         zone.start(nursery)
         await trio.sleep(5.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         zone.put(2)
         await trio.sleep(12.0)
         self.assertEqual({item.version for item in zone.instances}, {1})
         self.assertEqual({item.state_sync.is_fresh for item in zone.instances}, {False})
         for instance in zone.instances[4:]:
-            instance.is_turned_away = False
+            instance.is_rejected = False
         await trio.sleep(4.0)
         self.assertEqual({item.version for item in zone.instances}, {2})
 
@@ -76,7 +76,7 @@
         zone.start(nursery)
         await trio.sleep(5.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         await trio.sleep(8.0)
         self.assertFalse(zone.instances[0].is_reported_cut_off)
 
@@ -84,10 +84,10 @@
     async def test_watch_is_taken_up_again_when_the_store_serves(self, zone, nursery):
         zone.start(nursery)
         await trio.sleep(5.0)
-        zone.instances[0].is_turned_away = True
+        zone.instances[0].is_rejected = True
         await trio.sleep(8.0)
         self.assertFalse(zone.instances[0].state_sync.is_fresh)
-        zone.instances[0].is_turned_away = False
+        zone.instances[0].is_rejected = False
         await trio.sleep(8.0)
         self.assertTrue(zone.instances[0].state_sync.is_fresh)
 
@@ -104,11 +104,11 @@
         zone.instances[1].is_down = True
         for instance in zone.instances:
             instance.state_sync._seeds = ("i1", "i1", "i1")
-            instance.is_turned_away = zone.store_refuses = True
+            instance.is_rejected = zone.store_refuses = True
         zone.start(nursery, is_listed=False, but=zone.instances[1])
         await trio.sleep(0.1)
         for instance in zone.instances:
-            instance.is_turned_away = zone.store_refuses = False
+            instance.is_rejected = zone.store_refuses = False
         others = [item for item in zone.instances if not item.is_down]
         self.assertLess(await self._heard_after_s(zone, others), 1.0)
 
@@ -189,12 +189,12 @@
         for turn in range(66):
             turned_away = 1 + turn % 3
             for instance in zone.instances[:turned_away]:
-                instance.is_turned_away = True
+                instance.is_rejected = True
             zone.put(turn + 2)
             longest_s = max(longest_s, await self.heard_after_s(zone, turned_away))
             await trio.sleep(5.0)
             for instance in zone.instances:
-                instance.is_turned_away = False
+                instance.is_rejected = False
             await trio.sleep(10.0 + 0.173 * (turn % 11))  # another phase of the watch
         self.assertLess(longest_s, 4.0)
 
@@ -213,12 +213,12 @@
         blind = [item for item in zone.instances if item.entry.zone == "z0"][:3]
         for turn in range(12):
             for instance in blind:
-                instance.is_turned_away = instance.reaches_servers = True
+                instance.is_rejected = instance.reaches_servers = True
             for _ in range(2):
                 zone.put(zone.version + 1)
                 self.assertLess(await self.heard_after_s(zone, 0), 5.0)
             for instance in blind:
-                instance.is_turned_away = False
+                instance.is_rejected = False
             await trio.sleep(10.0 + 0.173 * turn)
 
     async def heard_after_s(self, zone, turned_away):
@@ -236,7 +236,7 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances[:3]:
-            instance.is_down = instance.is_turned_away = True
+            instance.is_down = instance.is_rejected = True
         zone.put(2)
         await trio.sleep(4.0)
         versions = [item.version for item in zone.instances[3:]]
@@ -266,7 +266,7 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         await trio.sleep(4.0)
         for _ in range(20):
             await trio.sleep(0.3)
@@ -286,7 +286,7 @@
         followers = zone.instances[3:]
         for is_cut_off in (True, False):
             for instance in zone.instances[:3]:
-                instance.is_turned_away = is_cut_off
+                instance.is_rejected = is_cut_off
                 instance.source.wake_askers()
             await trio.sleep(0.1)
             told = {item.is_reported_cut_off for item in followers}
@@ -303,13 +303,13 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         zone.take_calls()
         await trio.sleep(10.0)
         self.assertLess(zone.take_calls() / len(zone.instances) / 10.0, 3.0)
         zone.store_refuses = True
         for instance in zone.instances:
-            instance.is_turned_away = False
+            instance.is_rejected = False
         await trio.sleep(5.0)
         zone.take_calls()
         await trio.sleep(20.0)
@@ -370,11 +370,11 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
             instance.lists_after_outage.clear()
         await trio.sleep(12.3)
         for instance in zone.instances:
-            instance.is_turned_away = False
+            instance.is_rejected = False
         await trio.sleep(10.0)
         lists = [each for item in zone.instances for each in item.lists_after_outage]
         self.assertTrue(lists)
@@ -392,7 +392,7 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         await trio.sleep(5.0)
         zone.bytes_passed_on = 0
         await trio.sleep(10.0)
@@ -403,10 +403,10 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
         await trio.sleep(5.0)
         for instance in zone.instances:
-            instance.is_turned_away = False
+            instance.is_rejected = False
         await trio.sleep(20.0)
         zone.take_calls()
         await trio.sleep(10.0)
@@ -420,7 +420,7 @@
         other instances can be read. They still know the configuration.
         """
         for instance in zone.instances:
-            instance.is_turned_away = True
+            instance.is_rejected = True
             instance.version = 1
             instance.source.record_change()
         late = zone.instances[-1]
@@ -439,7 +439,7 @@
         late = zone.instances[-1]
         zone.start(nursery, is_listed=False, but=late)
         await trio.sleep(3.0)
-        late.is_turned_away = True
+        late.is_rejected = True
         late.state_sync.record_listed()
         nursery.start_soon(late.state_sync.run)
         await trio.sleep(0.1)
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -25,11 +25,11 @@
 from ibisfront.tests import trio_test
 
 
-def asked_path(endpoints, *, late_ms=30.0):
+def path_with_requests(endpoints, *, late_ms=30.0):
     """Return a path on which some endpoints were asked at time 0."""
     path = ZonePath("z1")
     for number in range(endpoints):
-        path.record_asked(f"e{number}", 0.0, late_ms=late_ms)
+        path.record_request(f"e{number}", 0.0, late_ms=late_ms)
     return path
 
 
@@ -37,37 +37,37 @@
     """When a path is believed to be cut."""
 
     def test_silence_and_failed_probes_together_make_a_cut(self):
-        path = asked_path(3)
-        self.assertIsNone(path.step(44.0))
-        self.assertEqual(path.step(45.0), PathAction.PROBE)
-        path.record_probed(4, 45.0)
-        self.assertIsNone(path.step(104.0))
+        path = path_with_requests(3)
+        self.assertIsNone(path.evaluate(44.0))
+        self.assertEqual(path.evaluate(45.0), PathAction.PROBE)
+        path.record_probes(4, 45.0)
+        self.assertIsNone(path.evaluate(104.0))
         self.assertFalse(path.is_partitioned)
-        self.assertEqual(path.step(105.0), PathAction.CUT)
+        self.assertEqual(path.evaluate(105.0), PathAction.PARTITIONED)
         self.assertTrue(path.is_partitioned)
 
     def test_few_silent_servers_are_no_suspicion(self):
-        path = asked_path(2)
-        self.assertIsNone(path.step(10_000.0))
+        path = path_with_requests(2)
+        self.assertIsNone(path.evaluate(10_000.0))
 
     def test_any_sign_of_life_ends_the_suspicion(self):
-        path = asked_path(5)
-        self.assertEqual(path.step(50.0), PathAction.PROBE)
-        path.record_probed(3, 50.0)
+        path = path_with_requests(5)
+        self.assertEqual(path.evaluate(50.0), PathAction.PROBE)
+        path.record_probes(3, 50.0)
         path.record_liveness()
-        self.assertIsNone(path.step(200.0))
+        self.assertIsNone(path.evaluate(200.0))
         self.assertFalse(path.is_partitioned)
 
     def test_long_work_is_given_its_time(self):
-        path = asked_path(5, late_ms=400.0)
-        self.assertIsNone(path.step(590.0))
-        self.assertEqual(path.step(600.0), PathAction.PROBE)
+        path = path_with_requests(5, late_ms=400.0)
+        self.assertIsNone(path.evaluate(590.0))
+        self.assertEqual(path.evaluate(600.0), PathAction.PROBE)
 
     def test_nothing_is_decided_before_a_probe_was_sent(self):
-        path = asked_path(3)
-        path.step(50.0)
-        path.record_probed(0, 50.0)
-        self.assertEqual(path.step(500.0), PathAction.PROBE)
+        path = path_with_requests(3)
+        path.evaluate(50.0)
+        path.record_probes(0, 50.0)
+        self.assertEqual(path.evaluate(500.0), PathAction.PROBE)
         self.assertFalse(path.is_partitioned)
 
     def test_process_that_did_not_run_gives_more_time(self):
@@ -76,10 +76,10 @@
         A small instance may be kept from running for most of a tenth of a
         second; nobody can show life to it meanwhile.
         """
-        path = asked_path(3)
-        path.postpone(80.0)
-        self.assertIsNone(path.step(120.0))
-        self.assertEqual(path.step(125.0), PathAction.PROBE)
+        path = path_with_requests(3)
+        path.extend_deadlines(80.0)
+        self.assertIsNone(path.evaluate(120.0))
+        self.assertEqual(path.evaluate(125.0), PathAction.PROBE)
 
     def test_zone_is_probed_on_a_sign_from_elsewhere(self):
         """Each query of an instance that is cut off waits for another zone.
@@ -88,35 +88,35 @@
         time: three overdue replies never come together.
         """
         path = ZonePath("z1")
-        path.suspect()
-        self.assertEqual(path.step(0.0), PathAction.PROBE)
-        path.record_probed(2, 0.0)
-        self.assertIsNone(path.step(59.0))
-        self.assertEqual(path.step(60.0), PathAction.CUT)
-        path.suspect()
+        path.mark_suspect()
+        self.assertEqual(path.evaluate(0.0), PathAction.PROBE)
+        path.record_probes(2, 0.0)
+        self.assertIsNone(path.evaluate(59.0))
+        self.assertEqual(path.evaluate(60.0), PathAction.PARTITIONED)
+        path.mark_suspect()
         self.assertTrue(path.is_partitioned)
 
     def test_sound_zone_that_is_suspected_stays_open(self):
         path = ZonePath("z1")
-        path.suspect()
-        path.step(0.0)
-        path.record_probed(2, 0.0)
+        path.mark_suspect()
+        path.evaluate(0.0)
+        path.record_probes(2, 0.0)
         path.record_liveness()
-        self.assertIsNone(path.step(60.0))
+        self.assertIsNone(path.evaluate(60.0))
         self.assertFalse(path.is_partitioned)
 
     def test_cut_stays_until_life_is_shown_and_is_probed_meanwhile(self):
-        path = asked_path(3)
-        path.step(50.0)
-        path.record_probed(3, 50.0)
-        path.step(110.0)
-        steps = [path.step(110.0 + number * 25.0) for number in range(80)]
-        self.assertEqual(steps.count(PathAction.PROBE), 14)
+        path = path_with_requests(3)
+        path.evaluate(50.0)
+        path.record_probes(3, 50.0)
+        path.evaluate(110.0)
+        actions = [path.evaluate(110.0 + number * 25.0) for number in range(80)]
+        self.assertEqual(actions.count(PathAction.PROBE), 14)
         self.assertTrue(path.is_partitioned)
         path.record_liveness()
         self.assertFalse(path.is_partitioned)
-        self.assertEqual(path.step(2_200.0), PathAction.OPENED)
-        self.assertIsNone(path.step(2_225.0))
+        self.assertEqual(path.evaluate(2_200.0), PathAction.RESTORED)
+        self.assertIsNone(path.evaluate(2_225.0))
 
 
 class ZonePathMonitorTest(unittest.TestCase):
@@ -153,7 +153,7 @@
             for zone in ("z1", "z2", "z3"):
                 peers.put(ServerEntry(f"i-{zone}", zone, f"i-{zone}", zone))
             servers = ServerRegistry(clock=clock, make_pool=lambda _: None, zone="z0")
-            watch = ZonePathMonitor(
+            monitor = ZonePathMonitor(
                 paths=paths,
                 servers=servers,
                 peers=peers,
@@ -161,13 +161,15 @@
                 on_change=lambda: None,
                 clock=clock,
             )
-            nursery.start_soon(watch.run)
+            nursery.start_soon(monitor.run)
             for number in range(3):
-                paths.to("z1").record_asked(f"e{number}", clock.now_ms(), late_ms=30.0)
+                paths.to("z1").record_request(
+                    f"e{number}", clock.now_ms(), late_ms=30.0
+                )
             await trio.sleep(0.3)
-            cut = [path.zone for path in paths.all() if path.is_partitioned]
+            partitioned = [path.zone for path in paths.all() if path.is_partitioned]
             nursery.cancel_scope.cancel()
-        self.assertEqual(sorted(cut), ["z1", "z2", "z3"])
+        self.assertEqual(sorted(partitioned), ["z1", "z2", "z3"])
 
 
 class RotationTest(unittest.TestCase):
@@ -190,7 +192,7 @@
         self.assertGreaterEqual(rotation.wait_ms(20_000.0), 2_200.0)
 
 
-class CutZoneFixture(GatewayFixture):
+class PartitionedZoneFixture(GatewayFixture):
     """An instance in ``z0`` with a third of its services in ``z1`` only."""
 
     def __init__(self, *routes, latency_ms=10.0):
@@ -204,7 +206,7 @@
     def far_servers(self):
         return [item for item in self.all_servers() if item.entry.zone == "z1"]
 
-    def cut(self):
+    def partition(self):
         self._baseline = [server.latency_ms for server in self.far_servers()]
         for server in self.far_servers():
             server.latency_ms, server.accepts = math.inf, False
@@ -214,31 +216,31 @@
             server.latency_ms, server.accepts = latency_ms, True
 
 
-class ZoneCutTest(unittest.TestCase):
+class ZonePartitionTest(unittest.TestCase):
     """Queries of an instance whose zone is cut off."""
 
     async def _load(self, fixture, nursery, replies):
         """Ask every 30 ms and note when each answer came, and what it was."""
 
         async def ask():
-            asked_ms = fixture.clock.now_ms()
+            sent_ms = fixture.clock.now_ms()
             reply = await fixture.ask(deadline_ms=2000.0)
-            replies.append((asked_ms, fixture.clock.now_ms(), reply))
+            replies.append((sent_ms, fixture.clock.now_ms(), reply))
 
         while True:
             nursery.start_soon(ask)
             await trio.sleep(0.03)
 
-    async def _play(self, fixture):
+    async def _run_partition(self, fixture):
         """Cut the zone for two seconds under load; return what was seen."""
-        replies, looks = [], []
+        replies, readiness = [], []
         async with fixture.running() as gateway, trio.open_nursery() as nursery:
             nursery.start_soon(self._load, fixture, nursery, replies)
             await trio.sleep(1.0)
-            fixture.cut()
-            cut_ms = fixture.clock.now_ms()
+            fixture.partition()
+            partitioned_ms = fixture.clock.now_ms()
             for _ in range(80):
-                looks.append((fixture.clock.now_ms(), gateway.tell_readiness()))
+                readiness.append((fixture.clock.now_ms(), gateway.tell_readiness()))
                 await trio.sleep(0.025)
             fixture.heal()
             healed_ms = fixture.clock.now_ms()
@@ -246,9 +248,9 @@
             is_back = gateway.tell_readiness()
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
-        during = [item for item in replies if cut_ms <= item[0] < healed_ms]
+        during = [item for item in replies if partitioned_ms <= item[0] < healed_ms]
         after = [item for item in replies if item[0] >= healed_ms + 400.0]
-        return looks, during, is_back, after
+        return readiness, during, is_back, after
 
     @trio_test
     async def test_instance_knows_its_zone_is_cut_off_and_stays_out(self):
@@ -260,23 +262,23 @@
         With one belief for the zone it was out of rotation after 175 ms and no
         query took over 130 ms; without, after 525 ms and 1,985 ms.
         """
-        looks, during, is_back, after = await self._play(
-            CutZoneFixture(gather_route(21, timeout_ms=2000.0))
+        readiness, during, is_back, after = await self._run_partition(
+            PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         )
-        ready = [is_ready for _, is_ready in looks]
+        ready = [is_ready for _, is_ready in readiness]
         self.assertEqual(ready.index(False) <= 10, True)
         self.assertEqual(set(ready[ready.index(False) :]), {False})
-        longest_ms = max(ended_ms - asked_ms for asked_ms, ended_ms, _ in during)
+        longest_ms = max(ended_ms - sent_ms for sent_ms, ended_ms, _ in during)
         self.assertLess(longest_ms, 300.0)
-        late = [reply for asked_ms, _, reply in during[10:] if reply.status != 503]
+        late = [reply for sent_ms, _, reply in during[10:] if reply.status != 503]
         self.assertEqual(late, [])
         self.assertTrue(is_back)
         self.assertEqual({reply.status for _, _, reply in after}, {200})
 
     @trio_test
     async def test_those_that_follow_are_told_of_a_cut_and_of_its_end(self):
-        fixture = CutZoneFixture(gather_route(21, timeout_ms=2000.0))
-        await self._play(fixture)
+        fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
+        await self._run_partition(fixture)
         self.assertEqual(fixture.zone_changes, 2)
 
     @trio_test
@@ -286,15 +288,15 @@
         They have one more try. The balancer takes two seconds to send them
         elsewhere, so that nearly all of them fail.
         """
-        fixture = CutZoneFixture(gather_route(21, timeout_ms=2000.0))
-        looks, during, _, _ = await self._play(fixture)
+        fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
+        readiness, during, _, _ = await self._run_partition(fixture)
         # It went out of rotation after the last look at which it was ready.
-        last_ready_ms = max(at_ms for at_ms, is_ready in looks if is_ready)
+        last_ready_ms = max(at_ms for at_ms, is_ready in readiness if is_ready)
         refused = [item for item in during if item[0] > last_ready_ms + 25.0]
         self.assertGreater(len(refused), 50)
-        for asked_ms, _, reply in refused:
+        for sent_ms, _, reply in refused:
             wait_ms = 1000.0 * float(dict(reply.headers)[b"Retry-After"])
-            self.assertGreaterEqual(asked_ms + wait_ms, last_ready_ms + 2_199.9)
+            self.assertGreaterEqual(sent_ms + wait_ms, last_ready_ms + 2_199.9)
 
     @trio_test
     async def test_servers_that_only_pause_do_not_cut_a_zone(self):
@@ -303,7 +305,7 @@
         None replies for 400 ms. New connections to them open as ever, until all
         that are allowed wait for a reply and none is left for a probe either.
         """
-        fixture = CutZoneFixture(gather_route(21, timeout_ms=2000.0))
+        fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         ready = []
         async with fixture.running() as gateway, trio.open_nursery() as nursery:
             nursery.start_soon(self._load, fixture, nursery, [])
@@ -326,7 +328,7 @@
         reply is on its way; ending the request at the cut would lose it.
         """
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
-        fixture = CutZoneFixture(gather_route(21), route)
+        fixture = PartitionedZoneFixture(gather_route(21), route)
         replies = []
         for server in fixture.servers["archive"]:
             server.entry = msgspec.structs.replace(server.entry, zone="z1")
@@ -340,7 +342,7 @@
             await trio.sleep(0.5)
             nursery.start_soon(fetch)
             await trio.sleep(0.1)
-            fixture.cut()
+            fixture.partition()
             await trio.sleep(1.0)
             nursery.cancel_scope.cancel()
         self.assertEqual([reply.status for reply in replies], [200])
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -35,7 +35,7 @@
         self.topology = RelayTopology(self.entry)
         self.version = 0
         self.calls = 0
-        self.is_turned_away = False
+        self.is_rejected = False
         # The store alone turns it away; else it is cut off from all.
         self.reaches_servers = False
         self.is_down = False
@@ -57,7 +57,7 @@
             state=self.state,
             is_fresh=lambda: self.state_sync.is_fresh,
             may_become_fresh=lambda: self.state_sync.may_become_fresh,
-            is_cut_off=lambda: self.is_turned_away and not self.reaches_servers,
+            is_cut_off=lambda: self.is_rejected and not self.reaches_servers,
             clock=zone.clock,
         )
 
@@ -74,9 +74,9 @@
         return LocalState(configuration if self.version else None, servers, [])
 
     def take(self, state):
-        for told in (state.configuration, state.configuration_change):
-            if told is not None:
-                self.version = max(self.version, told.version)
+        for configuration in (state.configuration, state.configuration_change):
+            if configuration is not None:
+                self.version = max(self.version, configuration.version)
 
     def record_cut_off(self, name, is_cut_off):
         self.is_reported_cut_off = is_cut_off
@@ -125,7 +125,7 @@
         await trio.sleep(0.01)
         if self.zone.store_refuses:
             raise StoreError(StoreErrorKind.REFUSED, "busy")
-        if self.instance.is_turned_away:
+        if self.instance.is_rejected:
             await trio.sleep(CALL_TIMEOUT_S)
             raise StoreError(StoreErrorKind.UNREACHABLE, "silent")
         return Listing([], 1)
@@ -137,12 +137,12 @@
         changes = []
         with trio.move_on_after(wait_s):
             await self.zone.changed.wait()
-            if self.instance.is_turned_away:
+            if self.instance.is_rejected:
                 await trio.sleep_forever()
             changes = [None]
         if self.zone.store_refuses:
             raise StoreError(StoreErrorKind.REFUSED, "busy")
-        if self.instance.is_turned_away:
+        if self.instance.is_rejected:
             await trio.sleep(WATCH_SLACK_S)
             raise StoreError(StoreErrorKind.UNREACHABLE, "overdue")
         return Changes(changes, 1)
