--- a/ibisfront/gateway/servers/__init__.py
+++ b/ibisfront/gateway/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers as this instance sees them, and its connections to them."""
+"""Backend servers as observed by this instance, and its connections to them."""
--- a/ibisfront/gateway/servers/exchange.py
+++ b/ibisfront/gateway/servers/exchange.py
@@ -17,46 +17,49 @@
 class Exchange:
     """One request sent, or to be sent, to one backend server.
 
-    It ends exactly once: with a reply or with an error. Whoever waits is told
-    by a plain call, so that the twenty parts of a query cost no task switch
+    It ends exactly once: with a reply or with an error. The end is reported by a
+    plain call, so that the twenty parts of a query do not cost a task switch
     each.
 
     Parameters
     ----------
     server : Server
-        Where it goes.
+        The destination.
     request_id : bytes
-        What a reply to it must name.
+        The id that a reply to it must carry.
     payload : callable
         Returns the bytes to send, given the time; called at the moment of
-        sending, since they say how much time is left.
+        sending, since they contain the remaining time.
     on_end : callable
-        Called once with the exchange when it has ended.
+        Called once, with the exchange, when it ends.
     rank : int
-        0 is sent first when connections are short.
+        Priority when connections are scarce; 0 is sent first.
     created_at_ms : float
-        The time.
+        The time of creation.
     expected_ms : float
-        After how long a reply is late by what is usual for such requests.
+        Latency beyond which a reply to such a request counts as late.
     has_reply_body : bool
-        Whether its reply may have a body; that to a HEAD request has none.
+        Whether its reply may have a body; the reply to a HEAD request has none.
     may_break_off : bool
-        Whether its end may be hastened when the path to its server is cut: the
-        request may be sent again, so that nothing hangs on this reply.
+        Whether it may end early when the path to its server is partitioned: the
+        request may be sent again, so this reply is not needed.
 
     Attributes
     ----------
     sent_at_ms : float or None
-        When its first byte left; None as long as none has.
+        When its first byte was sent; None before that.
     reply : BackendReply or None
         The reply, if there is one.
     error : ExchangeError or None
-        Why there is none.
+        Why there is no reply.
     is_abandoned : bool
-        Whether nobody waits for it any more.
+        Whether nothing waits for it any longer.
     is_cancelled : bool
-        Whether its connection is closed from here to stop the work; its end
-        then says nothing of the server.
+        Whether this instance closes its connection to stop the work; its end
+        then says nothing about the server.
+    on_abandon : callable or None
+        Set by the pool once it is sent; closes its connection at once, or
+        later if no reply comes.
     """
 
     __slots__ = (
@@ -113,7 +116,7 @@
 
     @property
     def waits_since_ms(self) -> float:
-        """When it was sent, or made if it waits for a connection yet."""
+        """When it was sent, or created if it still waits for a connection."""
         return self.created_at_ms if self.sent_at_ms is None else self.sent_at_ms
 
     def finish(self, reply: BackendReply) -> None:
@@ -129,21 +132,21 @@
             self._on_end(self)
 
     def fail_fast(self) -> None:
-        """End it as lost, at once: no reply can come on the way that it went."""
+        """End it as lost at once; no reply can arrive over a partitioned path."""
         if self.sent_at_ms is None:
             self.fail(ExchangeErrorKind.CONNECT_FAILED)
         elif self.on_abandon is not None:
             self.on_abandon(True)
 
     def abandon(self, *, at_once: bool) -> None:
-        """Wait for it no longer.
+        """Stop waiting for it.
 
         Parameters
         ----------
         at_once : bool
-            Whether to stop the server's work by closing the connection. That
-            costs a new connection; otherwise a reply that still comes is
-            read and dropped, and the connection is used again.
+            Whether to stop the server's work by closing the connection, which
+            costs a new connection. Otherwise a reply that still arrives is read
+            and dropped, and the connection is reused.
         """
         if self.has_ended:
             return
--- a/ibisfront/gateway/servers/pool.py
+++ b/ibisfront/gateway/servers/pool.py
@@ -23,18 +23,18 @@
 
 _MIN_ABANDONED_MS = 700.0
 _ABANDONED_FACTOR = 4.0
-"""How long a reply that nobody waits for may take before its connection is
-closed, at least and in units of the time after which it is late: longer than a
-pause and a slow reply, after which the connection can be used again."""
+"""How long an abandoned reply may take before its connection is closed: the minimum,
+and a multiple of the latency beyond which it is late. Longer than a pause or a slow
+reply, after which the connection can be reused."""
 
 
 _PREOPENED_CONNECTIONS = 3
-"""Connections up to which the next one is opened before it is needed: two queries at
-once and a hedged request."""
+"""Connections to a server that are opened before they are needed: enough for two
+concurrent queries and a hedged request."""
 
 
 _RECENT_REPLY_MS = 1_000.0
-"""A server that replied this recently is likely to be asked again soon."""
+"""A server that replied this recently is likely to get another request soon."""
 
 
 class ServerConnection(Protocol):
@@ -45,14 +45,14 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it can take an exchange."""
+        """Whether it can send an exchange now."""
 
     @property
     def expires_at_ms(self) -> float:
-        """Until when the server keeps it open while it is idle."""
+        """When the server closes it if it stays idle."""
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close it immediately."""
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
         """Read replies until the connection ends."""
@@ -70,20 +70,20 @@
     server : Server
         The server.
     open_connection : callable
-        Connects to it.
+        Connects to the server.
     nursery : trio.Nursery
         Runs the connections.
     clock : Clock
-        The tier's clock.
+        The clock.
     maximum : int
-        How many connections there may be.
+        The maximum number of connections.
     event_log : ServerEventLog, optional
-        Logs that the server cannot be reached.
+        Logs connection failures.
 
     Attributes
     ----------
     keeps_idle : bool
-        Whether a connection that carries nothing is kept for the next exchange.
+        Whether an idle connection is kept for the next exchange.
     """
 
     __slots__ = (
@@ -126,16 +126,16 @@
 
     @property
     def size(self) -> int:
-        """How many connections are open or being opened."""
+        """The number of connections that are open or being opened."""
         return len(self._connections) + self._opening
 
     @property
     def has_room(self) -> bool:
-        """Whether an exchange could be sent without waiting for another."""
+        """Whether an exchange can be sent without waiting for another one to end."""
         return bool(self._idle) or self.size < self.maximum
 
     def submit(self, exchange: Exchange) -> None:
-        """Send an exchange, now or as soon as there is a connection."""
+        """Send an exchange, now or as soon as a connection is available."""
         now_ms = exchange.created_at_ms
         self._server.record_submitted(exchange, now_ms)
         if self._is_closed:
@@ -151,10 +151,10 @@
             self._start_opening()
 
     def _preopen(self, now_ms: float) -> None:
-        """Open a connection for the next request, once the last idle one is taken.
+        """Open a connection for the next request once the last idle one is in use.
 
-        Load pattern: a query comes while another one waits for its parts. Each of its
-        parts would open a connection first, which takes longer than the work itself.
+        Load pattern: a query arrives while another one waits for its parts. Each of its
+        parts would first open a connection, which takes longer than the work itself.
         """
         if self._idle or self._opening or not self.keeps_idle:
             return
@@ -164,7 +164,7 @@
             self._start_opening()
 
     def _replace(self, connection: ServerConnection) -> None:
-        """Open another connection for one that was closed to stop its work."""
+        """Replace a connection that was closed to stop the server's work."""
         is_last = not self._connections - {connection} and not self._opening
         if is_last and self.keeps_idle and not self._is_closed:
             self._start_opening()
@@ -175,22 +175,22 @@
             self._start_opening()
 
     def close_idle(self) -> None:
-        """Close the connections that carry nothing."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
     def probe(self, *, timeout_ms: float = math.inf) -> bool:
-        """Open one more connection, to see whether the server is there.
+        """Open one more connection to check that the server is reachable.
 
         Parameters
         ----------
         timeout_ms : float
-            How long it may take to open, if that is less than usual.
+            Connect timeout, if shorter than the default.
 
         Returns
         -------
         bool
-            Whether it is being opened.
+            Whether a connection is being opened.
         """
         if self._opening or not self.has_room or self._is_closed:
             return False
@@ -198,15 +198,15 @@
         return True
 
     def record_ended(self, exchange: Exchange) -> None:
-        """Note that an exchange has ended."""
+        """Record that an exchange has ended."""
         self._server.in_flight.pop(exchange, None)
 
     def release_waiting(self) -> None:
-        """Give up what waits for a connection; none of it was sent."""
+        """Fail the exchanges that wait for a connection; none of them was sent."""
         self._fail_waiting(ExchangeErrorKind.SERVER_GONE)
 
     def close(self) -> None:
-        """Take no more exchanges; those under way are left to end."""
+        """Accept no more exchanges; those in flight may finish."""
         self._is_closed = True
         for connection in self._idle:
             connection.close()
@@ -214,7 +214,7 @@
         self._fail_waiting(ExchangeErrorKind.SERVER_GONE)
 
     def retire(self) -> None:
-        """Close every connection; what was sent may have run, and ends so."""
+        """Close every connection; exchanges already sent end as possibly run."""
         self.close()
         for connection in list(self._connections):
             connection.close()
@@ -233,7 +233,7 @@
         address = self._server.entry.address
         with self._clock.timeout_ms(timeout_ms):
             return await self._open_connection(address)
-        raise TimeoutError(errno.ETIMEDOUT, "it does not accept")
+        raise TimeoutError(errno.ETIMEDOUT, "connect timed out")
 
     async def _run_connection(self, timeout_ms: float) -> None:
         try:
@@ -271,7 +271,7 @@
             exchange.fail(kind)
 
     def _offer(self, connection: ServerConnection) -> None:
-        """Give a free connection its next exchange, or keep it."""
+        """Send the next exchange on a free connection, or keep it idle."""
         now_ms = self._clock.now_ms()
         while self._waiting and connection.is_idle:
             exchange = self._waiting.popleft()
@@ -307,7 +307,7 @@
     async def _close_late(
         self, connection: ServerConnection, exchange: Exchange
     ) -> None:
-        """Close a connection on which an abandoned reply does not come."""
+        """Close a connection if an abandoned reply does not arrive in time."""
         wait_ms = max(_MIN_ABANDONED_MS, _ABANDONED_FACTOR * exchange.expected_ms)
         await self._clock.sleep_ms(wait_ms)
         if not exchange.has_ended:
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -1,4 +1,4 @@
-"""A backend server as this instance sees it: what was learnt of it."""
+"""A backend server as observed by this instance."""
 
 from __future__ import annotations
 
@@ -17,47 +17,46 @@
 __all__ = ["Server"]
 
 _SLOWNESS_WEIGHT = 0.15
-"""Weight of one reply in the smoothed slowness: one pause does not make a server cost
-more than one of another zone, two slow replies do."""
+"""Weight of one reply in the smoothed slowness: a single pause does not make a server
+cost more than one in another zone; two slow replies do."""
 
 _LARGEST_RATIO = 5.0
-"""One reply counts as at most this many times the route's baseline latency, so
-that a single pause does not look like a slow server."""
+"""Upper limit on the ratio of one reply to the route's baseline latency, so that a
+single pause does not look like a slow server."""
 
 _SLOWNESS_HALF_LIFE_MS = 2_500.0
-"""How fast an old measurement of slowness loses half of its weight: a server
-that is avoided is measured no more and has to be tried again."""
+"""Half-life of the slowness: a server that is avoided is no longer measured and has
+to be tried again."""
 
 _FAILURE_WEIGHT = 0.25
-"""Weight of one exchange in the smoothed share of failures: four failures in a row
-make a server cost more than one that is paused."""
+"""Weight of one exchange in the smoothed failure rate: four consecutive failures make
+a server cost more than one that is paused."""
 
 _FAILURE_HALF_LIFE_MS = 1_500.0
-"""How fast failures lose half of their weight: a little longer than the longest time
-for which a server is left alone."""
+"""Half-life of the failure rate: a little longer than the longest backoff."""
 
 _INITIAL_BACKOFF_MS = 250.0
-"""How long a server is left alone at first; doubled with each loss."""
+"""Initial backoff; doubled with each further loss."""
 
 _MAX_BACKOFF_MS = 1_000.0
-"""How long at the most, so that a server that is back is used within a second."""
+"""Longest backoff, so that a recovered server is used within a second."""
 
 _LOSSES_BEFORE_BACKOFF = 2
-"""Connections lost or refused in a row after which a server is left alone."""
+"""Consecutive connections lost or refused that start the backoff."""
 
 _UNREACHABLE_MS = 400.0
-"""The least silence after which a server counts as cut off: longer than a pause."""
+"""Minimum silence after which a server counts as unreachable: longer than a pause."""
 
 _UNREACHABLE_FACTOR = 3.0
-"""The least silence in units of the time after which a reply is late: a server
-at work on one long request replies to nothing meanwhile."""
+"""The same minimum as a multiple of the latency beyond which a reply is late: a
+server that runs one long request sends no other reply meanwhile."""
 
 _OVERDUE_FACTOR = 2.5
-"""Silence of this many baseline latencies counts as a pause: twice the time after which
-a healthy reply would already be hedged at the earliest."""
+"""Silence of this many baseline latencies counts as a pause: twice the shortest time
+after which a healthy reply would be hedged."""
 
 _OVERDUE_FLOOR_MS = 8.0
-"""Added to that silence: what a busy process takes to read a reply."""
+"""Added to that silence: the time that a busy process takes to read a reply."""
 
 
 class Server:
@@ -66,41 +65,41 @@
     Parameters
     ----------
     entry : ServerEntry
-        What the store says of it.
+        Its entry in the store.
     now_ms : float
-        The time.
+        The current time.
     is_near : bool
         Whether it is in this instance's availability zone.
     path : ZonePath, optional
-        The path to its zone; None for this instance's.
+        The network path to its zone; None for this instance's zone.
 
     Attributes
     ----------
     pool : ServerPool or None
         Its connections.
     is_gone : bool
-        Whether it must get nothing more.
+        Whether it was removed and must not get any more requests.
     is_evacuated : bool
-        Whether its zone is evacuated, so that it must get nothing.
+        Whether its zone is evacuated, so that it must not get any requests.
     is_stale : bool
-        Whether its entry was missing from the first list after an outage of the
-        store: it may be gone, or live and not have written its entry again.
+        Whether its entry was missing from the first list after a store outage:
+        it may be gone, or running without having renewed its entry yet.
     in_flight : dict of Exchange
-        What was submitted and has not ended, oldest first.
+        Exchanges submitted and not ended, oldest first.
     last_reply_at_ms : float
-        When it last replied anything.
+        When it last sent any reply.
     connected_at_ms : float
         When a connection to it was last opened.
     not_before_ms : float
-        Until when it is left alone.
+        End of its backoff.
     load : ServerLoad or None
-        What it last said of its load.
+        Its last reported load.
     load_at_ms : float
-        When it did.
+        When that load was reported.
     warm_at_ms : float
-        Until when it is cold.
+        End of its warm-up.
     cold_start_limit : ColdStartLimit
-        What it may get from here while it is cold.
+        Limit on requests from this instance while it is cold.
     """
 
     __slots__ = (
@@ -159,12 +158,12 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may get new requests."""
+        """Whether it may be sent new requests."""
         return not (self.is_gone or self.is_evacuated or self.entry.is_draining)
 
     @property
     def is_behind_partition(self) -> bool:
-        """Whether the path to its zone is cut."""
+        """Whether the path to its zone is partitioned."""
         return self.path is not None and self.path.is_partitioned
 
     def is_cold(self, now_ms: float) -> bool:
@@ -172,30 +171,30 @@
         return now_ms < self.warm_at_ms
 
     def can_accept(self, now_ms: float) -> bool:
-        """Return whether it bears one more request from here."""
+        """Return whether this instance may send it one more request."""
         if not self.is_cold(now_ms):
             return True
         waiting = sum(item.sent_at_ms is None for item in self.in_flight)
         return self.cold_start_limit.has_room(now_ms, waiting=waiting)
 
     def record_sent(self, now_ms: float) -> None:
-        """Take in that a request was sent to it."""
+        """Record that a request was sent to it."""
         if self.is_cold(now_ms):
             self.cold_start_limit.record_sent(now_ms)
 
     @property
     def last_seen_ms(self) -> float:
-        """When it last showed life: a reply or a new connection."""
+        """When it last sent a reply or accepted a connection."""
         return max(self.last_reply_at_ms, self.connected_at_ms)
 
     def slowness(self, now_ms: float) -> float:
-        """Return how many baseline latencies one of its replies takes."""
+        """Return its smoothed reply time in baseline latencies."""
         age_ms = now_ms - self._slowness_at_ms
         left = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self._slowness - 1.0) * left
 
     def failure_rate(self, now_ms: float) -> float:
-        """Return the smoothed share of its exchanges that failed."""
+        """Return the smoothed share of its exchanges that failed, from 0 to 1."""
         age_ms = now_ms - self._failure_rate_at_ms
         return self._failure_rate * math.exp2(-age_ms / _FAILURE_HALF_LIFE_MS)
 
@@ -207,7 +206,7 @@
         return now_ms - max(oldest.waits_since_ms, self.last_reply_at_ms)
 
     def is_reachable(self, now_ms: float) -> bool:
-        """Return whether it seems to be there at all, if perhaps slow."""
+        """Return whether it seems reachable, even if slow."""
         if self._is_unreachable or self.is_behind_partition:
             return False
         if not self.in_flight:
@@ -217,37 +216,36 @@
         return silent_ms <= _silence_limit_ms(oldest)
 
     def is_overdue(self, now_ms: float, baseline_ms: float) -> bool:
-        """Return whether it seems to stand still.
+        """Return whether it seems to be paused.
 
-        A server pauses now and then, and a dead one falls silent. Both show
-        first as a reply that is overdue; until it comes, the other servers of
-        the service are the better choice.
+        A paused server and a crashed one both show first as an overdue reply.
+        Until it arrives, the other servers of the service are the better choice.
         """
         limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_FLOOR_MS
         return self.silent_ms(now_ms) > limit_ms
 
     def update_entry(self, entry: ServerEntry, now_ms: float) -> None:
-        """Take in what the store says now of this incarnation.
+        """Apply a newer entry of this incarnation.
 
-        A server may become cold while it runs. An entry that is read again says what
-        it said before, and is not a new cold start.
+        A server may become cold while it runs. An entry that is read again with the
+        same warm-up time is not a new cold start.
         """
         if entry.warm_up_left_ms != self.entry.warm_up_left_ms:
             self.warm_at_ms = now_ms + entry.warm_up_left_ms
         self.entry = entry
 
     def evacuate(self) -> None:
-        """Send it nothing more; what waits for a connection is asked elsewhere."""
+        """Stop sending it requests; those waiting for a connection go elsewhere."""
         self.is_evacuated = True
         if self.pool is not None:
             self.pool.release_waiting()
 
     def return_cold(self, now_ms: float, *, warm_up_share: float) -> None:
-        """Use it again after an evacuation, from some share of its warm-up on.
+        """Use it again after an evacuation, once a share of its warm-up has passed.
 
-        Load pattern: all servers of a zone are to be used again at once, and are cold.
-        Each instance begins with each server at a moment of its own, so that the work
-        comes back over the warm-up.
+        Load pattern: all servers of a zone are cold and become usable at the same time.
+        Each instance picks its own start time for each server, so that the load returns
+        gradually over the warm-up.
         """
         warm_up_ms = self.cold_start_limit.warm_up_ms
         self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
@@ -255,35 +253,35 @@
         self.not_before_ms = max(self.not_before_ms, begins_ms)
 
     def record_submitted(self, exchange: Exchange, now_ms: float) -> None:
-        """Take in an exchange that is sent, or waits for a connection."""
+        """Record an exchange that is sent or waits for a connection."""
         self.in_flight[exchange] = None
         if self.path is not None:
             name = self.entry.server_id
             self.path.record_request(name, now_ms, late_ms=exchange.expected_ms)
 
     def fail_in_flight(self) -> int:
-        """End what waits for its reply and may be sent again; return how many."""
+        """Fail the exchanges that may be sent again; return how many."""
         exchanges = [item for item in self.in_flight if item.may_fail_fast]
         for exchange in exchanges:
             exchange.fail_fast()
         return len(exchanges)
 
     def clear_failures(self) -> None:
-        """Take it for reachable and sound: what it lost was lost on a cut path."""
+        """Treat it as healthy again: its failures were due to a partitioned path."""
         self._consecutive_losses = 0
         self._is_unreachable = False
         self._failure_rate = 0.0
         self.not_before_ms = -math.inf
 
     def record_load(self, now_ms: float, load: ServerLoad) -> None:
-        """Take in what it says of its load."""
+        """Record its reported load."""
         self.load = load
         self.load_at_ms = now_ms
 
     def record_reply(
         self, now_ms: float, *, took_ms: float, baseline_ms: float
     ) -> None:
-        """Take in a reply that shows how fast it works."""
+        """Record a reply whose latency is representative."""
         self.record_alive(now_ms)
         self._consecutive_losses = 0
         self.not_before_ms = -math.inf
@@ -295,18 +293,18 @@
     def record_cancelled(
         self, now_ms: float, *, waited_ms: float, baseline_ms: float
     ) -> None:
-        """Take in a reply that was not waited for any longer.
+        """Record a reply that was abandoned, as a lower bound on its latency.
 
-        It says that the server takes at least this long. Without it a slow
-        server whose work is always stopped would be measured no more, seem
-        healthy again within seconds, and get the next first choice.
+        Without it a slow server whose work is always cancelled would no longer be
+        measured, would seem healthy again within seconds, and would get the next
+        primary attempt.
         """
         ratio = min(waited_ms / baseline_ms, _LARGEST_RATIO)
         if ratio > self.slowness(now_ms):
             self._record_ratio(now_ms, ratio)
 
     def record_refused(self, now_ms: float, retry_after_ms: float | None) -> None:
-        """Take in a reply that says that the request did not run."""
+        """Record a reply which states that the request did not run."""
         self.record_alive(now_ms)
         self._consecutive_losses = 0
         self._record_failure(now_ms)
@@ -315,45 +313,45 @@
             self.not_before_ms = max(self.not_before_ms, now_ms + wait_ms)
 
     def record_failed(self, now_ms: float) -> None:
-        """Take in a reply that is a failure."""
+        """Record an error reply."""
         self.record_alive(now_ms)
         self._record_failure(now_ms)
 
     def record_connected(self, now_ms: float) -> None:
-        """Take in that a connection to it could be opened."""
+        """Record that a connection to it was opened."""
         self.connected_at_ms = now_ms
         if self.path is not None:
             self.path.record_liveness()
         self._consecutive_losses = 0
         if self._is_unreachable and self.cold_start_limit.share is not None:
-            # It may have started again, which the store says a moment later.
+            # It may have restarted; the store reports that a moment later.
             warm_up_ms = self.cold_start_limit.warm_up_ms
             self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
         self._is_unreachable = False
         self.not_before_ms = -math.inf
 
     def record_unreachable(self, now_ms: float) -> None:
-        """Take in that no connection to it could be opened."""
+        """Record that no connection to it could be opened."""
         self._is_unreachable = True
         self.record_lost(now_ms)
 
     def record_liveness_failure(self, now_ms: float) -> None:
-        """Take in that it did not even reply whether it is there."""
+        """Record that it did not answer a liveness probe."""
         self.record_unreachable(now_ms)
         if self.path is not None:
             self.path.mark_suspect()
 
     def record_silent(self, now_ms: float, exchange: Exchange) -> None:
-        """Take in that a reply was waited for in vain, long past its use."""
+        """Record that a reply did not arrive while it was of use."""
         if now_ms - self.last_seen_ms > _silence_limit_ms(exchange):
             self._is_unreachable = True
         self.record_lost(now_ms)
 
     def record_lost(self, now_ms: float) -> None:
-        """Take in a connection that was lost.
+        """Record a lost connection.
 
         A server that resets connections may only have too many of them; it
-        is left alone for a while, and still counts as there.
+        backs off and still counts as reachable.
         """
         self._record_failure(now_ms)
         self._consecutive_losses += 1
@@ -363,14 +361,14 @@
             self.not_before_ms = max(self.not_before_ms, now_ms + wait_ms)
 
     def record_alive(self, now_ms: float) -> None:
-        """Take in a reply that says only that it is there."""
+        """Record a reply that shows only that it is running."""
         self.last_reply_at_ms = now_ms
         if self.path is not None:
             self.path.record_liveness()
         self._is_unreachable = False
 
     def _record_ratio(self, now_ms: float, ratio: float) -> None:
-        """Take in how many baseline latencies a reply has taken."""
+        """Record the latency of a reply in baseline latencies."""
         slowness = self.slowness(now_ms)
         self._slowness = slowness + _SLOWNESS_WEIGHT * (ratio - slowness)
         self._slowness_at_ms = now_ms
@@ -382,5 +380,5 @@
 
 
 def _silence_limit_ms(exchange: Exchange) -> float:
-    """Return after how much silence an open exchange shows a cut path."""
+    """Return the silence after which an open exchange shows the server unreachable."""
     return max(_UNREACHABLE_MS, _UNREACHABLE_FACTOR * exchange.expected_ms)
--- a/ibisfront/gateway/servers/server_entry.py
+++ b/ibisfront/gateway/servers/server_entry.py
@@ -1,4 +1,4 @@
-"""What the platform's store says of a backend server."""
+"""Entries of backend servers in the platform's store."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 class ServerEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What the platform's store says of one backend server.
+    """The platform store's entry for one backend server.
 
     Attributes
     ----------
     server_id : str
-        Its name. A restart may keep it, and is another server all the same.
+        Its id. A restart may keep it, but is a new incarnation.
     service : str
         The service it belongs to.
     address : Address
-        Where it listens.
+        Its listening address.
     zone : str
         Its availability zone.
     slots : int
-        How many requests it runs at once.
+        How many requests it runs concurrently.
     is_draining : bool
-        Whether it asks for no new requests.
+        Whether it accepts no new requests.
     warm_up_left_ms : float
-        How much longer it is slow after its start, when the entry was written.
+        Remaining warm-up at the time the entry was written.
     born_ms : int
         When this incarnation started, in Unix milliseconds by its own clock;
-        0 if the entry does not say.
+        0 if unknown.
     """
 
     server_id: str
@@ -43,7 +43,7 @@
     born_ms: int = 0
 
     def is_same_server(self, other: ServerEntry) -> bool:
-        """Return whether both are of one incarnation of one server."""
+        """Return whether both describe the same incarnation of a server."""
         return (
             self.server_id == other.server_id
             and self.born_ms == other.born_ms
--- a/ibisfront/gateway/servers/server_event_log.py
+++ b/ibisfront/gateway/servers/server_event_log.py
@@ -1,4 +1,4 @@
-"""Log lines about many backend servers at once."""
+"""Log lines that each cover many backend servers."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 _LOG = part_logger(LogPart.BACKEND)
 
 _MAX_NAMED_SERVERS = 12
-"""Servers that one line names: those of one zone's part of a release."""
+"""Servers named in one line: as many as a release replaces in one zone at a time."""
 
 
 class ServerEventLog:
-    """Gathers what befalls servers, and logs it in a line for each kind.
+    """Batches events of servers, and logs one line for each kind of event.
 
-    Hundreds of servers come, leave or fall silent together. A line for each spends
-    the budget of lines of every instance, and those about requests are dropped.
+    Hundreds of servers start, leave or fail together. One line for each would use up
+    the log budget of every instance, and lines about requests would be dropped.
 
     Parameters
     ----------
     clock : Clock
-        The tier's clock.
+        The clock.
     """
 
     __slots__ = ("_by_event", "_clock", "_first_ms")
@@ -39,14 +39,14 @@
     def record(
         self, event: str, server_id: str, service: str, *, is_fault: bool = False
     ) -> None:
-        """Note what has befallen a server, to be told with the next lines."""
+        """Record an event of a server; the next flush logs it."""
         if not self._by_event:
             self._first_ms = self._clock.now_ms()
         servers = self._by_event.setdefault((event, is_fault), [])
         servers.append(f"{server_id} of {service}")
 
     def flush(self) -> None:
-        """Log what was noted since the last time."""
+        """Log the events recorded since the last flush."""
         if not self._by_event:
             return
         age_ms = round(self._clock.now_ms() - self._first_ms, 1)
--- a/ibisfront/gateway/servers/server_registry.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -1,4 +1,4 @@
-"""The backend servers of every service, as the store lists them."""
+"""The registry of the backend servers of every service."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 _LOG = part_logger(LogPart.BACKEND)
 
 STALE_ENTRY_GRACE_MS = 2_600.0
-"""How long a server whose entry lapsed while the store was away stays in use
-after the store is back: live servers write theirs again within about two
-seconds; what is missing then has gone."""
+"""How long a server whose entry expired during a store outage stays in use after the
+store recovers. Running servers renew their entries within about two seconds; one
+whose entry is still missing then is gone."""
 
 MAX_REMOVED_STARTS = 1_000
-"""Servers that are gone whose start is remembered, so that an entry that comes late
-is told from that of a new one: one is seconds late, and a thousand leave in hours."""
+"""Removed servers whose start time is kept, to tell a late entry from that of a new
+incarnation: entries are late by seconds, and a thousand servers leave in hours."""
 
 
 class ServerRegistry:
-    """Every backend server that may be asked.
+    """All backend servers that may be sent requests.
 
-    A server may start again under the id that it had. It knows nothing of
-    before; an incarnation is therefore an id and the time of its start, and
-    what was learnt of one says nothing of the next.
+    A server may restart under the same id, without any state of the previous
+    process. An incarnation is therefore identified by an id and a start time, and
+    observations of one incarnation do not apply to the next.
 
     Parameters
     ----------
     clock : Clock
-        The tier's clock.
+        The clock.
     make_pool : callable
-        Makes the connections of a server.
+        Returns the connection pool of a server.
     zone : str
         This instance's availability zone.
     paths : ZonePaths, optional
-        The paths to other zones, which the registries of an instance share.
+        The network paths to other zones, shared by the registries of an instance.
     event_log : ServerEventLog, optional
-        Logs what befalls servers; without it nothing is told.
+        Logs events of servers; without it they are not logged.
     evacuated : frozenset of str or None, optional
-        The zones whose servers get nothing; None if that is yet to be learnt.
+        The evacuated zones, whose servers get no requests; None if not yet known.
     """
 
     __slots__ = (
@@ -95,21 +95,21 @@
 
     @property
     def is_initialized(self) -> bool:
-        """Whether the servers, and which of them get nothing, were learnt."""
+        """Whether the servers and the evacuated zones are known."""
         return self._is_listed and self._evacuated is not None
 
     @property
     def evacuated(self) -> frozenset[str] | None:
-        """The zones whose servers get nothing; None until that is known."""
+        """The evacuated zones; None until they are known."""
         return self._evacuated
 
     def evacuate(self, zones: frozenset[str]) -> list[Server]:
-        """Send nothing more to the servers of these zones, and of no others.
+        """Stop sending requests to the servers of exactly these zones.
 
         Returns
         -------
         list of Server
-            The servers that may be asked again.
+            The servers that may get requests again.
         """
         before = self._evacuated or frozenset()
         self._evacuated = zones
@@ -131,11 +131,11 @@
         return [item for item in self._by_id.values() if item.entry.zone == zone]
 
     def of_service(self, service: str) -> list[Server]:
-        """Return the servers of a service that are not gone."""
+        """Return the servers of a service that are not removed."""
         return self._by_service.get(service, [])
 
     def is_reachable(self, service: str) -> bool:
-        """Return whether any server of a service seems to be there."""
+        """Return whether any usable server of a service seems reachable."""
         now_ms = self._clock.now_ms()
         return any(
             server.is_usable and server.is_reachable(now_ms)
@@ -143,7 +143,7 @@
         )
 
     def probe_unreachable(self) -> None:
-        """Connect to servers that seem cut off and have been left alone."""
+        """Connect to unreachable servers whose backoff has ended."""
         now_ms = self._clock.now_ms()
         for server in self._by_id.values():
             if (
@@ -156,27 +156,27 @@
                 server.pool.probe()
 
     def servers(self) -> Iterable[Server]:
-        """Return all servers that are not gone."""
+        """Return all servers that are not removed."""
         return self._by_id.values()
 
     def stale(self) -> frozenset[str]:
-        """Return the ids of those whose entries have lapsed and may come back."""
+        """Return the ids of servers with stale entries, which may be renewed."""
         return frozenset(self._stale)
 
     @property
     def may_lack_servers(self) -> bool:
-        """Whether servers that live may not have written their entries again."""
+        """Whether running servers may not have renewed their entries yet."""
         return self._complete_at_ms > -math.inf
 
     def put(self, entry: ServerEntry) -> None:
-        """Take in a new or changed entry; one of an older incarnation is not."""
+        """Apply a new or changed entry; ignore one of an older incarnation."""
         self._is_listed = True
         server_id = entry.server_id
         if entry.born_ms < self._newest_start_ms(server_id):
-            # A stale read, or an instance that is behind, still names the
-            # incarnation before. Taken in, it would drop the server that lives
-            # and send requests to one that is dead.
-            _LOG.info("An entry of an earlier start of %s is left aside.", server_id)
+            # A stale read, or an instance that lags behind, may still list the
+            # previous incarnation. Applying it would drop the running server and
+            # send requests to a dead one.
+            _LOG.info("Ignoring an entry of an earlier start of %s.", server_id)
             return
         current = self._by_id.get(server_id)
         if current is not None:
@@ -189,7 +189,7 @@
             return
         if current is not None:
             is_restart = entry.born_ms > current.entry.born_ms
-            reason = "it has started again" if is_restart else "it has moved"
+            reason = "it has restarted" if is_restart else "it has moved"
             self._remove(server_id, reason, is_restart=is_restart)
         self._add(entry)
 
@@ -208,7 +208,7 @@
         self._event_log.record("Listed", entry.server_id, entry.service)
 
     def _newest_start_ms(self, server_id: str) -> int:
-        """Return the newest start of a server that is listed, or was; 0 for none."""
+        """Return the latest known start of a present or removed server, or 0."""
         current = self._by_id.get(server_id)
         if current is not None:
             return current.entry.born_ms
@@ -223,7 +223,7 @@
             del self._removed_start_ms[next(iter(self._removed_start_ms))]
 
     def remove(self, server_id: str) -> None:
-        """Take in that an entry was removed while the store was well."""
+        """Apply the removal of an entry, made while the store was available."""
         self._remove(server_id, "its entry was removed")
 
     def replace(
@@ -233,19 +233,19 @@
         after_outage: bool,
         unreadable: Collection[str] = (),
     ) -> None:
-        """Take in a full list.
+        """Apply a full list.
 
         Parameters
         ----------
         entries : iterable of ServerEntry
             All entries of the store.
         after_outage : bool
-            Whether the store was away. Servers cannot renew their entries
+            Whether the store was unavailable. Servers cannot renew their entries
             then; dropping those that are missing would leave whole services
-            without a server although all of them live.
+            without a server although all of them are running.
         unreadable : collection of str
-            Ids whose entries are there and name no server. They have not
-            lapsed, and go at once.
+            Ids whose entries exist but cannot be decoded. They have not expired,
+            and their servers are removed at once.
         """
         self._is_listed = True
         listed = {entry.server_id: entry for entry in entries}
@@ -258,20 +258,20 @@
                 self._stale.setdefault(server_id, self._complete_at_ms)
                 self._by_id[server_id].is_stale = True
             else:
-                self._remove(server_id, "it is not listed any more")
+                self._remove(server_id, "it is no longer listed")
 
     def remove_stale(self) -> bool:
-        """Drop servers whose entries did not come back in time.
+        """Drop servers whose entries were not renewed in time.
 
         Returns
         -------
         bool
-            Whether what may be passed on has changed.
+            Whether the state passed on to subscribers has changed.
         """
         now_ms = self._clock.now_ms()
         due = [name for name, at_ms in self._stale.items() if at_ms <= now_ms]
         for server_id in due:
-            self._remove(server_id, "its entry lapsed and did not come back")
+            self._remove(server_id, "its entry expired and was not renewed")
         is_complete_now = self.may_lack_servers and now_ms >= self._complete_at_ms
         if is_complete_now:
             self._complete_at_ms = -math.inf
@@ -289,8 +289,8 @@
         if not servers:
             del self._by_service[server.entry.service]
         if server.pool is not None and is_restart:
-            # Its process is dead: no reply comes any more. Behind a cut no
-            # reset comes either, and requests would wait for their deadline.
+            # Its process is dead and sends no more replies. Behind a partition no
+            # reset arrives either, and requests would wait until their deadline.
             server.pool.retire()
         elif server.pool is not None:
             server.pool.close()
