--- a/ibisfront/gateway/instances/__init__.py
+++ b/ibisfront/gateway/instances/__init__.py
@@ -1,1 +1,1 @@
-"""The other instances, who gathers for whom, and the paths between zones."""
+"""The other instances, coordinator selection, and network paths between zones."""
--- a/ibisfront/gateway/instances/coordinators.py
+++ b/ibisfront/gateway/instances/coordinators.py
@@ -1,4 +1,4 @@
-"""Which instances ask the backend servers when there are many instances."""
+"""Selection of the instances that run scatter-gather for others."""
 
 from __future__ import annotations
 
@@ -15,39 +15,38 @@
 __all__ = ["CONNECTIONS_SHARE", "Coordinators", "strongest_first"]
 
 _MIN_CONNECTIONS = 2
-"""Connections to each server that an instance needs to gather by itself: one
-for a query and one for what comes meanwhile."""
+"""Connections to each server that an instance needs to run scatter-gather itself: one
+for a query and one for requests that arrive meanwhile."""
 
 _MAX_UNCOORDINATED_INSTANCES = 12
-"""Up to so many instances each gather for themselves, if the connections allow
-it. Beyond, each meets a server too rarely to keep a connection to it warm or to
-know how it does."""
+"""Largest number of instances that all run scatter-gather themselves, if the
+connections allow it. With more, each sends to a server too rarely to keep a
+connection to it warm or to track its health."""
 
 _COORDINATOR_CONNECTIONS = 4
-"""Connections to each server that a coordinator is given."""
+"""Connections to each server allotted to a coordinator."""
 
 CONNECTIONS_SHARE = 0.9
-"""Share of the connections that a server accepts which the instances use
-together; the rest is for probes and for connections that are closing."""
+"""Share of a server's connection limit that the instances use together; the rest
+is for probes and for connections that are closing."""
 
 _MIN_PER_ZONE = 2
-"""Coordinators of a zone, so that one is left when one is lost. Few keep their
-connections warm and know more of each server."""
+"""Minimum number of coordinators in a zone, so that one remains when one is lost. A
+small number keeps connections warm and observes each server more often."""
 
 _INSTANCES_PER_COORDINATOR = 20
-"""Instances for which one more coordinator is there."""
+"""Instances of a zone per coordinator."""
 
 
 class Coordinators:
-    """The instances that gather for the others of their zone.
+    """The instances that run scatter-gather for the others of their zone.
 
-    A server accepts a bounded number of connections from all instances
-    together. Beyond some number of instances there is less than one for each:
-    connections are reset and opened anew all the time; and long before, each is
-    used too rarely to stay open. A few instances of each zone then gather for
-    the others and keep their connections warm. Each
-    instance works them out by itself from the same list; a list that is some
-    seconds old shifts work, and breaks nothing.
+    A server accepts a bounded number of connections from all instances together.
+    With many instances there is less than one connection for each, and connections
+    are continually reset and reopened; well before that, each is used too rarely to
+    stay open. A few instances of each zone then run scatter-gather for the others
+    and keep their connections warm. Each instance computes them from the same list;
+    a list that is some seconds old shifts load but is otherwise harmless.
 
     Parameters
     ----------
@@ -70,22 +69,22 @@
 
     @property
     def uses_coordinators(self) -> bool:
-        """Whether only some instances gather."""
+        """Whether only some instances run scatter-gather."""
         return bool(self._by_zone)
 
     @property
     def is_coordinator(self) -> bool:
-        """Whether this instance gathers."""
+        """Whether this instance runs scatter-gather."""
         return not self._by_zone or self._own.name in self.of_zone(self._own.zone)
 
     @property
     def receives_delegated_queries(self) -> bool:
-        """Whether other instances follow this one."""
+        """Whether other instances delegate queries to this one."""
         return self.uses_coordinators and self.is_coordinator
 
     @property
     def count(self) -> int:
-        """How many instances share the connections of a gathered service."""
+        """The number of instances that share the connections of a gathered service."""
         if not self._by_zone:
             return max(len(self.instances), 1)
         return len(self.names)
@@ -97,25 +96,25 @@
 
     @property
     def names(self) -> list[str]:
-        """The names of all that gather, if only some do."""
+        """The names of all coordinators; empty if none are used."""
         return [name for names in self._by_zone.values() for name in names]
 
     def of_zone(self, zone: str) -> tuple[str, ...]:
-        """Return the names of a zone's coordinators, the first choice first."""
+        """Return the names of a zone's coordinators in order of preference."""
         return self._by_zone.get(zone, ())
 
     def update(
         self, instances: Sequence[InstanceEntry], table: RouteTable | None
     ) -> None:
-        """Work them out anew.
+        """Recompute the coordinators.
 
         Parameters
         ----------
         instances : sequence of InstanceEntry
-            All instances that are listed.
+            All listed instances.
         table : RouteTable or None
-            The configuration in force, which says how many connections the
-            gathered services accept.
+            The configuration in force, which contains the connection limits of
+            the gathered services.
         """
         self.instances = instances
         if table is not None:
@@ -132,7 +131,7 @@
         self._by_zone = {zone: self._select(zone, share) for zone in zones}
 
     def _select(self, zone: str, share: int) -> tuple[str, ...]:
-        """Return a zone's coordinators, given how many the connections allow."""
+        """Return a zone's coordinators, at most as many as the connections allow."""
         listed = [item for item in self.instances if item.zone == zone]
         wanted = max(math.ceil(len(listed) / _INSTANCES_PER_COORDINATOR), _MIN_PER_ZONE)
         chosen = sorted(listed, key=strongest_first)[: min(wanted, share)]
@@ -140,7 +139,7 @@
 
 
 def _connection_limit(table: RouteTable) -> int:
-    """Return the fewest connections that a gathered service's server accepts."""
+    """Return the lowest connection limit of the gathered services' servers."""
     services = table.configuration.services
     return min(
         (
@@ -153,5 +152,5 @@
 
 
 def strongest_first(entry: InstanceEntry) -> tuple[float, bytes]:
-    """Order instances: the strongest first, equals by a hash of the name."""
+    """Return a sort key: highest capacity first, ties by a hash of the name."""
     return -entry.capacity, hashlib.blake2b(entry.name.encode()).digest()
--- a/ibisfront/gateway/instances/directory.py
+++ b/ibisfront/gateway/instances/directory.py
@@ -1,4 +1,4 @@
-"""The other instances: who they are, and how each learns of them."""
+"""The directory of instances in the store, and its synchronization."""
 
 from __future__ import annotations
 
@@ -29,41 +29,40 @@
 _LOG = part_logger(LogPart.MEMBERS)
 
 _STARTUP_POLL_INTERVAL_MS = 1_000.0
-"""How often the list is read at the start, while the others register too."""
+"""Poll interval of the list at startup, while the other instances register too."""
 
 _STARTUP_POLLS = 4
-"""Reads of the list that come at the pace of the start."""
+"""Reads of the list at the startup interval."""
 
 _POLL_INTERVAL_MS = 5_000.0
-"""How often the list is read. Instances that die are noticed by their silence,
-and new ones are not missed for a few seconds; a stale read has a tenth of a
-call's price."""
+"""Poll interval of the list. Failed instances are detected by their silence, and new
+ones are not needed for a few seconds; a stale read costs a tenth of a call."""
 
 _RETRY_MS = 700.0
-"""Pause, on average, before another try to register."""
+"""Mean delay before another attempt to register."""
 
 _SETTLE_MS = 700.0
-"""How long the first read waits where all instances start for the first time:
-they do so within 0.3 s of each other, and a start takes as long again."""
+"""Delay of the first read when all instances start for the first time: they start
+within 0.3 s of each other, and a start takes about as long again."""
 
 ASSUMED_INSTANCES = 16
-"""How many instances share allowances and connections until their list is
-known: about twice the entry instances of a deployment of today."""
+"""Number of instances assumed to share allowances and connections until the list is
+read: about twice the entry instances of a typical deployment."""
 
 
 class InstanceEntry(msgspec.Struct, frozen=True):
-    """What an instance says of itself in the store.
+    """An instance's entry in the store.
 
     Attributes
     ----------
     name : str
-        Its name; a restart keeps it.
+        Its name, unchanged by a restart.
     zone : str
         Its availability zone.
     address : Address
-        Where other instances reach it.
+        Its address for other instances.
     capacity : float
-        How many cores it has; the strongest gather for the others.
+        Its number of cores; the largest instances become coordinators.
     """
 
     name: str
@@ -79,7 +78,7 @@
         """Write an instance's entry; raises ``StoreError``."""
 
     async def instances(self) -> Sequence[InstanceEntry]:
-        """Return all entries, perhaps some seconds old; raises ``StoreError``."""
+        """Return all entries, possibly some seconds old; raises ``StoreError``."""
 
 
 async def sync_instances(
@@ -92,7 +91,7 @@
     is_first_start: bool,
     clock: Clock,
 ) -> None:
-    """Register this instance and keep up with the others, until cancelled.
+    """Register this instance and poll the list of instances until cancelled.
 
     Parameters
     ----------
@@ -101,18 +100,18 @@
     own : InstanceEntry
         This instance.
     on_list : callable
-        Told of all instances, this one included. Entries of instances that are
-        gone make shares smaller, never too large.
-    on_first_try : callable
-        Told once when the list was read for the first time, or could not be.
+        Called with all instances, this one included. Entries of instances that
+        are gone make shares smaller, never too large.
+    on_first_attempt : callable
+        Called once after the first read of the list, even if it failed.
     is_needed : callable
-        Returns whether the list must be read here: an instance that follows
-        another one gets it from there.
+        Returns whether the list must be read here: a subscriber of another
+        instance gets it from there.
     is_first_start : bool
         Whether all instances start for the first time, so that the list is
         not complete yet.
     clock : Clock
-        The tier's clock.
+        The clock.
     """
     random = Random()
     is_registered = False
@@ -124,7 +123,7 @@
         if polls == 0 or is_needed():
             listed = await _read(directory)
             if listed is not None:
-                # A restart finds its entry: writing it again has its price.
+                # After a restart the entry exists, and a write would be wasted.
                 is_registered = is_registered or own in listed
                 on_list(listed)
         if polls == 0:
@@ -140,7 +139,7 @@
 
 
 async def _register(directory: Directory, own: InstanceEntry) -> bool:
-    """Write this instance's entry; return whether it is written."""
+    """Write this instance's entry; return whether that succeeded."""
     try:
         await directory.register(own)
     except StoreError as error:
@@ -150,7 +149,7 @@
 
 
 async def _read(directory: Directory) -> Sequence[InstanceEntry] | None:
-    """Return the list; None if it cannot be read now."""
+    """Return the list, or None if it cannot be read."""
     try:
         return await directory.instances()
     except StoreError as error:
@@ -159,5 +158,5 @@
 
 
 def peer_entry(entry: InstanceEntry) -> ServerEntry:
-    """Return another instance as a server of the service of its zone."""
+    """Return another instance as a server of the service named after its zone."""
     return ServerEntry(entry.name, entry.zone, entry.address, entry.zone)
--- a/ibisfront/gateway/instances/liveness_probe.py
+++ b/ibisfront/gateway/instances/liveness_probe.py
@@ -1,4 +1,4 @@
-"""Finding out whether an instance that was asked for a query is still there."""
+"""Liveness probes of an instance that was sent a query."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 _TARGET = b"/ibisfront/alive"
 
 _REPLY_TIMEOUT_MS = 120.0
-"""How long the reply may take: an instance whose processor time is rationed by the
-tenth of a second stands still for just under that."""
+"""Timeout of a probe: an instance whose CPU quota is enforced in periods of 100 ms may
+be stopped for almost that long."""
 
 _INTERVAL_MS = 200.0
-"""Pause between a reply and the next question."""
+"""Delay between a reply and the next probe."""
 
 
 StartLivenessProbe: TypeAlias = (
     "Callable[[RemoteCall, Callable[[], None]], LivenessProbe]"
 )
-"""Returns the check of an instance that was asked, given what to call on news."""
+"""Returns the probe of a remote call's instance, given the callback on a change."""
 
 
 def liveness_prober(wire: WireCodec, clock: Clock) -> StartLivenessProbe:
-    """Return what makes the checks of instances that were asked."""
+    """Return a factory of probes for instances that were sent a query."""
 
     def start(remote: RemoteCall, on_change: Callable[[], None]) -> LivenessProbe:
         return LivenessProbe(
@@ -56,7 +56,7 @@
 def answer_liveness_probe(
     request: InboundRequest, wire: WireCodec
 ) -> CallerReply | None:
-    """Return the reply to another instance's question; None if it is none."""
+    """Return the reply to another instance's probe; None if it is not a probe."""
     if request.target != _TARGET:
         return None
     headers = [wire.request_id(request.request_id)]
@@ -64,11 +64,11 @@
 
 
 class LivenessProbe:
-    """Asks an instance, while its answer is overdue, whether it is there.
+    """Probes an instance while its reply is overdue.
 
-    An instance that gathers a query replies once, at the end. Where an instance is
-    asked rarely, no other reply says whether it works on the query or was lost with
-    it: the one was given up seconds before its answer, the other waited for.
+    A coordinator replies to a query once, at the end. If it gets few requests, no
+    other reply shows whether it is working on the query or has failed: a working one
+    was abandoned seconds before its reply, and a failed one was waited for.
 
     Parameters
     ----------
@@ -77,16 +77,16 @@
     wire : WireCodec
         The codec.
     clock : Clock
-        The tier's clock.
+        The clock.
     first_at_ms : float
-        When to ask first.
+        When to send the first probe.
     on_change : callable
-        Called when a reply has come, or none can come.
+        Called when a reply has arrived, or none can arrive.
 
     Attributes
     ----------
     next_at_ms : float
-        When :meth:`is_lost` has something to do next.
+        When :meth:`is_lost` must be called next.
     """
 
     __slots__ = ("_clock", "_exchange", "_on_change", "_peer", "_wire", "next_at_ms")
@@ -108,21 +108,21 @@
         self.next_at_ms = first_at_ms
 
     def is_lost(self, now_ms: float) -> bool:
-        """Return whether the instance shows no life; ask it if that is due."""
+        """Return whether the instance has failed the probe; send one if due."""
         exchange = self._exchange
         if exchange is None:
             if now_ms >= self.next_at_ms:
                 self._send(now_ms)
             return False
         if self._peer.last_reply_at_ms >= exchange.created_at_ms:
-            # Any reply is as good as the one to this question.
+            # Any reply shows as much as the reply to the probe.
             self.end()
             self.next_at_ms = now_ms + _INTERVAL_MS
             return False
         return exchange.has_ended or now_ms >= self.next_at_ms
 
     def end(self) -> None:
-        """Wait for no reply any more."""
+        """Stop waiting for a reply."""
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
             exchange.abandon(at_once=False)
--- a/ibisfront/gateway/instances/rotation.py
+++ b/ibisfront/gateway/instances/rotation.py
@@ -1,4 +1,4 @@
-"""When the balancer sends callers elsewhere."""
+"""Load balancer rotation, and when refused callers should retry."""
 
 from __future__ import annotations
 
@@ -8,32 +8,31 @@
 __all__ = ["BALANCER_DETECTION_MS", "Rotation"]
 
 BALANCER_DETECTION_MS = 2_000.0
-"""How long the balancer may take to notice that an instance is not ready: it asks
-once a second and needs two misses."""
+"""Longest time the balancer takes to detect that an instance is not ready: it polls
+once a second and requires two failures."""
 
 _REROUTED_AFTER_MS = BALANCER_DETECTION_MS + 200.0
-"""When a new connection reaches another zone: the other instances of the zone know a
-little later."""
+"""When a new connection reaches another zone: the other instances of the zone become
+unready a little later."""
 
 _MIN_WAIT_MS = 20.0
-"""The shortest wait that is told: the caller's next connection goes elsewhere
-already."""
+"""Shortest wait, once the caller's next connection goes to another zone."""
 
 _READY_WAIT_MS = 150.0
-"""What is told while the instance is still ready: the time in which a cut path is
-found, or a server that has failed is tried again."""
+"""Wait while the instance is still ready: the time in which a partition is detected,
+or a failed server is retried."""
 
 _JITTER_MS = 200.0
-"""Over how long those are spread that would all come back at the same moment."""
+"""Jitter added to waits that would otherwise end at the same moment."""
 
 
 class Rotation:
-    """Tells refused callers when a new connection reaches another zone.
+    """Computes when a refused caller's new connection will reach another zone.
 
-    Load pattern: a zone is cut off, and its instances cannot serve. Callers
-    that are told to come back at once meet the same zone, as the balancer has
-    not noticed yet; most have one more try only. Told when the balancer will
-    have moved, they are served by another zone.
+    Load pattern: a zone is partitioned, and its instances cannot serve. Callers that
+    retry immediately reach the same zone, since the balancer has not reacted yet, and
+    most have only one retry. With a wait until the balancer has reacted, another zone
+    serves them.
     """
 
     __slots__ = ("_unready_since_ms",)
@@ -42,14 +41,14 @@
         self._unready_since_ms = math.inf
 
     def record(self, *, is_ready: bool, now_ms: float) -> None:
-        """Take in whether the balancer may send callers here now."""
+        """Record whether this instance is ready for traffic from the balancer."""
         if is_ready:
             self._unready_since_ms = math.inf
         else:
             self._unready_since_ms = min(self._unready_since_ms, now_ms)
 
     def wait_ms(self, now_ms: float) -> float:
-        """Return in how many milliseconds a refused caller should come back."""
+        """Return the delay after which a refused caller should retry."""
         if math.isinf(self._unready_since_ms):
             return _READY_WAIT_MS
         left_ms = self._unready_since_ms + _REROUTED_AFTER_MS - now_ms
--- a/ibisfront/gateway/instances/zone_path_monitor.py
+++ b/ibisfront/gateway/instances/zone_path_monitor.py
@@ -1,4 +1,4 @@
-"""Acting on what is believed of the paths to other zones."""
+"""Monitoring of the network paths to other zones."""
 
 from __future__ import annotations
 
@@ -23,35 +23,35 @@
 _LOG = part_logger(LogPart.MEMBERS)
 
 _EVALUATION_INTERVAL_MS = 25.0
-"""How often the paths are looked at: a fifth of the time that a suspicion and its
-probes take. Waking for it costs more than the look, however many paths there are."""
+"""Interval between evaluations: a fifth of the time from a suspicion to the result of
+its probes. The wake-up costs more than the evaluation of all paths."""
 
 _PROBED_INSTANCES = 3
-"""Instances of a zone that are probed: their connections cost servers nothing."""
+"""Instances of a zone that are probed, at no cost to backend servers."""
 
 _PROBED_SERVERS = 2
-"""Backend servers that are probed besides, in case all instances are lost."""
+"""Backend servers that are also probed, in case all instances have failed."""
 
 _PROBE_TIMEOUT_MS = 300.0
-"""How long a probe's connection may take to open. A lost first packet is sent
-again after a second; a new probe is quicker."""
+"""Connect timeout of a probe. A lost SYN is retransmitted after a second; a new probe
+is faster."""
 
 
 class ZonePathMonitor:
-    """Probes zones that are suspect, and lets go of what waits on cut ones.
+    """Probes suspect zones, and fails requests in flight to partitioned ones.
 
     Parameters
     ----------
     paths : ZonePaths
-        What is believed.
+        The state of the paths.
     servers, peers : ServerRegistry
-        The backend servers, and the other instances under their zone.
+        The backend servers, and the other instances as servers of their zone.
     counters : Counters
-        Where changes are counted.
+        Counts changes of state.
     on_change : callable
-        Told when a zone is found to be cut off, or within reach again.
+        Called when a zone becomes partitioned or reachable again.
     clock : Clock
-        The tier's clock.
+        The clock.
     """
 
     __slots__ = ("_clock", "_counters", "_on_change", "_paths", "_peers", "_servers")
@@ -74,7 +74,7 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Look at the paths until cancelled."""
+        """Evaluate the paths until cancelled."""
         while True:
             due_ms = self._clock.now_ms() + _EVALUATION_INTERVAL_MS
             await self._clock.sleep_ms(_EVALUATION_INTERVAL_MS)
@@ -94,7 +94,7 @@
                 path.record_probes(self._probe(path.zone), now_ms)
             case PathAction.PARTITIONED:
                 self._fail_requests(path.zone)
-                # Perhaps it is this zone that is cut off.
+                # The partitioned zone may be this one.
                 for other in self._paths.all():
                     other.mark_suspect()
                 self._on_change()
@@ -103,7 +103,7 @@
                 self._on_change()
 
     def _probe(self, zone: str) -> int:
-        """Connect to some endpoints of a zone; return to how many."""
+        """Open connections to some endpoints of a zone; return how many."""
         peers = self._endpoints(self._peers, zone)
         servers = self._endpoints(self._servers, zone)
         random.shuffle(peers)
@@ -116,10 +116,10 @@
         )
 
     def _fail_requests(self, zone: str) -> None:
-        """End the exchanges that wait for a reply from a zone that is cut off.
+        """Fail the exchanges in flight to a partitioned zone.
 
-        Their requests are then asked of servers elsewhere while there is time,
-        or fail while their callers have time to come again.
+        Their requests are then retried in other zones while there is time, or fail
+        while their callers still have time to retry.
         """
         self._counters.add(CounterKind.MEMBER_CHANGES, "zone_cut")
         ended = 0
@@ -129,7 +129,7 @@
         _LOG.warning("Zone %s is cut off from here; %d requests end.", zone, ended)
 
     def _restore(self, zone: str) -> None:
-        """Use a zone's endpoints again, whatever befell them during the cut."""
+        """Use a zone's endpoints again, ignoring failures during the partition."""
         self._counters.add(CounterKind.MEMBER_CHANGES, "zone_back")
         for registry in (self._servers, self._peers):
             for endpoint in self._endpoints(registry, zone):
--- a/ibisfront/gateway/instances/zone_paths.py
+++ b/ibisfront/gateway/instances/zone_paths.py
@@ -1,4 +1,4 @@
-"""Whether the paths to the other availability zones are open."""
+"""State of the network paths to the other availability zones."""
 
 from __future__ import annotations
 
@@ -12,29 +12,28 @@
 __all__ = ["PathAction", "ZonePath", "ZonePaths"]
 
 _SUSPECT_ENDPOINTS = 3
-"""So many servers or instances of a zone that owe a reply past its time, while
-nobody there has shown life, make its path suspect. Fewer are an ordinary failure:
-a server that pauses for 150 ms every 3.6 s does so one moment in 24."""
+"""Servers or instances of a zone with an overdue reply, without any sign of life from
+the zone, that make its path suspect. Fewer are an ordinary failure: a server that
+pauses for 150 ms every 3.6 s is paused 1/24 of the time."""
 
 _DUE_FACTOR = 1.5
-"""A reply owed for this many times the latency at which one is late is past its
-time."""
+"""A reply is overdue after this many times the latency beyond which it is late."""
 
 _MIN_DUE_MS = 40.0
-"""The least time that a reply is given: above the lateness with which a busy process
+"""Minimum time before a reply is overdue: above the delay with which a busy process
 reads replies."""
 
 _PROBE_WAIT_MS = 60.0
-"""How long probes of a suspect zone may take: several times what the paths between
-zones and a server's accepting take."""
+"""Wait for the probes of a suspect zone: several times the round trip between zones
+plus a server's accept."""
 
 _PROBE_INTERVAL_MS = 150.0
-"""Pause between probes of a zone that is cut off: it is in use again this long
-after the path heals, at seven connection attempts a second."""
+"""Interval between probes of a partitioned zone: it is used again this long after the
+path recovers, at the cost of seven connection attempts a second."""
 
 
 class PathAction(Enum):
-    """What is to be done about a zone."""
+    """What the monitor has to do about a zone."""
 
     PROBE = "probe"
     PARTITIONED = "cut"
@@ -49,15 +48,15 @@
 
 
 class ZonePath:
-    """What this instance believes of the path to one other zone.
+    """The state of the network path to one other zone.
 
-    Load pattern: a zone is cut off. Found silent one by one, its servers cost
-    each query another wait, and the zone's own callers seconds; once all are
-    known to be silent nothing is sent, so nothing is silent any more, and
-    refusals and failures take turns. The belief is one for the zone. It is fed
-    by every sign of life of any server or instance there, turns only when
-    probes have failed too, so that a few crashes or a pause do not turn it, and
-    holds until life is shown.
+    Load pattern: a zone is partitioned. If each server is detected on its own, every
+    one of them delays another query, and the zone's own callers wait for seconds; once
+    all are detected nothing is sent, so none appears silent any longer, and refusals
+    alternate with failures. The state therefore covers the whole zone. Any sign of
+    life of a server or instance there updates it. It becomes partitioned only when
+    probes have failed too, so that a few crashes or a pause do not change it, and
+    stays so until the next sign of life.
 
     Parameters
     ----------
@@ -72,32 +71,32 @@
         self._state = _State.OPEN
         self._was_partitioned = False
         self._decide_at_ms = math.inf
-        # When a reply of each endpoint is past its time, of those that were
-        # asked since the zone last showed life.
+        # When the reply of each endpoint becomes overdue, for endpoints that were
+        # sent a request since the last sign of life of the zone.
         self._due_ms: dict[str, float] = {}
 
     @property
     def is_partitioned(self) -> bool:
-        """Whether nothing there can be reached."""
+        """Whether the zone is unreachable from this instance."""
         return self._state is _State.PARTITIONED
 
     def record_request(self, endpoint: str, now_ms: float, *, late_ms: float) -> None:
-        """Take in that a server or an instance of the zone was sent a request.
+        """Record a request to a server or an instance of the zone.
 
         Parameters
         ----------
         endpoint : str
             Its name.
         now_ms : float
-            The time.
+            The current time.
         late_ms : float
-            After how long its reply is late.
+            Latency beyond which its reply is late.
         """
         due_ms = now_ms + max(_DUE_FACTOR * late_ms, _MIN_DUE_MS)
         self._due_ms.setdefault(endpoint, due_ms)
 
     def record_liveness(self) -> None:
-        """Take in a reply, or a connection that was opened."""
+        """Record a reply or an opened connection."""
         if self._due_ms:
             self._due_ms.clear()
         if self._state is not _State.OPEN:
@@ -105,29 +104,29 @@
             self._state = _State.OPEN
 
     def mark_suspect(self) -> None:
-        """Have the zone probed, on a sign from elsewhere that its path may be cut.
+        """Request a probe of the zone, on other evidence of a partition.
 
-        An instance that asks rarely would find a cut by nothing else, and one that
-        is itself cut off would find it zone by zone.
+        An instance with few requests would not detect a partition otherwise, and one
+        that is itself partitioned would detect it zone by zone.
         """
         if self._state is _State.OPEN:
             self._state = _State.SUSPECT
 
     def record_probes(self, probes: int, now_ms: float) -> None:
-        """Take in that connections were begun to endpoints of the zone."""
+        """Record that connections to endpoints of the zone are being opened."""
         if self._state is _State.SUSPECT and probes:
             self._state = _State.PROBED
             self._decide_at_ms = now_ms + _PROBE_WAIT_MS
 
     def extend_deadlines(self, duration_ms: float) -> None:
-        """Give more time: this process did not run, and may have unread replies."""
+        """Allow for time in which this process did not run and read no replies."""
         self._decide_at_ms += duration_ms
         self._due_ms = {
             endpoint: due_ms + duration_ms for endpoint, due_ms in self._due_ms.items()
         }
 
     def evaluate(self, now_ms: float) -> PathAction | None:
-        """Return what is to be done now; to be called every few milliseconds."""
+        """Return the action due now; to be called every few milliseconds."""
         match self._state:
             case _State.OPEN:
                 return self._evaluate_open(now_ms)
@@ -156,7 +155,7 @@
 
 
 class ZonePaths:
-    """The paths to all other zones.
+    """The network paths to all other zones.
 
     Parameters
     ----------
@@ -171,7 +170,7 @@
         self._by_zone: dict[str, ZonePath] = {}
 
     def to(self, zone: str) -> ZonePath | None:
-        """Return the path to a zone; None for the own one."""
+        """Return the path to a zone; None for this instance's zone."""
         if zone == self._own_zone:
             return None
         path = self._by_zone.get(zone)
@@ -180,5 +179,5 @@
         return path
 
     def all(self) -> Iterable[ZonePath]:
-        """Return the paths to all other zones that were heard of."""
+        """Return the paths to all other zones seen so far."""
         return self._by_zone.values()
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -249,7 +249,7 @@
         return all(server.last_reply_at_ms <= since_ms for server in self._tried)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for nothing more; see :meth:`Exchange.give_up`.
+        """Wait for nothing more; see :meth:`Exchange.abandon`.
 
         A server that is slow is short of slots, whatever the others are. A large reply
         from another zone costs more bytes between zones than a new connection.
@@ -341,7 +341,7 @@
             if reply.is_other_server:
                 # Another server has the address now: this one is gone, though
                 # the store may list it for a while yet.
-                server.is_gone = True
+                server.is_removed = True
             return
         self._has_run = True
         if reply.is_success:
--- a/ibisfront/gateway/servers/exchange.py
+++ b/ibisfront/gateway/servers/exchange.py
@@ -40,7 +40,7 @@
         Latency beyond which a reply to such a request counts as late.
     has_reply_body : bool
         Whether its reply may have a body; the reply to a HEAD request has none.
-    may_break_off : bool
+    may_fail_fast : bool
         Whether it may end early when the path to its server is partitioned: the
         request may be sent again, so this reply is not needed.
 
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -77,7 +77,7 @@
     ----------
     pool : ServerPool or None
         Its connections.
-    is_gone : bool
+    is_removed : bool
         Whether it was removed and must not get any more requests.
     is_evacuated : bool
         Whether its zone is evacuated, so that it must not get any requests.
@@ -114,7 +114,7 @@
         "entry",
         "in_flight",
         "is_evacuated",
-        "is_gone",
+        "is_removed",
         "is_near",
         "is_stale",
         "last_reply_at_ms",
@@ -138,7 +138,7 @@
         self.path = path
         self.is_near = is_near
         self.pool: ServerPool | None = None
-        self.is_gone = False
+        self.is_removed = False
         self.is_evacuated = False
         self.is_stale = False
         self.in_flight: dict[Exchange, None] = {}
@@ -159,7 +159,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether it may be sent new requests."""
-        return not (self.is_gone or self.is_evacuated or self.entry.is_draining)
+        return not (self.is_removed or self.is_evacuated or self.entry.is_draining)
 
     @property
     def is_behind_partition(self) -> bool:
--- a/ibisfront/gateway/servers/server_registry.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -282,7 +282,7 @@
         server = self._by_id.pop(server_id, None)
         if server is None:
             return
-        server.is_gone = True
+        server.is_removed = True
         self._record_removed(server.entry)
         servers = self._by_service[server.entry.service]
         servers.remove(server)
--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -105,7 +105,7 @@
         registry = registry_of("a")
         before = registry.of_service("s")[0]
         registry.put(entry("a", address="elsewhere:80"))
-        self.assertTrue(before.is_gone)
+        self.assertTrue(before.is_removed)
         self.assertIsNot(registry.of_service("s")[0], before)
 
 
@@ -130,7 +130,7 @@
         registry.put(entry("a", born_ms=2_000, warm_up_left_ms=3_000.0))
         after = registry.of_service("s")[0]
         now_ms = Clock().now_ms()
-        self.assertTrue(before.is_gone)
+        self.assertTrue(before.is_removed)
         self.assertTrue(after.is_reachable(now_ms))
         self.assertLess(server_cost(after, now_ms, 10.0), 2.0)
         self.assertGreater(after.warm_at_ms, now_ms + 2_000.0)
@@ -197,7 +197,7 @@
     @trio_test
     async def test_server_that_had_lost_its_address_may_be_reborn(self):
         registry = registry_of("a")
-        registry.of_service("s")[0].is_gone = True
+        registry.of_service("s")[0].is_removed = True
         registry.put(entry("a", born_ms=2_000))
         self.assertEqual(listed(registry), {"a"})
 
