--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -78,7 +78,7 @@
     pool : ServerPool or None
         Its connections.
     is_removed : bool
-        Whether it was removed and must not get any more requests.
+        Whether it was removed or replaced and must not get any more requests.
     is_evacuated : bool
         Whether its zone is evacuated, so that it must not get any requests.
     is_stale : bool
@@ -114,8 +114,8 @@
         "entry",
         "in_flight",
         "is_evacuated",
-        "is_removed",
         "is_near",
+        "is_removed",
         "is_stale",
         "last_reply_at_ms",
         "load",
