--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -1,4 +1,4 @@
-"""Gateways in two zones that ask each other, in any clock."""
+"""Gateways in two zones that delegate queries to each other, on any clock."""
 
 from __future__ import annotations
 
@@ -54,17 +54,16 @@
 __all__ = ["TwoZones"]
 
 _FEW_CONNECTIONS = 4
-"""Connections that a server accepts where not every instance can gather."""
+"""Connection limit of a server that makes the instances use coordinators."""
 
 _MAX_CLOCK_READS = 1_000_000
-"""Far beyond the reads of any test: forty queries take some ten thousand."""
+"""Far above the reads of any test: forty queries take about ten thousand."""
 
 
 class _CountingClock(Clock):
-    """A clock that counts how often it is read.
+    """A clock that counts its reads.
 
-    It refuses to be read without end, so that a task that spins fails its
-    test instead of hanging it.
+    It limits their number, so that a busy loop fails its test instead of hanging.
     """
 
     __slots__ = ("reads",)
@@ -77,34 +76,34 @@
         """Return the monotonic time in milliseconds."""
         self.reads += 1
         if self.reads > _MAX_CLOCK_READS:
-            raise AssertionError("a task spins: the time was read without end")
+            raise AssertionError("busy loop: the clock was read too often")
         return super().now_ms()
 
 
 class TwoZones:
-    """Two instances in two zones; every other service stands in each.
+    """Two instances in two zones, with every other service in each.
 
-    A third one, in a zone without servers, gathers too for one that follows.
+    With delegation, a third instance is a coordinator in a zone without servers.
 
     Parameters
     ----------
     route : Route
-        The gathering route in force at first.
-    also : Route, optional
-        A route whose services exist too.
+        The initial scatter-gather route.
+    extra_route : Route, optional
+        Another route whose services exist.
     latency_ms : float
-        How long a server's reply takes.
-    follows : bool
-        Whether the instance in ``z0`` has its queries gathered by the other.
+        Latency of a server's reply.
+    delegates : bool
+        Whether the instance in ``z0`` delegates its queries to a coordinator.
 
     Attributes
     ----------
     delegated : int
-        How many queries one instance asked of the other.
+        Number of delegated queries.
     frozen : bool
-        Whether the instance in ``z1`` takes queries and says nothing.
+        Whether the instance in ``z1`` accepts queries and never replies.
     peer_connect_ms : float
-        How long a connection between the instances takes to open.
+        Time to open a connection between the instances.
     """
 
     def __init__(
@@ -135,7 +134,7 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Run both instances for the length of the block."""
+        """Run the instances for the duration of the block."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.gateways = {zone: self._gateway(zone) for zone in self._zones}
@@ -144,7 +143,7 @@
             nursery.cancel_scope.cancel()
 
     def put(self, version: int, route: Route, *, only: str | None = None) -> None:
-        """Put a version in force at both instances, or at one of them."""
+        """Apply a configuration version at all instances, or at one of them."""
         services = {name: RoutedService(name, 25) for name in self._names}
         configuration = Configuration(version, (route,), services, CallerLimits())
         for zone, gateway in self.gateways.items():
@@ -166,11 +165,11 @@
         )
 
     def _coordinators(self, zone: str) -> Coordinators:
-        """Return which instances gather, as an instance sees it."""
+        """Return the coordinators as computed by the instance of a zone."""
         own = InstanceEntry(f"instance-{zone}", zone, zone)
         coordinators = Coordinators(own)
         if self._delegates:
-            # The strongest of each zone gather; that of z0 is out of reach.
+            # The largest of each zone coordinate; that of z0 is unreachable.
             listed = [
                 InstanceEntry("instance-z0", "z0", "z0"),
                 InstanceEntry("instance-z1", "z1", "z1"),
@@ -186,11 +185,11 @@
         return coordinators
 
     async def ask(self, zone: str) -> CallerReply:
-        """Ask the instance of a zone as a caller would."""
+        """Send a caller's query to the instance of a zone."""
         return await self.gateways[zone].answer(self.request("/search/a"))
 
     def received_from(self, sender: str, *, zone: str) -> int:
-        """Return how many sub-requests crossed from an instance to a zone."""
+        """Return how many sub-requests an instance sent to another zone."""
         return sum(
             exchange.server.is_near is (sender == zone)
             and not exchange.server.is_near
@@ -201,11 +200,11 @@
 
     @property
     def clock_reads(self) -> int:
-        """How often the time was read: a measure of wake-ups."""
+        """The number of clock reads, a measure of wake-ups."""
         return self.clock.reads
 
     def slow_down(self, service: str, latency_ms: float) -> None:
-        """Let the servers of a service take so long; for ever is silence."""
+        """Set the latency of a service's servers; infinity means no reply."""
         for server in self._servers.values():
             if server.entry.service == service:
                 server.latency_ms = latency_ms
@@ -213,21 +212,21 @@
     def set_latency(
         self, zone: str, latency_ms: float, *, copy: int | None = None
     ) -> None:
-        """Let the servers of a zone, or one of each service, take so long."""
+        """Set the latency of a zone's servers, or of one copy of each service."""
         for name, server in self._servers.items():
             is_selected = copy is None or name.endswith(f".{copy}")
             if server.entry.zone == zone and is_selected:
                 server.latency_ms = latency_ms
 
-    def cut(self, zone: str) -> None:
-        """Let the servers of a zone be out of reach of both instances."""
+    def partition(self, zone: str) -> None:
+        """Make the servers of a zone unreachable from all instances."""
         for server in self._servers.values():
             if server.entry.zone == zone:
                 server.latency_ms = math.inf
                 server.accepts = False
 
     def running_requests(self) -> int:
-        """Return how many requests the servers work on now."""
+        """Return how many requests the servers are running."""
         return sum(server.running for server in self._servers.values())
 
     def _gateway(self, zone: str) -> Gateway:
@@ -282,7 +281,7 @@
 
 
 class _PeerConnection(StandInConnection):
-    """A connection between the two instances, through the real codecs."""
+    """A connection between two instances that uses the real codecs."""
 
     __slots__ = ("_gateway", "_zones")
 
@@ -292,27 +291,27 @@
         self._gateway = gateway
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
-        """Take a query to the other instance."""
+        """Start sending a query to the other instance."""
         exchange.sent_at_ms = now_ms
         self._exchange = exchange
         self._taken.set()
         return True
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
-        """Carry queries until closed."""
+        """Deliver queries until closed."""
         try:
             with self._scope:
                 while True:
                     await self._taken.wait()
                     self._taken = trio.Event()
-                    await self._carry()
+                    await self._deliver()
                     on_idle(self)
         finally:
             exchange, self._exchange = self._exchange, None
             if exchange is not None:
                 exchange.fail(ExchangeErrorKind.CONNECTION_LOST)
 
-    async def _carry(self) -> None:
+    async def _deliver(self) -> None:
         exchange = self._exchange
         assert exchange is not None
         reader = RequestReader(16_384, 65_536)
@@ -328,7 +327,7 @@
         replies.feed(WIRE.encode_reply(reply, True))
         decoded = WIRE.decode_reply(replies.messages.pop())
         if decoded.request_id not in (None, exchange.request_id):
-            # Taken for the reply to another request, and left aside.
+            # The reply belongs to another request and is ignored.
             await trio.sleep_forever()
         self._exchange = None
         exchange.finish(decoded)
--- a/ibisfront/tests/test_gateway_coordinators.py
+++ b/ibisfront/tests/test_gateway_coordinators.py
@@ -1,4 +1,4 @@
-"""Tests of which instances gather."""
+"""Tests of the selection of coordinators."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def table(limit):
-    """Return a table whose gathered services accept so many connections."""
+    """Return a table whose gathered services have this connection limit."""
     route = gather_route(4)
     services = {name: RoutedService(name, limit) for name in route.gathering.services}
     return RouteTable(Configuration(1, (route,), services, CallerLimits()))
 
 
 def instances(count, zones=4):
-    """Return entries in several zones, the later ones stronger."""
+    """Return entries in several zones, in ascending order of capacity."""
     return [
         InstanceEntry(f"i{number}", f"z{number % zones}", "10.0.0.1:1", number)
         for number in range(count)
@@ -31,16 +31,16 @@
 
 
 class CoordinatorsTest(unittest.TestCase):
-    """Who gathers, by the connections that servers accept."""
+    """Which instances coordinate, given the connection limits of servers."""
 
-    def test_all_gather_while_servers_accept_enough(self):
+    def test_no_coordinators_while_servers_accept_enough(self):
         listed = instances(9, zones=3)
         coordinators = Coordinators(listed[0])
         coordinators.update(listed, table(25))
         self.assertFalse(coordinators.uses_coordinators)
         self.assertTrue(coordinators.is_coordinator)
 
-    def test_the_strongest_of_each_zone_gather_beyond_that(self):
+    def test_strongest_of_each_zone_coordinate_beyond_that(self):
         listed = instances(68)
         coordinators = Coordinators(listed[0])
         coordinators.update(listed, table(56))
@@ -48,12 +48,12 @@
         self.assertEqual(coordinators.of_zone("z0"), ("i64", "i60"))
         self.assertLessEqual(coordinators.count * 4, 56 * 0.9)
 
-    def test_a_few_gather_for_many_although_there_are_connections(self):
-        """Searches fail in a middling deployment that was given more room.
+    def test_few_coordinators_even_if_connections_suffice(self):
+        """Guards against failing searches in a medium deployment with a high limit.
 
-        Servers accept two connections of each of thirty instances. Each meets
-        a server once in seconds; its connections are closed for idleness, and
-        nearly every sub-request opens one.
+        Servers accept two connections from each of thirty instances. Each instance
+        sends to a server once in several seconds; its idle connections are closed,
+        and nearly every sub-request opens a new one.
         """
         listed = instances(31)
         coordinators = Coordinators(listed[0])
@@ -61,13 +61,13 @@
         self.assertTrue(coordinators.uses_coordinators)
         self.assertEqual(len(coordinators.of_zone("z0")), 2)
 
-    def test_more_gather_where_there_are_more_instances(self):
+    def test_more_instances_have_more_coordinators(self):
         listed = instances(400)
         coordinators = Coordinators(listed[0])
         coordinators.update(listed, table(300))
         self.assertEqual(len(coordinators.of_zone("z0")), 5)
 
-    def test_every_instance_works_out_the_same(self):
+    def test_every_instance_selects_the_same_coordinators(self):
         listed = instances(68)
         found = set()
         for own in listed:
--- a/ibisfront/tests/test_gateway_delegation.py
+++ b/ibisfront/tests/test_gateway_delegation.py
@@ -236,7 +236,7 @@
         zones = TwoZones(route(minimum=0.9), delegates=True)
         async with zones.running():
             await zones.ask("z0")
-            zones.cut("z0")
+            zones.partition("z0")
             for _ in range(8):
                 await zones.ask("z0")
                 await trio.sleep(0.1)
--- a/ibisfront/tests/test_gateway_evacuations.py
+++ b/ibisfront/tests/test_gateway_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance does about an evacuated zone, in mock time."""
+"""Tests of an instance's handling of evacuated zones, in mock time."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class EvacuatedZoneTest(unittest.TestCase):
-    """Requests while the servers of a zone must get nothing."""
+    """Requests while the servers of a zone must not get any."""
 
     @trio_test
-    async def test_nothing_is_sent_where_all_servers_are_evacuated(self):
-        """Guards against an evacuated zone that is asked for want of another."""
+    async def test_nothing_is_sent_if_all_servers_are_evacuated(self):
+        """Guards against requests to an evacuated zone for lack of another one."""
         for route, path in (
             (forward_route(), "/fetch/a"),
             (gather_route(2), "/search"),
@@ -43,7 +43,7 @@
 
     @trio_test
     async def test_request_that_waits_for_a_connection_is_not_sent_later(self):
-        """Guards against a queue that reaches an evacuated zone seconds later."""
+        """Guards against queued requests sent to an evacuated zone seconds later."""
         fixture = GatewayFixture(forward_route(timeout_ms=5000.0), servers=1)
         async with fixture.running(), trio.open_nursery() as nursery:
             for server in fixture.all_servers():
@@ -58,8 +58,8 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_server_listed_meanwhile_gets_nothing(self):
-        """Guards against new servers of an evacuated zone."""
+    async def test_server_listed_during_an_evacuation_gets_nothing(self):
+        """Guards against requests to new servers of an evacuated zone."""
         registry = ServerRegistry(
             clock=Clock(), make_pool=lambda server: None, zone="z0"
         )
@@ -70,8 +70,8 @@
         self.assertTrue(released.is_usable)
 
     @trio_test
-    async def test_servers_come_back_one_by_one_and_count_as_cold(self):
-        """Guards against a zone's cold servers that get all work at once."""
+    async def test_servers_return_gradually_and_count_as_cold(self):
+        """Guards against a zone's cold servers that all get full load at once."""
         clock = Clock()
         registry = ServerRegistry(clock=clock, make_pool=lambda server: None, zone="z0")
         for number in range(40):
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -1,4 +1,4 @@
-"""Tests of registering an instance and keeping up with the others."""
+"""Tests of registering an instance and polling the list of instances."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeDirectory:
-    """The list of instances, without a store."""
+    """A directory of instances without a store."""
 
     def __init__(self, *entries):
         self.entries = list(entries)
@@ -39,8 +39,8 @@
             raise StoreError(StoreErrorKind.UNREACHABLE, "away")
 
 
-class KeepInstancesTest(unittest.TestCase):
-    """What an instance reads and writes."""
+class SyncInstancesTest(unittest.TestCase):
+    """Reads and writes of the list by an instance."""
 
     def setUp(self):
         self.listed = []
@@ -67,7 +67,7 @@
             await self.sync(directory, **options)
 
     @trio_test
-    async def test_first_start_lists_once_the_others_are_there(self):
+    async def test_first_start_reads_the_list_after_the_others_register(self):
         directory = FakeDirectory(OTHER)
         await self.run_for(0.9, directory, is_first_start=True)
         self.assertEqual((directory.writes, directory.reads), (1, 1))
@@ -88,11 +88,11 @@
         self.assertIn(OWN, self.listed[-1])
 
     @trio_test
-    async def test_store_that_is_away_does_not_hold_up_the_start(self):
-        """An instance serves nothing although the others know everything.
+    async def test_unavailable_store_does_not_delay_the_start(self):
+        """Guards against an instance that cannot serve until the store is available.
 
-        The store turns it away at its first start. It must go on to ask the
-        others, and register as soon as the store serves it.
+        The store rejects it at its first start. It must go on to get its state from
+        other instances, and register as soon as the store accepts requests.
         """
         directory = FakeDirectory(OTHER)
         directory.is_unavailable = True
@@ -103,7 +103,7 @@
         self.assertEqual(directory.writes, 1)
 
     @trio_test
-    async def test_list_is_read_once_where_another_passes_it_on(self):
+    async def test_list_is_read_once_if_another_instance_forwards_it(self):
         self.is_needed = False
         directory = FakeDirectory(OTHER, OWN)
         await self.run_for(30.0, directory)
--- a/ibisfront/tests/test_gateway_pool.py
+++ b/ibisfront/tests/test_gateway_pool.py
@@ -12,11 +12,11 @@
 
 
 class ReadyConnectionTest(unittest.TestCase):
-    """Queries that come while others wait for their parts."""
+    """Queries that arrive while others wait for their parts."""
 
     @trio_test
     async def test_second_query_does_not_wait_for_connections(self):
-        """Guards against queries that open a connection for each of their parts."""
+        """Guards against a query that has to open a connection for each part."""
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running(), trio.open_nursery() as nursery:
             await fixture.ask()
@@ -29,8 +29,8 @@
         self.assertEqual((opened, sent), (12, 24))
 
     @trio_test
-    async def test_server_that_is_asked_rarely_keeps_one_connection(self):
-        """Guards against connections of many instances that nobody uses."""
+    async def test_server_with_few_requests_keeps_one_connection(self):
+        """Guards against unused connections of many instances."""
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running():
             for _ in range(3):
@@ -40,12 +40,12 @@
 
 
 class LargeReplyTest(unittest.TestCase):
-    """Replies that nobody waits for any more, on their way from another zone."""
+    """Abandoned replies in transit from another zone."""
 
     async def _hedge(self, size_bytes):
-        """Return what the other zone's server saw after it lost against the near one.
+        """Hedge a request in another zone; return what the losing server saw.
 
-        That is how many requests were cut, and how many connections were opened.
+        That is the number of cancelled requests and of opened connections.
         """
         fixture = GatewayFixture(gather_route(1), latency_ms=10.0)
         near, far = fixture.servers["part-0"]
@@ -61,11 +61,11 @@
             return far.cancelled, far.opened
 
     @trio_test
-    async def test_large_reply_is_stopped_and_its_connection_replaced(self):
-        """Guards against bytes between zones that are of use to nobody."""
+    async def test_large_reply_is_cancelled_and_its_connection_replaced(self):
+        """Guards against transferring unused bytes between zones."""
         self.assertEqual(await self._hedge(1_000), (1, 2))
 
     @trio_test
-    async def test_small_reply_is_let_come(self):
-        """Guards against connections that cost more bytes than they save."""
+    async def test_small_reply_is_read(self):
+        """Guards against replacing a connection at a cost above the bytes saved."""
         self.assertEqual(await self._hedge(96), (0, 1))
--- a/ibisfront/tests/test_gateway_server_event_log.py
+++ b/ibisfront/tests/test_gateway_server_event_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log lines about many servers."""
+"""Tests of log lines that cover many servers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ServerEventLogTest(unittest.TestCase):
-    """What an operator reads when hundreds of servers come and go."""
+    """Log lines when hundreds of servers start and leave."""
 
     @trio_test
-    async def test_many_servers_have_one_line_a_kind(self):
-        """The line of a failed request is missing from the log.
+    async def test_many_servers_share_one_line_per_event(self):
+        """Guards against missing log lines of failed requests.
 
-        A repartition brought hundreds of servers, each with a line of its own at
-        every instance, which used up the lines that may be written.
+        A repartition adds hundreds of servers; a line for each at every instance would
+        use up the log budget.
         """
         event_log = ServerEventLog(Clock())
         for number in range(300):
@@ -33,7 +33,7 @@
         self.assertIn("i-7 of s", failed.getMessage())
 
     @trio_test
-    async def test_nothing_new_has_no_line(self):
+    async def test_flush_without_events_logs_nothing(self):
         event_log = ServerEventLog(Clock())
         event_log.record("Listed", "i-1", "s")
         with self.assertLogs("ibisfront", "INFO"):
--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the list of backend servers and of their health, in mock time."""
+"""Tests of the registry of backend servers and of their health, in mock time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def registry_of(*names):
-    """Return a registry with some servers."""
+    """Return a registry that contains the named servers."""
     registry = ServerRegistry(clock=Clock(), make_pool=lambda server: None, zone="z0")
     for name in names:
         registry.put(entry(name))
@@ -35,7 +35,7 @@
 
 
 def listed(registry):
-    """Return the names of the servers of ``s`` that may be asked."""
+    """Return the ids of the usable servers of ``s``."""
     return {
         server.entry.server_id
         for server in registry.of_service("s")
@@ -44,22 +44,22 @@
 
 
 class ServerRegistryTest(unittest.TestCase):
-    """Who may be asked."""
+    """Which servers may be sent requests."""
 
     @trio_test
-    async def test_draining_and_removed_servers_are_left_at_once(self):
+    async def test_draining_and_removed_servers_are_unusable_immediately(self):
         registry = registry_of("a", "b", "c")
         registry.put(entry("a", is_draining=True))
         registry.remove("b")
         self.assertEqual(listed(registry), {"c"})
 
     @trio_test
-    async def test_servers_that_lapsed_with_the_store_stay_until_they_are_back(self):
-        """All searches fail for seconds after the store was away.
+    async def test_stale_servers_are_kept_for_a_grace_period_after_an_outage(self):
+        """Guards against searches that all fail for seconds after a store outage.
 
-        Servers could not renew their entries meanwhile, and the first list
-        holds only some of them. Those that come back within two seconds must
-        not be missed; one that does not has gone.
+        Servers could not renew their entries during the outage, and the first list
+        contains only some of them. Those renewed within two seconds must be kept;
+        the others are gone.
         """
         registry = registry_of("a", "b", "c")
         registry.replace([entry("a")], after_outage=True)
@@ -73,12 +73,12 @@
         self.assertEqual(listed(registry), {"a", "b"})
 
     @trio_test
-    async def test_lapsed_server_is_asked_only_where_there_is_no_other(self):
-        """A server that is leaving gets half of the requests of its service.
+    async def test_stale_server_is_used_only_if_there_is_no_other(self):
+        """Guards against a leaving server that gets half of its service's requests.
 
-        Its entry was removed while the store was away for this instance, which
-        keeps it for a while in case it has only lapsed. The other server of the
-        service is listed and could take all of them.
+        Its entry was removed while the store was unavailable to this instance, which
+        keeps it for a grace period in case it was only not renewed. The other server of
+        the service is listed and could serve all requests.
         """
         registry = registry_of("a", "b")
         registry.replace([entry("b")], after_outage=True)
@@ -95,13 +95,13 @@
         self.assertEqual(chosen.entry.server_id, "a")
 
     @trio_test
-    async def test_list_of_a_store_that_was_well_is_believed_at_once(self):
+    async def test_list_of_an_available_store_is_applied_immediately(self):
         registry = registry_of("a", "b")
         registry.replace([entry("b")], after_outage=False)
         self.assertEqual(listed(registry), {"b"})
 
     @trio_test
-    async def test_other_server_at_the_address_is_another_server(self):
+    async def test_entry_with_another_address_is_a_new_server(self):
         registry = registry_of("a")
         before = registry.of_service("s")[0]
         registry.put(entry("a", address="elsewhere:80"))
@@ -110,18 +110,18 @@
 
 
 class IncarnationTest(unittest.TestCase):
-    """A server that starts again under its id is another server.
+    """A server that restarts under its id is a new incarnation.
 
-    The health, the connections and the requests of the one that died must not
-    be taken for those of the one that lives.
+    The health, the connections and the requests of the previous incarnation must not
+    be attributed to it.
     """
 
     @trio_test
-    async def test_reborn_server_starts_from_nothing(self):
-        """A server that is back gets no requests for seconds.
+    async def test_restarted_server_has_no_history(self):
+        """Guards against a restarted server that gets no requests for seconds.
 
-        It was silent and refused connections before it died; all that was
-        held against it is held against the new one at the same address.
+        It was silent and refused connections before it died, and the new one at the
+        same address inherits its backoff.
         """
         registry = registry_of("a")
         before = registry.of_service("s")[0]
@@ -137,11 +137,11 @@
         self.assertEqual(len(registry.of_service("s")), 1)
 
     @trio_test
-    async def test_requests_of_the_dead_one_end_as_perhaps_run(self):
-        """Searches wait until their deadline for a server that was reborn.
+    async def test_requests_of_the_previous_incarnation_end_as_possibly_run(self):
+        """Guards against searches that wait in vain for a restarted server.
 
-        It crashed behind a cut, so that no reset came; the connections to the
-        dead one stay open and silent.
+        It crashed behind a partition, so that no reset arrived; the connections to the
+        dead process stay open and silent.
         """
         pools = []
 
@@ -158,10 +158,10 @@
 
     @trio_test
     async def test_older_incarnation_never_replaces_a_newer_one(self):
-        """A server that lives is left alone, and a dead one asked, for seconds.
+        """Guards against requests to a dead incarnation instead of the running one.
 
-        An entry from before the restart comes late: by a stale read, or from
-        an instance that is behind. That holds after the newer one has left.
+        An entry from before the restart arrives late: by a stale read, or from an
+        instance that lags behind. It must be ignored after the newer one has left, too.
         """
         registry = registry_of()
         registry.put(entry("a", born_ms=2_000))
@@ -180,11 +180,11 @@
         self.assertEqual(listed(registry), {"a"})
 
     @trio_test
-    async def test_start_of_a_listed_server_is_never_forgotten(self):
-        """A server that lives is replaced by the one that is dead, at full size.
+    async def test_start_of_a_listed_server_is_always_kept(self):
+        """Guards against a running server replaced by its dead incarnation.
 
-        So many others came and went that what is remembered of those that are
-        gone was dropped; that must not touch what is listed.
+        Start times of removed servers are dropped beyond a limit, which a large
+        deployment reaches; that must not affect listed servers.
         """
         registry = registry_of()
         registry.put(entry("a", born_ms=2_000))
@@ -195,18 +195,18 @@
         self.assertEqual(listed(registry), {"a"})
 
     @trio_test
-    async def test_server_that_had_lost_its_address_may_be_reborn(self):
+    async def test_server_replaced_at_its_address_may_restart(self):
         registry = registry_of("a")
         registry.of_service("s")[0].is_removed = True
         registry.put(entry("a", born_ms=2_000))
         self.assertEqual(listed(registry), {"a"})
 
     @trio_test
-    async def test_id_that_moves_to_another_service_leaves_the_first(self):
-        """Searches over one service get parts of another.
+    async def test_id_that_moves_to_another_service_leaves_the_previous_one(self):
+        """Guards against searches over one service that get parts of another.
 
-        An id is written again with another service; it must not stay listed
-        under the one that it had.
+        An id is written again with another service; it must not stay listed under the
+        previous one.
         """
         registry = registry_of("a")
         registry.put(entry("a", service="t"))
@@ -214,11 +214,11 @@
         self.assertEqual(len(registry.of_service("t")), 1)
 
     @trio_test
-    async def test_unreadable_entry_names_no_server_also_after_an_outage(self):
-        """An odd entry is asked for seconds after an outage of the store.
+    async def test_unreadable_entry_removes_its_server_even_after_an_outage(self):
+        """Guards against requests to an invalid entry for seconds after a store outage.
 
-        What is missing from the first list may only have lapsed, and stays; an
-        entry that is there and cannot be read has not lapsed.
+        A server missing from the first list may only not have renewed its entry, and is
+        kept; an entry that exists but cannot be decoded has not expired.
         """
         registry = registry_of("a", "b")
         registry.replace([], after_outage=True, unreadable=["b"])
@@ -226,7 +226,7 @@
 
 
 class FakePool:
-    """Connections that note how they were ended."""
+    """A test double that records how its connections were closed."""
 
     def __init__(self):
         self.ends = []
@@ -239,12 +239,12 @@
 
 
 class ServerHealthTest(unittest.TestCase):
-    """What a server's replies say of it."""
+    """Health derived from a server's replies."""
 
     def server(self, **changes):
         return Server(entry("a", **changes), now_ms=0.0, is_near=True)
 
-    def test_slow_server_costs_more_and_is_tried_again_in_time(self):
+    def test_slow_server_costs_more_until_its_slowness_decays(self):
         server = self.server()
         for number in range(20):
             server.record_reply(number * 10.0, took_ms=100.0, baseline_ms=10.0)
@@ -253,11 +253,11 @@
         self.assertGreater(slow, 3.0)
         self.assertLess(later, 1.1)
 
-    def test_server_whose_work_is_always_stopped_stays_slow(self):
-        """Searches are late every few seconds while a server is slow.
+    def test_server_whose_work_is_always_cancelled_stays_slow(self):
+        """Guards against searches that are late every few seconds.
 
-        Another server answers for the slow one each time, and its work is
-        stopped. No reply of it is ever measured again; it must not seem
+        Another server answers in place of the slow one each time, and the slow one's
+        work is cancelled. None of its replies is measured again; it must not seem
         healthy because of that.
         """
         server = self.server()
@@ -265,8 +265,8 @@
             server.record_cancelled(number * 500.0, waited_ms=40.0, baseline_ms=10.0)
         self.assertGreater(server_cost(server, 20_000.0, 10.0), 1.7)
 
-    def test_disturbed_machine_is_avoided_while_that_is_fresh(self):
-        """Guards against first choices of servers that say they are slow now."""
+    def test_server_with_a_recently_reported_slowdown_is_avoided(self):
+        """Guards against primary attempts at servers that currently report slowness."""
         server = self.server()
         server.record_load(0.0, ServerLoad(1, 0, 2, 4.0))
         self.assertGreater(server_cost(server, 10.0, 10.0), 3.0)
@@ -281,12 +281,11 @@
         server.record_reply(10.0, took_ms=500.0, baseline_ms=10.0)
         self.assertLess(server.slowness(10.0), 2.0)
 
-    def test_reset_connections_do_not_put_a_server_out_of_reach(self):
-        """An instance refuses every search although all servers are there.
+    def test_reset_connections_do_not_make_a_server_unreachable(self):
+        """Guards against refusing every search although all servers are reachable.
 
-        Servers reset connections beyond those that they accept. That says
-        nothing of whether they can be reached; a connection that cannot be
-        opened does.
+        Servers reset connections beyond their limit. That does not show that they are
+        unreachable; a connection that cannot be opened does.
         """
         server = self.server()
         for number in range(5):
@@ -297,7 +296,7 @@
         server.record_connected(7.0)
         self.assertTrue(server.is_reachable(7.0))
 
-    def test_other_zone_and_cold_start_cost_more(self):
+    def test_remote_zone_and_cold_start_cost_more(self):
         near = self.server()
         far = Server(entry("a"), now_ms=0.0, is_near=False)
         cold = self.server(warm_up_left_ms=3000.0)
@@ -309,17 +308,17 @@
 
 
 class BaselineLatencyTest(unittest.TestCase):
-    """The baseline latency, and when one is late."""
+    """The baseline latency, and the latency beyond which a reply is late."""
 
-    def test_many_slow_servers_do_not_put_off_hedged_requests(self):
+    def test_many_slow_servers_do_not_delay_hedged_requests(self):
         baseline = BaselineLatency(10.0)
         for number in range(256):
             baseline.record_ms(100.0 if number % 4 == 0 else 10.0)
         self.assertEqual(baseline.median_ms, 10.0)
         self.assertLessEqual(baseline.late_ms, 25.0)
 
-    def test_told_queues_go_before_the_latency(self):
-        """Guards against work cut off, and hedged late, beside idle servers."""
+    def test_reported_queues_take_precedence_over_the_latency(self):
+        """Guards against cancelled work and late hedging while servers are idle."""
         baseline = BaselineLatency(10.0)
         baseline.median_ms, baseline.calm_ms = 20.0, 10.0
         self.assertTrue(baseline.is_loaded)
@@ -332,7 +331,7 @@
             baseline.record_load(ServerLoad(1, 0, 2))
         self.assertFalse(baseline.is_loaded)
 
-    def test_queues_show_against_the_calm_latency(self):
+    def test_queueing_raises_the_latency_above_the_calm_latency(self):
         baseline = BaselineLatency(10.0)
         for _ in range(256):
             baseline.record_ms(10.0)
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -105,7 +105,7 @@
         for instance in zone.instances:
             instance.state_sync._seeds = ("i1", "i1", "i1")
             instance.is_rejected = zone.store_refuses = True
-        zone.start(nursery, is_listed=False, but=zone.instances[1])
+        zone.start(nursery, is_listed=False, exclude=zone.instances[1])
         await trio.sleep(0.1)
         for instance in zone.instances:
             instance.is_rejected = zone.store_refuses = False
@@ -168,9 +168,9 @@
     async def test_one_instance_of_a_zone_watches(self, zone, nursery):
         zone.start(nursery)
         await trio.sleep(8.0)
-        zone.take_calls()
+        zone.pop_calls()
         await trio.sleep(10.0)
-        self.assertLess(zone.take_calls(), 25)
+        self.assertLess(zone.pop_calls(), 25)
         self.assertEqual({item.version for item in zone.instances}, {1})
 
     @in_zone
@@ -249,7 +249,7 @@
         """Guards against callers refused until a lost source's silence shows."""
         lost = zone.instances[0]
         lost.is_down = True
-        zone.start(nursery, but=lost)
+        zone.start(nursery, exclude=lost)
         self.assertLess(await self.heard_after_s(zone, 1), 0.5)
         await trio.sleep(10.0)
         watching = [item for item in zone.instances if item.state_sync.is_fresh]
@@ -304,16 +304,16 @@
         await trio.sleep(8.0)
         for instance in zone.instances:
             instance.is_rejected = True
-        zone.take_calls()
+        zone.pop_calls()
         await trio.sleep(10.0)
-        self.assertLess(zone.take_calls() / len(zone.instances) / 10.0, 3.0)
+        self.assertLess(zone.pop_calls() / len(zone.instances) / 10.0, 3.0)
         zone.store_refuses = True
         for instance in zone.instances:
             instance.is_rejected = False
         await trio.sleep(5.0)
-        zone.take_calls()
+        zone.pop_calls()
         await trio.sleep(20.0)
-        self.assertLess(zone.take_calls() / len(zone.instances) / 20.0, 2.5)
+        self.assertLess(zone.pop_calls() / len(zone.instances) / 20.0, 2.5)
         zone.store_refuses = False
         zone.put(7)
         await trio.sleep(2.5)
@@ -333,7 +333,7 @@
             instance.move_to(f"z{number % 3}")
         zone.start(nursery)
         await trio.sleep(8.0)
-        zone.take_calls()
+        zone.pop_calls()
         zone.store_refuses = True
         zone.put(2)
         await trio.sleep(5.0)
@@ -352,12 +352,12 @@
         lose it, look for another source, and fetch the whole state again.
         """
         zone.instances[0].is_down = True
-        zone.start(nursery, but=zone.instances[0])
+        zone.start(nursery, exclude=zone.instances[0])
         await trio.sleep(20.0)
-        zone.take_calls()
-        zone.bytes_passed_on = 0
+        zone.pop_calls()
+        zone.bytes_sent = 0
         await trio.sleep(30.0)
-        self.assertLess(zone.bytes_passed_on, 100_000)
+        self.assertLess(zone.bytes_sent, 100_000)
         self.assertEqual(sum(item.calls > 0 for item in zone.instances), 1)
 
     @in_zone
@@ -394,9 +394,9 @@
         for instance in zone.instances:
             instance.is_rejected = True
         await trio.sleep(5.0)
-        zone.bytes_passed_on = 0
+        zone.bytes_sent = 0
         await trio.sleep(10.0)
-        self.assertLess(zone.bytes_passed_on, 100_000)
+        self.assertLess(zone.bytes_sent, 100_000)
 
     @in_zone
     async def test_following_goes_back_to_one_after_an_outage(self, zone, nursery):
@@ -408,9 +408,9 @@
         for instance in zone.instances:
             instance.is_rejected = False
         await trio.sleep(20.0)
-        zone.take_calls()
+        zone.pop_calls()
         await trio.sleep(10.0)
-        self.assertLess(zone.take_calls(), 25)
+        self.assertLess(zone.pop_calls(), 25)
 
     @in_zone
     async def test_start_without_the_store_asks_a_seed(self, zone, nursery):
@@ -437,7 +437,7 @@
         told lets it serve at once; it must go on to look for the store.
         """
         late = zone.instances[-1]
-        zone.start(nursery, is_listed=False, but=late)
+        zone.start(nursery, is_listed=False, exclude=late)
         await trio.sleep(3.0)
         late.is_rejected = True
         late.state_sync.record_listed()
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed of other zones, and of what follows, in mock time."""
+"""Tests of partition detection between zones and its effects, in mock time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def path_with_requests(endpoints, *, late_ms=30.0):
-    """Return a path on which some endpoints were asked at time 0."""
+    """Return a path with a request to each of some endpoints at time 0."""
     path = ZonePath("z1")
     for number in range(endpoints):
         path.record_request(f"e{number}", 0.0, late_ms=late_ms)
@@ -34,9 +34,9 @@
 
 
 class ZonePathTest(unittest.TestCase):
-    """When a path is believed to be cut."""
+    """When a path counts as partitioned."""
 
-    def test_silence_and_failed_probes_together_make_a_cut(self):
+    def test_silence_and_failed_probes_together_show_a_partition(self):
         path = path_with_requests(3)
         self.assertIsNone(path.evaluate(44.0))
         self.assertEqual(path.evaluate(45.0), PathAction.PROBE)
@@ -46,11 +46,11 @@
         self.assertEqual(path.evaluate(105.0), PathAction.PARTITIONED)
         self.assertTrue(path.is_partitioned)
 
-    def test_few_silent_servers_are_no_suspicion(self):
+    def test_few_silent_servers_do_not_make_a_path_suspect(self):
         path = path_with_requests(2)
         self.assertIsNone(path.evaluate(10_000.0))
 
-    def test_any_sign_of_life_ends_the_suspicion(self):
+    def test_any_sign_of_life_clears_the_suspicion(self):
         path = path_with_requests(5)
         self.assertEqual(path.evaluate(50.0), PathAction.PROBE)
         path.record_probes(3, 50.0)
@@ -58,34 +58,34 @@
         self.assertIsNone(path.evaluate(200.0))
         self.assertFalse(path.is_partitioned)
 
-    def test_long_work_is_given_its_time(self):
+    def test_expected_latency_delays_the_suspicion(self):
         path = path_with_requests(5, late_ms=400.0)
         self.assertIsNone(path.evaluate(590.0))
         self.assertEqual(path.evaluate(600.0), PathAction.PROBE)
 
-    def test_nothing_is_decided_before_a_probe_was_sent(self):
+    def test_no_partition_before_a_probe_was_sent(self):
         path = path_with_requests(3)
         path.evaluate(50.0)
         path.record_probes(0, 50.0)
         self.assertEqual(path.evaluate(500.0), PathAction.PROBE)
         self.assertFalse(path.is_partitioned)
 
-    def test_process_that_did_not_run_gives_more_time(self):
-        """A zone is taken for cut though its replies lie unread here.
+    def test_deadlines_are_extended_if_the_process_did_not_run(self):
+        """Guards against a false partition while replies are unread in this process.
 
-        A small instance may be kept from running for most of a tenth of a
-        second; nobody can show life to it meanwhile.
+        CPU throttling may stop a small instance for most of 100 ms, in which it cannot
+        observe any sign of life.
         """
         path = path_with_requests(3)
         path.extend_deadlines(80.0)
         self.assertIsNone(path.evaluate(120.0))
         self.assertEqual(path.evaluate(125.0), PathAction.PROBE)
 
-    def test_zone_is_probed_on_a_sign_from_elsewhere(self):
-        """Each query of an instance that is cut off waits for another zone.
+    def test_zone_is_probed_on_other_evidence(self):
+        """Guards against a partitioned instance whose queries all wait for other zones.
 
-        It asks no servers itself and has its queries gathered elsewhere, one at a
-        time: three overdue replies never come together.
+        It delegates its queries one at a time and sends none to servers itself, so
+        three replies are never overdue together.
         """
         path = ZonePath("z1")
         path.mark_suspect()
@@ -96,7 +96,7 @@
         path.mark_suspect()
         self.assertTrue(path.is_partitioned)
 
-    def test_sound_zone_that_is_suspected_stays_open(self):
+    def test_suspected_healthy_zone_stays_open(self):
         path = ZonePath("z1")
         path.mark_suspect()
         path.evaluate(0.0)
@@ -105,7 +105,7 @@
         self.assertIsNone(path.evaluate(60.0))
         self.assertFalse(path.is_partitioned)
 
-    def test_cut_stays_until_life_is_shown_and_is_probed_meanwhile(self):
+    def test_partition_is_probed_and_lasts_until_a_sign_of_life(self):
         path = path_with_requests(3)
         path.evaluate(50.0)
         path.record_probes(3, 50.0)
@@ -120,14 +120,14 @@
 
 
 class ZonePathMonitorTest(unittest.TestCase):
-    """What is done about the paths."""
+    """Actions of the monitor."""
 
     @trio_test
-    async def test_cut_of_one_zone_has_all_others_probed(self):
-        """A zone that is cut off finds that out zone by zone, for half a second.
+    async def test_partition_of_one_zone_probes_all_others(self):
+        """Guards against a partition detected zone by zone, over half a second.
 
-        Its instances send the queries of their callers to one silent zone after the
-        other, and stay in rotation meanwhile.
+        Instances of the partitioned zone would delegate queries to one silent zone
+        after another, and stay in rotation meanwhile.
         """
         clock = Clock()
         paths = ZonePaths("z0")
@@ -173,9 +173,9 @@
 
 
 class RotationTest(unittest.TestCase):
-    """When refused callers are told to come back."""
+    """When refused callers should retry."""
 
-    def test_callers_come_back_when_the_balancer_has_moved(self):
+    def test_wait_lasts_until_the_balancer_has_reacted(self):
         rotation = Rotation()
         rotation.record(is_ready=False, now_ms=1_000.0)
         rotation.record(is_ready=False, now_ms=1_500.0)
@@ -184,7 +184,7 @@
         self.assertGreaterEqual(rotation.wait_ms(3_100.0), 100.0)
         self.assertLess(rotation.wait_ms(3_201.0), 50.0)
 
-    def test_second_cut_is_counted_from_its_own_start(self):
+    def test_wait_restarts_with_a_second_partition(self):
         rotation = Rotation()
         rotation.record(is_ready=False, now_ms=1_000.0)
         rotation.record(is_ready=True, now_ms=5_000.0)
@@ -217,10 +217,10 @@
 
 
 class ZonePartitionTest(unittest.TestCase):
-    """Queries of an instance whose zone is cut off."""
+    """Queries of an instance whose zone is partitioned."""
 
     async def _load(self, fixture, nursery, replies):
-        """Ask every 30 ms and note when each answer came, and what it was."""
+        """Send a query every 30 ms; record the times and the reply of each."""
 
         async def ask():
             sent_ms = fixture.clock.now_ms()
@@ -232,7 +232,7 @@
             await trio.sleep(0.03)
 
     async def _run_partition(self, fixture):
-        """Cut the zone for two seconds under load; return what was seen."""
+        """Partition the zone for two seconds under load; return what was observed."""
         replies, readiness = [], []
         async with fixture.running() as gateway, trio.open_nursery() as nursery:
             nursery.start_soon(self._load, fixture, nursery, replies)
@@ -245,24 +245,23 @@
             fixture.heal()
             healed_ms = fixture.clock.now_ms()
             await trio.sleep(0.4)
-            is_back = gateway.tell_readiness()
+            is_ready_again = gateway.tell_readiness()
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
         during = [item for item in replies if partitioned_ms <= item[0] < healed_ms]
         after = [item for item in replies if item[0] >= healed_ms + 400.0]
-        return readiness, during, is_back, after
+        return readiness, during, is_ready_again, after
 
     @trio_test
-    async def test_instance_knows_its_zone_is_cut_off_and_stays_out(self):
-        """A whole zone's callers are refused, kept waiting and failed by turns.
-
-        The path to the other zones is cut. Each server is found silent by
-        itself; once all are, nothing is under way, and they seem reachable
-        again. The instance goes in and out of rotation until the cut heals.
-        With one belief for the zone it was out of rotation after 175 ms and no
-        query took over 130 ms; without, after 525 ms and 1,985 ms.
+    async def test_partitioned_instance_leaves_rotation_until_the_path_recovers(self):
+        """Guards against readiness that alternates during a partition.
+
+        If each server is detected on its own, none has a request in flight once all
+        are, and all seem reachable again: callers are refused, delayed and failed in
+        turn. With state for the whole zone, the instance left rotation after 175 ms
+        and no query took over 130 ms; without, after 525 ms and 1,985 ms.
         """
-        readiness, during, is_back, after = await self._run_partition(
+        readiness, during, is_ready_again, after = await self._run_partition(
             PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         )
         ready = [is_ready for _, is_ready in readiness]
@@ -272,25 +271,25 @@
         self.assertLess(longest_ms, 300.0)
         late = [reply for sent_ms, _, reply in during[10:] if reply.status != 503]
         self.assertEqual(late, [])
-        self.assertTrue(is_back)
+        self.assertTrue(is_ready_again)
         self.assertEqual({reply.status for _, _, reply in after}, {200})
 
     @trio_test
-    async def test_those_that_follow_are_told_of_a_cut_and_of_its_end(self):
+    async def test_start_and_end_of_a_partition_are_reported(self):
         fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         await self._run_partition(fixture)
         self.assertEqual(fixture.zone_changes, 2)
 
     @trio_test
-    async def test_refused_callers_are_told_when_to_come_back(self):
-        """Callers of a cut zone come back at once, into the same zone.
+    async def test_refused_callers_get_a_retry_time(self):
+        """Guards against callers that retry at once, in the same partitioned zone.
 
-        They have one more try. The balancer takes two seconds to send them
-        elsewhere, so that nearly all of them fail.
+        They have a single retry. The balancer takes two seconds to send them to
+        another zone, so nearly all of them would fail.
         """
         fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         readiness, during, _, _ = await self._run_partition(fixture)
-        # It went out of rotation after the last look at which it was ready.
+        # It left rotation after the last poll at which it was ready.
         last_ready_ms = max(at_ms for at_ms, is_ready in readiness if is_ready)
         refused = [item for item in during if item[0] > last_ready_ms + 25.0]
         self.assertGreater(len(refused), 50)
@@ -299,11 +298,11 @@
             self.assertGreaterEqual(sent_ms + wait_ms, last_ready_ms + 2_199.9)
 
     @trio_test
-    async def test_servers_that_only_pause_do_not_cut_a_zone(self):
-        """A sound zone is given up because its servers collect garbage at once.
+    async def test_paused_servers_do_not_show_a_partition(self):
+        """Guards against abandoning a healthy zone while its servers collect garbage.
 
-        None replies for 400 ms. New connections to them open as ever, until all
-        that are allowed wait for a reply and none is left for a probe either.
+        None replies for 400 ms. New connections still open, until all allowed ones wait
+        for a reply and none is left for a probe.
         """
         fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         ready = []
@@ -317,15 +316,15 @@
                 await trio.sleep(0.025)
             nursery.cancel_scope.cancel()
         self.assertEqual(set(ready), {True})
-        # A cut that the next probe ends lasts less than two looks.
+        # A partition that the next probe ends lasts less than two polls.
         self.assertEqual(fixture.zone_changes, 0)
 
     @trio_test
     async def test_reply_to_non_idempotent_work_is_waited_for(self):
-        """An envelope that was printed is reported as failed.
+        """Guards against reporting a printed envelope as failed.
 
-        The path to the server is cut and heals within the caller's time. The
-        reply is on its way; ending the request at the cut would lose it.
+        The path to the server is partitioned and recovers before the caller's deadline.
+        The reply is in transit; failing the request at the partition would lose it.
         """
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
         fixture = PartitionedZoneFixture(gather_route(21), route)
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -1,4 +1,4 @@
-"""Instances of one zone that follow each other or the store, in mock time."""
+"""Instances of one zone that subscribe to each other or the store, in mock time."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 CALL_TIMEOUT_S = 1.2
 CONNECT_TIMEOUT_S = 0.7
 WATCH_SLACK_S = 0.6
-"""How long the clients wait for a silent store or machine."""
+"""Client timeouts for a silent store or machine."""
 
 
 class Instance:
-    """One instance of a zone, with a store that may turn it away."""
+    """One instance of a zone, with a store that may reject it."""
 
     def __init__(self, zone, number):
         self.zone = zone
@@ -36,7 +36,7 @@
         self.version = 0
         self.calls = 0
         self.is_rejected = False
-        # The store alone turns it away; else it is cut off from all.
+        # If set, only the store rejects it; otherwise it is partitioned from all.
         self.reaches_servers = False
         self.is_down = False
         self.cut_off_at_s = -1e9
@@ -62,7 +62,7 @@
         )
 
     def move_to(self, zone):
-        """Put it into another zone; before it starts."""
+        """Move it to another zone before it starts."""
         self.entry = InstanceEntry(
             self.entry.name, zone, self.entry.address, self.entry.capacity
         )
@@ -94,7 +94,7 @@
             nursery.start_soon(run, Feed(self), self.target(kind))
 
     def target(self, kind):
-        """Return what takes in a kind, as the front process does."""
+        """Return the watch target of a kind, as in the front process."""
         self.state_sync.away.add(kind)
 
         def replace(listing, after_outage):
@@ -114,7 +114,7 @@
 
 
 class Feed:
-    """One kind in a store that may turn the instance away in silence."""
+    """One kind in a store that may ignore the instance's requests."""
 
     def __init__(self, instance):
         self.instance = instance
@@ -131,7 +131,7 @@
         return Listing([], 1)
 
     async def watch(self, revision):
-        """Wait as a watch does; a silent store shows when it is overdue."""
+        """Wait like a watch; a silent store is detected by the timeout."""
         self.instance.calls += 1
         wait_s = Bounds(change_ms=5000.0).source_watch_wait_ms / 1000.0
         changes = []
@@ -152,18 +152,18 @@
 
 
 class Client:
-    """Asks an instance without a network."""
+    """A client of an instance that uses no network."""
 
     def __init__(self, instance):
         self.instance = instance
 
     async def ask(self, asked, *, timeout_ms):
         if self.instance.is_down:
-            # A machine without power does not even refuse.
+            # A machine without power does not refuse connections.
             await trio.sleep(CONNECT_TIMEOUT_S)
             raise TimeoutError
         data = await self.instance.source.answer(asked)
-        self.instance.zone.bytes_passed_on += len(data)
+        self.instance.zone.bytes_sent += len(data)
         return data
 
     def close(self):
@@ -171,13 +171,13 @@
 
 
 class Zone:
-    """Twenty instances of one zone, or fewer."""
+    """A zone with twenty instances by default."""
 
     def __init__(self, instances=20):
         self.clock = Clock()
         self.version = 1
         self.changed = trio.Event()
-        self.bytes_passed_on = 0
+        self.bytes_sent = 0
         self.store_refuses = False
         self.servers = [
             ServerEntry(f"i{number}", "s", "10.0.0.1:80", "z0") for number in range(300)
@@ -187,9 +187,9 @@
     def client(self, address):
         return Client(next(i for i in self.instances if i.entry.address == address))
 
-    def start(self, nursery, *, is_listed=True, but=None):
+    def start(self, nursery, *, is_listed=True, exclude=None):
         for instance in self.instances:
-            if instance is but:
+            if instance is exclude:
                 continue
             if is_listed:
                 instance.topology.update([item.entry for item in self.instances])
@@ -197,13 +197,13 @@
             nursery.start_soon(instance.state_sync.run)
 
     def put(self, version):
-        """Put a version in force; who watches the store hears of it."""
+        """Write a version to the store and notify its watchers."""
         self.version = version
         self.changed.set()
         self.changed = trio.Event()
 
-    def take_calls(self):
-        """Return how often the store was called since the last time."""
+    def pop_calls(self):
+        """Return the number of store calls since the previous call, and reset it."""
         calls = sum(instance.calls for instance in self.instances)
         for instance in self.instances:
             instance.calls = 0
@@ -211,9 +211,9 @@
 
 
 def in_zone(test, *, instances=20):
-    """Run a test with a zone and a nursery that ends with it."""
+    """Run a test with a zone and a nursery that is cancelled at its end."""
 
-    # Without the name the test runner finds another method of this name.
+    # Without functools.wraps the test runner would see another method name.
     @functools.wraps(test)
     async def run(self):
         async with trio.open_nursery() as nursery:
