--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -184,7 +184,7 @@
             coordinators.update(listed, table)
         return coordinators
 
-    async def ask(self, zone: str) -> CallerReply:
+    async def send_request(self, zone: str) -> CallerReply:
         """Send a caller's query to the instance of a zone."""
         return await self.gateways[zone].answer(self.request("/search/a"))
 
--- a/ibisfront/tests/test_gateway_delegation.py
+++ b/ibisfront/tests/test_gateway_delegation.py
@@ -26,7 +26,7 @@
     async def test_far_parts_are_asked_of_one_instance(self):
         zones = TwoZones(route())
         async with zones.running():
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
             far = zones.received_from("z0", zone="z1")
             handed = zones.delegated
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
@@ -43,9 +43,9 @@
         """
         zones = TwoZones(route(), extra_route=route(30, "shard"))
         async with zones.running():
-            await zones.ask("z0")
+            await zones.send_request("z0")
             zones.put(2, route(30, "shard"))
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         stamps = dict(reply.headers)[b"X-Shard-Stamps"].split(b", ")
         self.assertEqual(len(stamps), 30)
         self.assertTrue(all(stamp.startswith(b"shard") for stamp in stamps))
@@ -61,12 +61,12 @@
         zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0))
         async with zones.running():
             for _ in range(5):
-                await zones.ask("z0")
+                await zones.send_request("z0")
             for service in ("part-1", "part-3", "part-5", "part-7"):
                 zones.slow_down(service, 300.0)
             replies = []
             for _ in range(40):
-                replies.append(await zones.ask("z0"))
+                replies.append(await zones.send_request("z0"))
                 await trio.sleep(0.5)
         self.assertEqual({reply.status for reply in replies}, {200})
 
@@ -79,9 +79,9 @@
         """
         zones = TwoZones(route(), extra_route=route(30, "shard"))
         async with zones.running():
-            await zones.ask("z0")
+            await zones.send_request("z0")
             zones.put(2, route(30, "shard"), only="z0")
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         stamps = dict(reply.headers)[b"X-Shard-Stamps"].split(b", ")
         self.assertEqual(reply.reason, "whole")
         self.assertTrue(all(stamp.startswith(b"shard") for stamp in stamps))
@@ -97,7 +97,7 @@
         zones = TwoZones(route(), delegates=True)
         async with zones.running():
             zones.put(2, route(), only="z0")
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
 
     @trio_test
@@ -110,10 +110,10 @@
         zones = TwoZones(route())
         async with zones.running():
             for _ in range(40):
-                await zones.ask("z0")
+                await zones.send_request("z0")
             zones.frozen = True
             started_ms = zones.clock.now_ms()
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
             took_ms = zones.clock.now_ms() - started_ms
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
         self.assertLess(took_ms, 100.0)
@@ -129,10 +129,10 @@
         zones = TwoZones(route())
         async with zones.running():
             for _ in range(40):
-                await zones.ask("z0")
+                await zones.send_request("z0")
             zones.slow_down("part-0", math.inf)
             before = zones.clock_reads
-            await zones.ask("z0")
+            await zones.send_request("z0")
             reads = zones.clock_reads - before
         self.assertLess(reads, 400)
 
@@ -150,10 +150,10 @@
         zones.set_latency("z1", 30.0)
         async with zones.running():
             for _ in range(40):
-                await zones.ask("z0")
+                await zones.send_request("z0")
             zones.frozen = True
             zones.set_latency("z1", math.inf, copy=0)
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
 
     @trio_test
@@ -168,7 +168,7 @@
         zones = TwoZones(route(minimum=0.9), delegates=True)
         zones.set_latency("z0", 130.0)
         async with zones.running():
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         self.assertEqual((reply.status, zones.delegated), (200, 1))
 
     @trio_test
@@ -181,11 +181,11 @@
         """
         zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), delegates=True)
         async with zones.running():
-            await zones.ask("z0")
+            await zones.send_request("z0")
             await trio.sleep(5.0)
             for service in ("part-0", "part-1", "part-2", "part-3"):
                 zones.slow_down(service, 600.0)
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         self.assertEqual((reply.status, zones.delegated), (200, 2))
 
     @trio_test
@@ -198,12 +198,12 @@
         zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), delegates=True)
         async with zones.running():
             for _ in range(40):
-                await zones.ask("z0")
+                await zones.send_request("z0")
             zones.frozen = True
             started_ms = zones.clock.now_ms()
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
             took_ms = zones.clock.now_ms() - started_ms
-            again = await zones.ask("z0")
+            again = await zones.send_request("z0")
             took_again_ms = zones.clock.now_ms() - started_ms - took_ms
         self.assertEqual((reply.status, again.status), (200, 200))
         # Half of the caller's time; the next query knows.
@@ -219,9 +219,9 @@
         """
         zones = TwoZones(route(timeout_ms=2000.0, attempts=1), delegates=True)
         async with zones.running():
-            await zones.ask("z0")
+            await zones.send_request("z0")
             zones.frozen = True
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
         self.assertEqual((reply.status, reply.closes), (502, True))
         self.assertEqual(zones.delegated, 2)
 
@@ -235,12 +235,12 @@
         """
         zones = TwoZones(route(minimum=0.9), delegates=True)
         async with zones.running():
-            await zones.ask("z0")
+            await zones.send_request("z0")
             zones.partition("z0")
             for _ in range(8):
-                await zones.ask("z0")
+                await zones.send_request("z0")
                 await trio.sleep(0.1)
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
             self.assertEqual((reply.status, reply.reason), (503, "out_of_reach"))
             self.assertTrue(reply.closes)
             self.assertFalse(zones.gateways["z0"].is_ready)
@@ -258,7 +258,7 @@
         zones = TwoZones(route())
         zones.peer_connect_ms = 130.0
         async with zones.running():
-            reply = await zones.ask("z0")
+            reply = await zones.send_request("z0")
             await trio.sleep(2.0)
         self.assertEqual((reply.reason, zones.delegated), ("whole", 0))
 
@@ -267,7 +267,7 @@
         zones = TwoZones(route(), latency_ms=80.0)
         async with zones.running():
             with trio.move_on_after(0.03):
-                await zones.ask("z0")
+                await zones.send_request("z0")
             await trio.sleep(0.01)
             running = zones.running_requests()
         self.assertEqual(running, 0)
