--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -222,13 +222,13 @@
     async def _load(self, fixture, nursery, replies):
         """Send a query every 30 ms; record the times and the reply of each."""
 
-        async def ask():
+        async def send_query():
             sent_ms = fixture.clock.now_ms()
             reply = await fixture.ask(deadline_ms=2000.0)
             replies.append((sent_ms, fixture.clock.now_ms(), reply))
 
         while True:
-            nursery.start_soon(ask)
+            nursery.start_soon(send_query)
             await trio.sleep(0.03)
 
     async def _run_partition(self, fixture):
