--- a/properties/ledger_variants.py
+++ b/properties/ledger_variants.py
@@ -1,4 +1,4 @@
-"""Broken variants of the ledger; the state machine must find each fault."""
+"""Faulty variants of the ledger; the state machine must detect each fault."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 import msgspec
 import trio
 
-from ibisfront.core import claimed_run, claiming, ledger, ledger_bucket, ledger_messages
+from ibisfront.core import claimed_run, claimer, ledger, ledger_bucket, ledger_messages
 from ibisfront.core.attempts import Attempt, AttemptRegistry, AttemptState
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.ledger_bucket import ChangeResult
-from ibisfront.core.ledger_messages import AttemptAnswer
+from ibisfront.core.ledger_messages import AttemptStatusReply
 from ibisfront.core.ledger_writer import LedgerWriter
 from ibisfront.core.query import SubRequestError
-from ibisfront.testing import ledger_world
+from ibisfront.testing import ledger_simulation
 from properties.ledger_histories import (
     BackendRules,
     ClockRules,
     CopyRules,
-    CutRules,
     History,
+    PartitionRules,
     PlatformRules,
     ProcessRules,
 )
@@ -34,78 +34,78 @@
 def claim_after_send():
     """Send first, and claim once it has run."""
 
-    async def until_held(self, attempt):
+    async def acquire(self, attempt):
         attempt.submitted = True
-        return attempt.record()
+        return attempt.claim_record()
 
-    return patch.object(claiming.Claimer, "until_held", until_held)
+    return patch.object(claimer.Claimer, "acquire", acquire)
 
 
-def trust_lost_write_as_failed():
-    """Tell others that a claim failed when only the write's answer was lost."""
+def treat_lost_write_as_failed():
+    """Report a claim as failed when only the response to its write was lost."""
     lost = set()
-    note_failure = LedgerWriter._note_failure
-    attempt_answer = ledger_messages.attempt_answer
+    record_failure = LedgerWriter._record_failure
+    attempt_status = ledger_messages.attempt_status
 
-    def note(self, lane, error):
+    def record(self, queue, error):
         if error.kind is ErrorKind.WRITE_UNKNOWN:
-            lost.update(change.key.text for change in lane.pending)
-        note_failure(self, lane, error)
+            lost.update(change.key.text for change in queue.pending)
+        record_failure(self, queue, error)
 
-    def answer(attempt):
+    def report_status(attempt):
         is_open = attempt is not None and attempt.state is AttemptState.OPEN
         if is_open and attempt.key.text in lost:
-            return AttemptAnswer(AttemptState.DROPPED)
-        return attempt_answer(attempt)
+            return AttemptStatusReply(AttemptState.DROPPED)
+        return attempt_status(attempt)
 
     return _patches(
-        patch.object(LedgerWriter, "_note_failure", note),
-        patch.object(claiming, "attempt_answer", answer),
+        patch.object(LedgerWriter, "_record_failure", record),
+        patch.object(claimer, "attempt_status", report_status),
     )
 
 
-def trust_lost_write_as_done():
-    """Send when the claim's write has no answer."""
-    note_failure = LedgerWriter._note_failure
+def treat_lost_write_as_done():
+    """Send although the write of the claim had no response."""
+    record_failure = LedgerWriter._record_failure
 
-    def note(self, lane, error):
-        note_failure(self, lane, error)
+    def record(self, queue, error):
+        record_failure(self, queue, error)
         if error.kind is ErrorKind.WRITE_UNKNOWN:
-            pending, lane.pending = lane.pending, []
+            pending, queue.pending = queue.pending, []
             for change in pending:
-                change.resolve(ChangeResult(change.decide(None)))
+                change.resolve(ChangeResult(change.update(None)))
 
-    return patch.object(LedgerWriter, "_note_failure", note)
+    return patch.object(LedgerWriter, "_record_failure", record)
 
 
 def recreate_after_expiry():
-    """Take a key older than the object's slot for a new one."""
+    """Treat a key older than the object's slot as a new one."""
 
     def apply(bucket, change, size_bytes):
-        decided = change.decide(bucket.records.get(change.key.text))
-        if decided is not None:
-            bucket.records[change.key.text] = decided
-        return ChangeResult(decided)
+        updated = change.update(bucket.records.get(change.key.text))
+        if updated is not None:
+            bucket.records[change.key.text] = updated
+        return ChangeResult(updated)
 
     return patch.object(ledger_bucket, "_apply", apply)
 
 
-def send_after_refusal():
-    """Refuse a copy whose claim is slow, and let the claim go on."""
+def send_after_rejection():
+    """Reject a copy whose claim is slow, and let the claim proceed."""
     claim_and_run = ledger.Ledger._claim_and_run
 
     async def refuse_when_slow(self, attempt, request, purpose):
         answers = []
         ended = trio.Event()
 
-        async def go_on():
+        async def proceed():
             try:
                 answers.append(await claim_and_run(self, attempt, request, purpose))
             except IbisfrontError as error:
                 answers.append(error)
             ended.set()
 
-        self._nursery.start_soon(go_on)
+        self._nursery.start_soon(proceed)
         left_ms = attempt.deadline_at_ms - self._clock.now_ms()
         with self._clock.timeout_ms(left_ms / 2):
             await ended.wait()
@@ -118,13 +118,13 @@
 
     return _patches(
         patch.object(ledger.Ledger, "_claim_and_run", refuse_when_slow),
-        patch.object(ledger.Ledger, "_let_go", lambda self, attempt: None),
+        patch.object(ledger.Ledger, "_release_attempt", lambda self, attempt: None),
     )
 
 
 def send_late():
-    """Send after the deadline, with the budget that was left before it."""
-    exchange = ledger_world.FakeConnection.exchange
+    """Send after the deadline, and give the server an unlimited one."""
+    exchange = ledger_simulation.FakeConnection.exchange
 
     def start_send(self, *, now_ms):
         self.state = AttemptState.SENT
@@ -136,7 +136,7 @@
 
     return _patches(
         patch.object(Attempt, "start_send", start_send),
-        patch.object(ledger_world.FakeConnection, "exchange", exchange_late),
+        patch.object(ledger_simulation.FakeConnection, "exchange", exchange_late),
     )
 
 
@@ -144,29 +144,29 @@
     """Try another server when the connection breaks after the send."""
     try_servers = claimed_run._try_servers
 
-    async def try_again(run, run_once):
-        async def run_once_or_again(asked):
+    async def retry(run, send_once):
+        async def send_once_with_retry(claimed):
             try:
-                return await run_once(asked)
+                return await send_once(claimed)
             except SubRequestError as error:
                 raise SubRequestError(error.reason, not_run=True) from error
 
-        return await try_servers(run, run_once_or_again)
+        return await try_servers(run, send_once_with_retry)
 
-    return patch.object(claimed_run, "_try_servers", try_again)
+    return patch.object(claimed_run, "_try_servers", retry)
 
 
-def take_over_from_the_silent():
+def take_over_from_unresponsive():
     """Take over the claim of an instance that does not answer."""
 
     def is_dead(self):
         return self.state is None or self.state is AttemptState.DROPPED
 
-    return patch.object(AttemptAnswer, "is_dead", property(is_dead))
+    return patch.object(AttemptStatusReply, "is_dead", property(is_dead))
 
 
-def forget_the_process():
-    """Let a restarted instance speak for the process before it."""
+def ignore_process_name():
+    """Let a restarted instance answer for its previous process."""
 
     def init(self, *, instance, process):
         original(self, instance=instance, process="")
@@ -176,7 +176,7 @@
 
 
 def write_without_condition():
-    """Replace whatever version of the object is there."""
+    """Replace any version of the object."""
     write_batch = LedgerWriter._write_batch
 
     class Unconditional:
@@ -191,10 +191,10 @@
             version = None if found is None else found.version
             return await self._platform.put(kind, name, value_json, if_version=version)
 
-    async def write(self, lane, view):
+    async def write(self, queue, view):
         if not isinstance(self._platform, Unconditional):
             self._platform = Unconditional(self._platform)
-        await write_batch(self, lane, view)
+        await write_batch(self, queue, view)
 
     return patch.object(LedgerWriter, "_write_batch", write)
 
@@ -207,12 +207,12 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """A broken variant, and the rules that can bring its fault out.
+    """A faulty variant, and the rules that can reveal its fault.
 
-    The other rules only make the search longer; the whole machine has them.
+    Other rules would only lengthen the search; the complete machine has them.
     """
 
-    breaks: Callable[[], AbstractContextManager[object]]
+    inject: Callable[[], AbstractContextManager[object]]
     rules: tuple[type, ...]
 
     @property
@@ -223,13 +223,13 @@
 
 VARIANTS = (
     Variant(claim_after_send, ()),
-    Variant(trust_lost_write_as_failed, (PlatformRules,)),
-    Variant(trust_lost_write_as_done, (PlatformRules,)),
+    Variant(treat_lost_write_as_failed, (PlatformRules,)),
+    Variant(treat_lost_write_as_done, (PlatformRules,)),
     Variant(recreate_after_expiry, (ClockRules,)),
-    Variant(send_after_refusal, ()),
+    Variant(send_after_rejection, ()),
     Variant(retry_on_reset, (BackendRules,)),
-    Variant(take_over_from_the_silent, (CutRules,)),
-    Variant(forget_the_process, (ProcessRules,)),
+    Variant(take_over_from_unresponsive, (PartitionRules,)),
+    Variant(ignore_process_name, (ProcessRules,)),
     Variant(write_without_condition, ()),
     Variant(send_late, (BackendRules, ProcessRules)),
 )
