--- a/ibisfront/gateway/__init__.py
+++ b/ibisfront/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding and gathering callers' requests by a routed configuration."""
+"""Forwarding and scatter-gather of callers' requests by a routed configuration."""
--- a/ibisfront/gateway/load/__init__.py
+++ b/ibisfront/gateway/load/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: budgets, cold servers, when to hedge, what is usual."""
+"""Load policies: retry budgets, cold-start limits, hedging, server choice."""
--- a/ibisfront/gateway/load/gather_plan.py
+++ b/ibisfront/gateway/load/gather_plan.py
@@ -1,4 +1,4 @@
-"""When a gathered query hedges, ends and gives up."""
+"""Times at which a scatter-gather query hedges, completes and is abandoned."""
 
 from __future__ import annotations
 
@@ -12,57 +12,56 @@
 __all__ = ["GatherPlan", "gather_plan"]
 
 _LATEST_HEDGE_SHARE = 0.45
-"""Share of the time to a query's end by which late parts are hedged, so that
-the second server has time to reply."""
+"""Latest hedge as a share of the time to a query's end, so that the second server
+has time to reply."""
 
 _LOADED_HEDGE_FACTOR = 2.0
-"""Baseline latencies for which late parts are waited for while there is time and
-requests wait in queues at the servers. Most replies that are just late come a moment
-later; what is left after this mostly stands still."""
+"""Hedge delay, in baseline latencies, while there is time and requests queue at the
+servers. Most late replies arrive shortly after the threshold; those still missing
+after this delay are mostly from stalled servers."""
 
-_CALM_HEDGE_FACTOR = 1.5
-"""The same while the servers have free slots: a second request costs them little, and
-leaves time in case its server stands still too."""
+_UNLOADED_HEDGE_FACTOR = 1.5
+"""Hedge delay, in baseline latencies, while the servers have free slots: a second
+request is cheap, and leaves time in case its server stalls too."""
 
 _HEDGE_TIME_FACTOR = 2.5
-"""Baseline latencies that a hedged request needs: a late reply, and a connection."""
+"""Time for a hedged request, in baseline latencies: a late reply and a connect."""
 
 _EARLIEST_HEDGE_FACTOR = 1.2
-"""No part is hedged before this many baseline latencies: more than a third of all
-replies still come in the next moment."""
+"""Earliest hedge, in baseline latencies: more than a third of all replies arrive
+shortly after the median."""
 
 _SILENCE_FACTOR = 2.2
-"""A query of which no part has come after this many times the latency at which
-one is late is cut off from all of its servers; its caller is told while there
-is time to go elsewhere."""
+"""Silence, in late thresholds, after which a query without any reply is taken to be
+partitioned from all of its servers; its caller still has time to go elsewhere."""
 
 _SILENCE_SHARE = 0.2
-"""The least share of the objective that counts as silence."""
+"""Lower bound of the silence, as a share of the latency objective."""
 
-_SILENCE_LEAST_MS = 30.0
-"""The least silence that counts: a busy process leaves replies of a fast route
-unread for longer than the route usually takes."""
+_MIN_SILENCE_MS = 30.0
+"""Lower bound of the silence: a busy process may leave replies unread for longer than
+a fast route's baseline latency."""
 
 _REMOTE_GRACE_SHARE = 0.25
-"""Share of the objective for which an instance's answer may be overdue: one
-that is just late brings all of its parts."""
+"""Grace period for an instance's answer, as a share of the latency objective: a
+slightly late answer still contains all of its parts."""
 
 
 class GatherPlan(msgspec.Struct, frozen=True):
-    """When a query acts.
+    """Times at which a query acts.
 
     Attributes
     ----------
     hedge_at_ms : float
-        When unanswered parts are asked of a second server.
+        When unanswered parts are requested from a second server.
     end_at_ms : float
-        When the answer is sent with the parts that are in, if they suffice.
+        When the answer is sent with the parts received, if they suffice.
     give_up_at_ms : float
-        When it is given up without enough parts.
+        When the query is abandoned without enough parts.
     silent_at_ms : float
-        When it is given up if no server has replied anything since it began.
+        When the query is abandoned if no server has replied at all.
     remote_silent_at_ms : float
-        The same for another instance that is asked for parts.
+        The same for another instance that is requested to provide parts.
     """
 
     hedge_at_ms: float
@@ -80,7 +79,7 @@
     baseline: BaselineLatency,
     objective_ms: float,
 ) -> GatherPlan:
-    """Return when a query acts that ends at a given time."""
+    """Return the times at which a query acts that ends at ``end_at_ms``."""
     return GatherPlan(
         hedge_at_ms=now_ms + _hedge_after_ms(end_at_ms - now_ms, baseline),
         end_at_ms=end_at_ms,
@@ -89,17 +88,17 @@
         + max(
             _SILENCE_FACTOR * baseline.late_ms,
             _SILENCE_SHARE * objective_ms,
-            _SILENCE_LEAST_MS,
+            _MIN_SILENCE_MS,
         ),
         remote_silent_at_ms=end_at_ms + _REMOTE_GRACE_SHARE * objective_ms,
     )
 
 
 def _hedge_after_ms(left_ms: float, baseline: BaselineLatency) -> float:
-    """Return when to hedge late parts, given the time until the query ends."""
+    """Return the hedge delay, given the time until the query ends."""
     median_ms = baseline.median_ms
-    factor = _LOADED_HEDGE_FACTOR if baseline.is_loaded else _CALM_HEDGE_FACTOR
-    patient_ms = min(factor * median_ms, left_ms - _HEDGE_TIME_FACTOR * median_ms)
-    hedge_ms = max(baseline.late_ms, patient_ms)
-    hedge_ms = min(hedge_ms, _LATEST_HEDGE_SHARE * left_ms)
-    return max(hedge_ms, _EARLIEST_HEDGE_FACTOR * median_ms)
+    factor = _LOADED_HEDGE_FACTOR if baseline.is_loaded else _UNLOADED_HEDGE_FACTOR
+    delay_ms = min(factor * median_ms, left_ms - _HEDGE_TIME_FACTOR * median_ms)
+    hedge_after_ms = max(baseline.late_ms, delay_ms)
+    hedge_after_ms = min(hedge_after_ms, _LATEST_HEDGE_SHARE * left_ms)
+    return max(hedge_after_ms, _EARLIEST_HEDGE_FACTOR * median_ms)
--- a/ibisfront/gateway/load/server_choice.py
+++ b/ibisfront/gateway/load/server_choice.py
@@ -1,8 +1,8 @@
-"""Which server of a service gets a request.
+"""Choice of the server of a service that gets a request.
 
-Load pattern: the servers of a service are not alike. Some are slow for seconds, some
-pause, some share their machine with others, some are cold, some fail; and one stands in
-the same zone. The request goes where it is expected to be answered first.
+Load pattern: the servers of a service differ. Some are slow for seconds, some pause,
+some share their machine with others, some are cold, some fail; and one is in the same
+zone. The request goes to the server of least expected latency.
 """
 
 from __future__ import annotations
@@ -17,46 +17,46 @@
 __all__ = ["choose_server", "server_cost"]
 
 _REPORTED_HALF_LIFE_MS = 300.0
-"""How fast what a server says of its machine loses half of its weight: it changes many
-times a second, and a server that is avoided for it says nothing new."""
+"""Half-life of a reported work factor: it changes many times a second, and a server
+that is avoided because of it sends no new report."""
 
 _OVERDUE_PENALTY = 4.0
-"""Cost, in baseline latencies, of a server that seems to stand still: what a request
-there loses, as the costs that follow."""
+"""Cost, in baseline latencies, of a server that appears stalled: the expected delay
+of a request, as for the penalties below."""
 
 _FAILURE_PENALTY = 6.0
 """Cost, in baseline latencies, of a server all of whose exchanges fail."""
 
-_AVOIDED_PENALTY = 100.0
-"""Cost of a server that is left alone: more than all others together."""
+_BACKOFF_PENALTY = 100.0
+"""Cost of a server in backoff: more than all other penalties together."""
 
 _STALE_PENALTY = 50.0
-"""Cost of a server that may be gone: it is asked where its service has no other."""
+"""Cost of a server with a stale entry: used only if its service has no other."""
 
 _IN_FLIGHT_PENALTY = 0.45
-"""Share by which each request of ours at a server makes the next one slower."""
+"""Relative increase of a server's latency per request of this instance in flight."""
 
 _COLD_PENALTY = 0.6
 """Cost, in baseline latencies, of a server that has just started."""
 
 _OTHER_ZONE_PENALTY = 0.7
-"""What a server of another availability zone costs more, in baseline latencies:
-more than one request of ours at the near one, less than two."""
+"""Additional cost, in baseline latencies, of a server in another availability zone:
+more than one request in flight at the local one, less than two."""
 
 _COST_JITTER = 0.1
-"""Share by which costs are varied at random, so that instances that see equal
-servers do not all choose the same one; less than any of the penalties."""
+"""Relative random variation of costs, so that instances that see equal servers do not
+all choose the same one; less than any of the penalties."""
 
-_NO_ROOM_COST = 1.0
-"""What a server costs more, in baseline latencies, if the request has to wait for
-a connection to it: that of a usual request that ends first."""
+_POOL_FULL_PENALTY = 1.0
+"""Additional cost, in baseline latencies, if the request has to wait for a connection:
+one baseline request that completes first."""
 
-_LARGEST_DELAY = 5.0
-"""The most that a server's word of its machine adds: more is not believed."""
+_MAX_REPORTED_DELAY = 5.0
+"""Upper bound of the delay by a reported work factor; more is not trusted."""
 
 
 def server_cost(server: Server, now_ms: float, baseline_ms: float) -> float:
-    """Return the expected latency in units of the usual one.
+    """Return the expected latency in units of the baseline latency.
 
     Parameters
     ----------
@@ -77,43 +77,43 @@
     if server.is_cold(now_ms):
         cost += _COLD_PENALTY
     if now_ms < server.not_before_ms:
-        cost += _AVOIDED_PENALTY
+        cost += _BACKOFF_PENALTY
     if server.is_stale:
         cost += _STALE_PENALTY
     return cost
 
 
 def _reported_delay(server: Server, now_ms: float) -> float:
-    """Return how much longer work takes on its machine, in baseline latencies.
+    """Return the delay by load on the server's machine, in baseline latencies.
 
-    Load pattern: others on its machine make its work four times as long for half
-    a second. The first reply of the spell says so, before the next is slow.
+    Load pattern: other processes on its machine slow its work fourfold for half a
+    second. The first reply of that period reports it, before the next is slow.
     """
     load = server.load
     if load is None or load.work_factor is None or load.work_factor <= 1.0:
         return 0.0
-    left = math.exp2(-(now_ms - server.load_at_ms) / _REPORTED_HALF_LIFE_MS)
-    return min(load.work_factor - 1.0, _LARGEST_DELAY) * left
+    remaining = math.exp2(-(now_ms - server.load_at_ms) / _REPORTED_HALF_LIFE_MS)
+    return min(load.work_factor - 1.0, _MAX_REPORTED_DELAY) * remaining
 
 
 def choose_server(
     servers: list[Server], tried: list[Server], *, now_ms: float, baseline_ms: float
 ) -> Server | None:
-    """Return the server of least expected cost that was not tried yet.
+    """Return the server of least expected cost that has not been tried yet.
 
     Parameters
     ----------
     servers : list of Server
         The service's servers.
     tried : list of Server
-        Those that had the request already.
+        The servers that have already been sent the request.
     now_ms : float
         The time.
     baseline_ms : float
         The route's baseline latency.
     """
-    best: Server | None = None
-    best_cost = 0.0
+    cheapest: Server | None = None
+    least_cost = 0.0
     for server in servers:
         if not server.is_usable or server.is_behind_partition or server in tried:
             continue
@@ -121,8 +121,8 @@
             continue
         cost = server_cost(server, now_ms, baseline_ms)
         if server.pool is not None and not server.pool.has_room:
-            cost += _NO_ROOM_COST
+            cost += _POOL_FULL_PENALTY
         cost *= 1.0 + _COST_JITTER * random.random()
-        if best is None or cost < best_cost:
-            best, best_cost = server, cost
-    return best
+        if cheapest is None or cost < least_cost:
+            cheapest, least_cost = server, cost
+    return cheapest
--- a/ibisfront/gateway/load/server_load.py
+++ b/ibisfront/gateway/load/server_load.py
@@ -1,4 +1,4 @@
-"""What a backend server says of its load."""
+"""Load that a backend server reports."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 __all__ = ["ServerLoad", "parse_reported_load"]
 
-_MOST_DIGITS = 6
-"""Longer figures are not believed."""
+_MAX_DIGITS = 6
+"""Longer numbers are rejected as malformed."""
 
 _PERCENT = 100.0
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
-    """A server's load when it wrote a reply.
+    """A server's load when it sent a reply.
 
     Attributes
     ----------
     running, waiting : int
-        Requests that it works on, and that wait for a slot.
+        Requests being processed, and requests waiting for a slot.
     slots : int
-        How many it runs at once.
+        Number of requests that it processes concurrently.
     work_factor : float or None
-        How long work takes there, as a multiple of what is usual; None if not said.
+        Duration of work as a multiple of the normal one; None if not reported.
     """
 
     running: int
@@ -37,22 +37,22 @@
 
 
 def parse_reported_load(texts: Sequence[bytes]) -> ServerLoad | None:
-    """Return a load from its figures; None if they cannot be.
+    """Parse a reported load; return None if it is malformed.
 
     Parameters
     ----------
     texts : sequence of bytes
-        Running, waiting, slots, and perhaps the time that work takes in percent.
+        Running, waiting, slots, and optionally the duration of work in percent.
     """
     if not 3 <= len(texts) <= 4:
         return None
-    figures: list[int] = []
+    numbers: list[int] = []
     for text in texts:
         digits = text.strip()
-        if not digits.isdigit() or len(digits) > _MOST_DIGITS:
+        if not digits.isdigit() or len(digits) > _MAX_DIGITS:
             return None
-        figures.append(int(digits))
-    running, waiting, slots, *percent = figures
+        numbers.append(int(digits))
+    running, waiting, slots, *percent = numbers
     if not slots:
         return None
     factor = percent[0] / _PERCENT if percent and percent[0] else None
--- a/ibisfront/gateway/messages.py
+++ b/ibisfront/gateway/messages.py
@@ -1,4 +1,4 @@
-"""The messages between callers, the gateway and backend servers."""
+"""Messages between callers, the gateway and backend servers."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 ]
 
 Header = tuple[bytes, bytes]
-"""A header's name and value as they stood on the wire."""
+"""A header's name and value as received on the wire."""
 
 
 class InboundRequest(msgspec.Struct):
-    """One attempt of a caller, read whole.
+    """One attempt of a caller, fully received.
 
     Attributes
     ----------
     method : bytes
-        The method.
+        The HTTP method.
     target : bytes
         Path and query, unchanged.
     host : str
-        The host named, lower case, without a port.
+        Value of the Host header, in lower case and without a port.
     request_id : str
-        The caller's name for this attempt; empty if it gave none.
+        The caller's identifier of this attempt; empty if it sent none.
     deadline_ms : float or None
-        How long the caller waits, from its sending.
+        How long the caller waits, counted from when it sent the request.
     headers : list of Header
-        What is passed on: all but those of one connection and those that the
-        gateway sets itself.
+        Headers to forward: all but hop-by-hop headers and those that the gateway
+        sets itself.
     body : bytes
-        The whole body.
+        The complete body.
     arrived_at_ms : float
         When its last byte was read, by the tier's clock.
     network_ms : float
-        What the network adds to the caller's wait: connecting, if it had to,
-        and the way to and fro.
+        What the network adds to the caller's wait: the connect, if there was
+        one, and the round trip.
     closes : bool
         Whether the caller closes the connection after the answer.
     """
@@ -68,36 +68,36 @@
 
 
 class BackendReply(msgspec.Struct):
-    """A backend server's whole reply.
+    """A backend server's complete reply.
 
     Attributes
     ----------
     status : int
-        Its status.
+        The HTTP status.
     headers : list of Header
-        What is passed back to the caller.
+        Headers to pass on to the caller.
     body : bytes
-        The whole body.
+        The complete body.
     signature : bytes or None
         The server's signature of this reply.
     request_id : bytes or None
-        The request that it answers, if it says so.
+        Id of the request that it answers, if stated.
     not_run : bool
         Whether the server states that it did not run the request.
     is_other_server : bool
-        Whether it did not since it is not the server that was meant.
+        Whether it did not because it is not the intended server.
     is_encoded : bool
-        Whether the body is in an encoding that nobody asked for.
+        Whether the body has a content encoding that was not requested.
     closes : bool
-        Whether the connection ends with this reply.
+        Whether the connection closes after this reply.
     idle_timeout_ms : float or None
-        How long the server keeps the connection open while it is idle.
+        How long the server keeps an idle connection open.
     retry_after_ms : float or None
-        When the server asks to come back.
+        Time after which the server asks for a retry.
     load : ServerLoad or None
-        How busy the server was, if it said so.
+        The server's load, if reported.
     has_unreadable_load : bool
-        Whether it said so in a way that cannot be.
+        Whether the reported load is malformed.
     """
 
     status: int
@@ -116,7 +116,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether it is a signed, plain success."""
+        """Whether it is a signed success without a content encoding."""
         return (
             200 <= self.status < 300
             and self.signature is not None
@@ -125,7 +125,7 @@
 
 
 class ExchangeErrorKind(StrEnum):
-    """Why an exchange with a backend server brought no reply."""
+    """Why an exchange with a backend server ended without a reply."""
 
     CONNECT_FAILED = "connect_failed"
     CONNECTION_LOST = "connection_lost"
@@ -140,7 +140,7 @@
     Attributes
     ----------
     kind : ExchangeErrorKind
-        Why.
+        The cause.
     may_have_run : bool
         False only if no byte of the request left this process.
     """
@@ -150,20 +150,20 @@
 
 
 class CallerReply(msgspec.Struct):
-    """What a caller is answered.
+    """The reply to a caller.
 
     Attributes
     ----------
     status : int
-        The status.
+        The HTTP status.
     headers : list of Header
-        Besides those of length and connection.
+        Headers other than those of length and connection.
     body : bytes
-        The whole body.
+        The complete body.
     reason : str
-        Why, for the log and the counters.
+        The cause, for the log and the counters.
     closes : bool
-        Whether the connection ends with it, so that the caller's next request
+        Whether the connection closes after it, so that the caller's next request
         goes through the balancer.
     """
 
--- a/ibisfront/gateway/settings.py
+++ b/ibisfront/gateway/settings.py
@@ -1,4 +1,4 @@
-"""What a gateway process is told at its start."""
+"""Settings of a gateway process."""
 
 from __future__ import annotations
 
@@ -9,48 +9,48 @@
 __all__ = ["Bounds", "GatewaySettings"]
 
 
-_RECONNECT_MS = 1_000.0
-"""Set aside for noticing a silent connection, connecting and listing anew."""
+_RECONNECT_RESERVE_MS = 1_000.0
+"""Reserve for detecting a silent connection, reconnecting and listing again."""
 
-_FOLLOWERS_TURN_MS = 1_500.0
-"""Set aside for those that follow an instance which the store serves no more:
-0.6 s until its watch is overdue, then 0.8 s for other instances, which are asked side
-by side and may wait for the store themselves, and the way to the store."""
+_SUBSCRIBER_RESERVE_MS = 1_500.0
+"""Reserve for the subscribers of an instance that the store no longer serves: 0.6 s
+until its watch is overdue, then 0.8 s for other instances, which are requested in
+parallel and may wait for the store themselves, and the network latency to the store."""
 
 _CHANGE_SHARE = 0.8
-"""Share of the bound of a change in which it arrives at the worst."""
+"""Share of the bound of a change within which it arrives in the worst case."""
 
-_LEAST_WATCH_WAIT_MS = 500.0
-"""The shortest wait of a watch: below it most calls bring nothing."""
+_MIN_WATCH_WAIT_MS = 500.0
+"""The shortest wait of a watch: with less, most calls return no change."""
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """The bounds that the deployment sets.
+    """Bounds set by the deployment.
 
     Attributes
     ----------
     stop_grace_ms : float
-        How long a process may run on after SIGTERM.
+        How long a process may continue to run after SIGTERM.
     contact_ms : float
-        After how long without a fault the bounds hold again.
+        Time without a fault after which the bounds hold again.
     change_ms : float
-        How soon a change of the configuration or of a server must be heeded
-        after the store has it.
+        Time after which a change of the configuration or of a server in the store
+        must be in effect.
     extra_ratio : float
-        Extra sub-requests that a service may get for each request, from all
-        instances together.
+        Extra sub-requests that a service may get per request, from all instances
+        together.
     extra_window_ms : float
-        The sliding window over which they are counted.
+        Sliding window over which they are counted.
     extra_allowance : float
-        Extra sub-requests allowed in a window besides, from all instances
+        Additional extra sub-requests allowed in a window, from all instances
         together.
     evacuation_ms : float or None
-        How soon the servers of a zone that is evacuated must get nothing more;
+        Time after which the servers of an evacuated zone must get no requests;
         None where zones are never evacuated.
     cold_excess : float
-        How many times its warm-up rate a cold server may get in a second.
+        Multiple of its warm-up rate that a cold server may get in a second.
     cold_slack : float
-        Requests that it may get besides.
+        Requests that it may get in addition.
     """
 
     stop_grace_ms: float = 6_000.0
@@ -64,24 +64,24 @@
     cold_slack: float = 0.0
 
     def cold_bound_per_s(self, warm_up_per_s: float) -> float:
-        """Return what a cold server may get in a second from all instances."""
+        """Return how many requests per second all instances may send to a cold server."""
         return warm_up_per_s * self.cold_excess + self.cold_slack
 
     @property
     def watch_wait_ms(self) -> float:
         """How long a watch of the store may wait for a change.
 
-        A connection that has gone silent shows only when this is over. With
-        the time to connect and list anew it must be over before the bounds
-        hold again; each call has its price, so it is no shorter than that.
+        A silent connection is detected only after this wait. It must end early
+        enough to reconnect and list again before the bounds hold again; each call
+        has a cost, so it is no shorter than that.
         """
-        return max(self.contact_ms - _RECONNECT_MS, _RECONNECT_MS)
+        return max(self.contact_ms - _RECONNECT_RESERVE_MS, _RECONNECT_RESERVE_MS)
 
     @property
     def source_watch_wait_ms(self) -> float:
-        """The same at an instance that others follow."""
-        wait_ms = _CHANGE_SHARE * self.change_ms - _FOLLOWERS_TURN_MS
-        return min(max(wait_ms, _LEAST_WATCH_WAIT_MS), self.watch_wait_ms)
+        """The same at an instance that is a state source."""
+        wait_ms = _CHANGE_SHARE * self.change_ms - _SUBSCRIBER_RESERVE_MS
+        return min(max(wait_ms, _MIN_WATCH_WAIT_MS), self.watch_wait_ms)
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
@@ -94,23 +94,23 @@
     zone : str
         Its availability zone.
     callers_address : Address
-        Where callers are served.
+        Listening address for callers.
     ready_address : Address
-        Where the balancer asks whether to send callers here.
+        Listening address for the balancer's readiness check.
     peers_address : Address or None
-        Where other instances reach this one.
+        Listening address for other instances.
     metrics_address : Address or None
-        Where counters are served.
+        Listening address for metrics.
     seeds : tuple of Address
-        Where some other instances may be reached.
+        Addresses of some other instances.
     store_address : Address
-        The platform's store.
+        Address of the platform's store.
     bounds : Bounds
         The deployment's bounds.
     zones : frozenset of str
         All availability zones.
     capacity : float
-        How many cores the process has.
+        Number of CPU cores of the process.
     is_first_start : bool
         Whether the whole deployment starts for the first time.
     """
--- a/ibisfront/gateway/wire.py
+++ b/ibisfront/gateway/wire.py
@@ -1,4 +1,4 @@
-"""How messages are written on the wire; the platform's adapter provides it."""
+"""Codec interface of messages on the wire; the platform's adapter implements it."""
 
 from __future__ import annotations
 
@@ -19,31 +19,30 @@
 __all__ = ["EncodeFor", "WireCodec"]
 
 EncodeFor: TypeAlias = Callable[[str, float], bytes]
-"""Writes a request for one server: takes its id and the time left in ms."""
+"""Encodes a request for one server, given its id and the remaining time in ms."""
 
 
 class WireCodec(msgspec.Struct, frozen=True):
-    """The codec of requests and replies.
+    """Codec of requests and replies.
 
     Attributes
     ----------
     decode_request : callable
-        Makes a typed request of a message, given the time in milliseconds
-        and the network's share of the caller's wait.
+        Decodes a request, given the current time and the network's share of the
+        caller's wait, both in milliseconds.
     encode_request : callable
-        Returns what writes a request for a server.
+        Returns the encoder of a request for a server.
     decode_reply : callable
-        Makes a typed reply of a message from a backend server.
+        Decodes a backend server's reply.
     gathered_headers : callable
-        Returns the headers of a gathered answer, given the signatures of the
-        parts that are in and the number of those that are not.
+        Returns the headers of a scatter-gather answer, given the signatures of the
+        parts received and the number of missing ones.
     request_id : callable
-        Returns the header that names the request a reply is to.
+        Returns the header with the id of the request that a reply answers.
     retry_after : callable
-        Returns the header that tells a caller when to come back, in
-        milliseconds.
+        Returns the header that asks a caller to retry after a time in milliseconds.
     encode_reply : callable
-        Writes a caller's answer, given it and whether the connection stays.
+        Encodes a caller's answer, given whether the connection stays open.
     """
 
     decode_request: Callable[[RawMessage, float, float], InboundRequest]
