--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -173,7 +173,7 @@
         service = server.entry.service
         routed = None if table is None else table.configuration.services.get(service)
         limit = server.cold_start_limit
-        limit.share = None
+        limit.share_per_s = None
         if table is None or routed is None:
             return
         limit.warm_up_ms = routed.warm_up_ms
@@ -182,7 +182,7 @@
         senders = [item.name for item in self._coordinators.instances]
         if self._coordinators.uses_coordinators and service in table.gathered_services:
             senders = self._coordinators.names
-        limit.share = cold_share(
+        limit.share_per_s = cold_share(
             server.entry.server_id,
             own=self._coordinators.own_name,
             senders=senders,
--- a/ibisfront/gateway/load/baseline_latency.py
+++ b/ibisfront/gateway/load/baseline_latency.py
@@ -1,4 +1,4 @@
-"""The baseline latency of a route's sub-requests, and when one is late."""
+"""Baseline latency of a route's sub-requests and the threshold for late ones."""
 
 from __future__ import annotations
 
@@ -10,112 +10,108 @@
 
 __all__ = ["BaselineLatency"]
 
-_KEPT = 256
-"""Latencies that are looked at: a dozen queries over twenty services."""
+_WINDOW_SIZE = 256
+"""Size of the sample window: a dozen queries over twenty services."""
 
-_REFRESH_EVERY = 32
-"""Latencies between two looks: sorting them costs less than a sub-request."""
+_REFRESH_INTERVAL = 32
+"""Samples between two refreshes; sorting them costs less than a sub-request."""
 
 _LATE_QUANTILE = 0.92
-"""Share of latencies that are in time; the rest is worth a hedged request."""
+"""Quantile of the latencies above which a hedged request pays."""
 
-_LEAST_LATE_FACTOR = 1.4
-"""A reply is not late before this many medians: work varies by a third."""
+_MIN_LATE_FACTOR = 1.4
+"""Lower bound of the late threshold, in medians: work varies by a third."""
 
-_MOST_LATE_FACTOR = 2.5
-"""A reply is late after this many medians at the most."""
+_MAX_LATE_FACTOR = 2.5
+"""Upper bound of the late threshold, in medians."""
 
-
-_CALM_RISE = 1.002
-"""How much the calm latency rises with each look at the samples. There are
-about ten looks a second, so that it takes some ten seconds of a new, slower
-work for it to count as calm."""
+_UNLOADED_GROWTH = 1.002
+"""Growth of the unloaded latency at each refresh. With about ten refreshes a second,
+a lasting rise in the cost of work is adopted after some ten seconds."""
 
 _LOADED_FACTOR = 1.25
-"""The servers are loaded if the baseline latency is this many calm ones. It holds where
-they do not say themselves whether requests wait."""
+"""Ratio of baseline to unloaded latency above which the servers count as loaded. Used
+only where they do not report whether requests wait."""
 
 _LOADED_SHARE = 0.1
-"""The servers are loaded if this share of their replies says that requests wait."""
-
-_REPORTED_WEIGHT = 0.02
-"""Weight of one reply in that share: some fifty replies, half a query."""
+"""Share of replies reporting queued requests above which the servers are loaded."""
 
+_QUEUED_WEIGHT = 0.02
+"""Smoothing weight of one reply in that share: some fifty replies, half a query."""
 
 _SIZE_WEIGHT = 0.02
-"""Weight of one reply in the usual size."""
+"""Smoothing weight of one reply in the mean body size."""
 
 
 class BaselineLatency:
-    """Recent latencies of one route's sub-requests, all servers together.
+    """Recent latencies of one route's sub-requests over all servers.
 
-    The servers of a route do the same work, so that twenty replies of one
-    query say at once what is usual; a server is then judged by its ratio to
-    it.
+    The servers of a route do the same work, so the twenty replies of one query
+    are enough for an estimate; each server is rated by its ratio to that.
 
     Parameters
     ----------
-    first_ms : float
-        The guess that holds until enough replies were seen.
+    initial_ms : float
+        Initial estimate, used until there are enough samples.
 
     Attributes
     ----------
     median_ms : float
-        The baseline latency.
+        Median of the recent latencies.
     late_ms : float
-        After how long a hedged request pays.
-    calm_ms : float
-        The baseline latency without queues: the least of late, rising slowly.
+        Time after which a hedged request pays.
+    unloaded_ms : float
+        Baseline latency without queueing: a slowly rising minimum of the median.
     reply_bytes : float
-        The usual size of a reply's body.
+        Smoothed size of a reply's body.
     """
 
     __slots__ = (
         "_count",
         "_queued_share",
         "_samples_ms",
-        "calm_ms",
         "late_ms",
         "median_ms",
         "reply_bytes",
+        "unloaded_ms",
     )
 
-    def __init__(self, first_ms: float) -> None:
+    def __init__(self, initial_ms: float) -> None:
         self._samples_ms: list[float] = []
         self._count = 0
-        # The smoothed share of replies that say that requests wait.
+        # Smoothed share of replies that report queued requests.
         self._queued_share: float | None = None
         self.reply_bytes = 0.0
-        self.median_ms = first_ms
-        self.late_ms = first_ms * _MOST_LATE_FACTOR
-        self.calm_ms = math.inf
+        self.median_ms = initial_ms
+        self.late_ms = initial_ms * _MAX_LATE_FACTOR
+        self.unloaded_ms = math.inf
 
     @property
     def is_loaded(self) -> bool:
-        """Whether requests seem to wait in queues at the servers."""
+        """Whether requests appear to queue at the servers."""
         if self._queued_share is not None:
             return self._queued_share > _LOADED_SHARE
-        return self.median_ms > _LOADED_FACTOR * self.calm_ms
+        return self.median_ms > _LOADED_FACTOR * self.unloaded_ms
 
     def record_load(self, load: ServerLoad) -> None:
-        """Take in what a server says of its load."""
+        """Record the load that a server reports."""
         is_queued = float(load.waiting > 0)
         if self._queued_share is None:
             self._queued_share = 0.0
-        self._queued_share += _REPORTED_WEIGHT * (is_queued - self._queued_share)
+        self._queued_share += _QUEUED_WEIGHT * (is_queued - self._queued_share)
 
     def record_size(self, size_bytes: int) -> None:
-        """Take in the size of one reply's body."""
+        """Record the size of one reply's body."""
         self.reply_bytes += _SIZE_WEIGHT * (size_bytes - self.reply_bytes)
 
     def record_ms(self, latency_ms: float) -> None:
-        """Take in one latency."""
-        if len(self._samples_ms) < _KEPT:
+        """Record one latency."""
+        if len(self._samples_ms) < _WINDOW_SIZE:
             self._samples_ms.append(latency_ms)
         else:
-            self._samples_ms[self._count % _KEPT] = latency_ms
+            self._samples_ms[self._count % _WINDOW_SIZE] = latency_ms
         self._count += 1
-        if self._count % _REFRESH_EVERY == 0:
+        if self._count % _REFRESH_INTERVAL == 0:
             self._refresh()
 
     def _refresh(self) -> None:
@@ -123,10 +119,9 @@
         median_ms = ordered[len(ordered) // 2]
         late_ms = ordered[int(len(ordered) * _LATE_QUANTILE)]
         self.median_ms = max(median_ms, 0.1)
-        self.calm_ms = min(self.calm_ms * _CALM_RISE, self.median_ms)
-        # When many servers are slow, the quantile is theirs; a hedged request
-        # would then never come in time. The median still is that of the
-        # healthy half.
+        self.unloaded_ms = min(self.unloaded_ms * _UNLOADED_GROWTH, self.median_ms)
+        # With many slow servers the quantile reflects only these, and hedged
+        # requests would come too late. The median still reflects the healthy half.
         self.late_ms = min(
-            max(late_ms, _LEAST_LATE_FACTOR * median_ms), _MOST_LATE_FACTOR * median_ms
+            max(late_ms, _MIN_LATE_FACTOR * median_ms), _MAX_LATE_FACTOR * median_ms
         )
--- a/ibisfront/gateway/load/cold_start_limit.py
+++ b/ibisfront/gateway/load/cold_start_limit.py
@@ -1,8 +1,8 @@
-"""How much one instance may send to a server that is cold.
+"""Rate limit of one instance for a server that is cold.
 
-Load pattern: a zone's servers come back together and are cold. All instances find them
-idle and send them their next requests; a cold server breaks down well above the rate
-that it bears.
+Load pattern: a zone's servers restart together and are cold. All instances see them
+idle and send them their next requests; a cold server fails well above the rate that
+it can sustain.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 __all__ = ["ColdStartLimit", "cold_share"]
 
 _WINDOW_MS = 1_050.0
-"""The sliding second, and what a busy process may send late."""
+"""A sliding second plus a margin for requests that a busy process sends late."""
 
 _USED_SHARE = 0.75
-"""Share of the bound that is given out: instances that do not agree yet on who sends
-to a server give out some of it twice."""
+"""Share of the bound that is allotted: instances that do not agree yet on who sends
+to a server allot some of it twice."""
 
 
 def cold_share(
@@ -31,22 +31,22 @@
     senders: Collection[str],
     bound_per_s: float,
 ) -> int:
-    """Return how many requests a second this instance may send to a cold server.
+    """Return how many requests per second this instance may send to a cold server.
 
-    The shares of all senders add up to no more than the bound. Where it has less than
-    one request for each, some of them have one and the others none: which ones follows
-    from the names, so that no talk is needed, and is another set for each server.
+    The shares of all senders add up to no more than the bound. Where it allows less
+    than one request for each, some have one and the others none. A hash of server and
+    instance selects them, so no coordination is needed and the set varies by server.
 
     Parameters
     ----------
     server_id : str
-        The server.
+        Id of the server.
     own : str
-        This instance.
+        Name of this instance.
     senders : collection of str
-        The instances that send to the server; others send nothing.
+        Names of the instances that send to the server; others send nothing.
     bound_per_s : float
-        What the server may get in a second from all of them.
+        Requests per second that the server may receive from all of them.
     """
     if own not in senders:
         return 0
@@ -55,50 +55,50 @@
     if total >= count:
         return total // count
 
-    def place(name: str) -> bytes:
+    def rank(name: str) -> bytes:
         return hashlib.blake2b(f"{server_id} {name}".encode()).digest()
 
-    own_place = place(own)
-    before = sum(place(name) < own_place for name in senders if name != own)
+    own_rank = rank(own)
+    before = sum(rank(name) < own_rank for name in senders if name != own)
     return int(before < total)
 
 
 class ColdStartLimit:
-    """What this instance has sent to one cold server in the last second.
+    """Sliding-window rate limit for the requests of this instance to one cold server.
 
     Attributes
     ----------
-    share : int or None
-        How many requests a second it may send; None for any number.
+    share_per_s : int or None
+        Requests per second that it may send; None for no limit.
     warm_up_ms : float
         How long the server is cold after a start.
     """
 
-    __slots__ = ("_sent_ms", "share", "warm_up_ms")
+    __slots__ = ("_sent_ms", "share_per_s", "warm_up_ms")
 
     def __init__(self) -> None:
-        self.share: int | None = None
+        self.share_per_s: int | None = None
         self.warm_up_ms = 0.0
         self._sent_ms: deque[float] = deque()
 
     def has_room(self, now_ms: float, *, waiting: int) -> bool:
-        """Return whether one more may be sent.
+        """Return whether one more request may be sent.
 
         Parameters
         ----------
         now_ms : float
-            The time.
+            The current time.
         waiting : int
-            Requests that wait for a connection to the server, and are sent as soon as
-            there is one.
+            Requests that wait for a connection to the server and are sent once there
+            is one.
         """
-        if self.share is None:
+        if self.share_per_s is None:
             return True
         while self._sent_ms and self._sent_ms[0] <= now_ms - _WINDOW_MS:
             self._sent_ms.popleft()
-        return len(self._sent_ms) + waiting < self.share
+        return len(self._sent_ms) + waiting < self.share_per_s
 
     def record_sent(self, now_ms: float) -> None:
-        """Take in a request that was sent."""
-        if self.share is not None:
+        """Record a request that was sent."""
+        if self.share_per_s is not None:
             self._sent_ms.append(now_ms)
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -325,7 +325,7 @@
         if self.path is not None:
             self.path.record_liveness()
         self._lost_in_row = 0
-        if self._is_unreachable and self.cold_start_limit.share is not None:
+        if self._is_unreachable and self.cold_start_limit.share_per_s is not None:
             # It may have started again, which the store says a moment later.
             warm_up_ms = self.cold_start_limit.warm_up_ms
             self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
--- a/ibisfront/tests/test_gateway_cold_start_limit.py
+++ b/ibisfront/tests/test_gateway_cold_start_limit.py
@@ -1,4 +1,4 @@
-"""Tests of what cold servers get from all instances together, in mock time."""
+"""Tests of the total rate of requests to cold servers, in mock time."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 
 
 class Sender:
-    """An instance that sends a request to the cold server whenever it may."""
+    """An instance that sends to the cold server whenever its limit allows it."""
 
-    def __init__(self, own, listed, table, nursery, clock, stand_in):
+    def __init__(self, own, listed, table, nursery, clock, fake_server):
         self._clock = clock
         coordinators = Coordinators(own)
         coordinators.update(listed, table)
@@ -54,7 +54,7 @@
         )
 
         async def open_connection(address):
-            return connect_to(stand_in)
+            return connect_to(fake_server)
 
         connections._open_connection = open_connection
         self.registry = ServerRegistry(
@@ -84,18 +84,17 @@
     )
 
 
-def _most_in_a_second(moments_ms):
+def _max_per_second(times_ms):
     return max(
-        sum(start <= other < start + 1000.0 for other in moments_ms)
-        for start in moments_ms
+        sum(start <= other < start + 1000.0 for other in times_ms) for start in times_ms
     )
 
 
 class ColdServerTest(unittest.TestCase):
-    """A server that has just started, and many instances that would use it."""
+    """A server that has just started, and many instances that send to it."""
 
     async def _received_ms(self, instances, per_s, seconds):
-        """Return when the server was sent requests."""
+        """Return the times at which requests were sent to the server."""
         clock = Clock()
         services = {
             "archive": RoutedService(
@@ -109,36 +108,36 @@
             InstanceEntry(f"i{number}", "z0", f"i{number}")
             for number in range(instances)
         ]
-        stand_in = StandInServer(_ENTRY, latency_ms=1.0)
+        fake_server = StandInServer(_ENTRY, latency_ms=1.0)
         async with trio.open_nursery() as nursery:
             for own in listed:
-                sender = Sender(own, listed, table, nursery, clock, stand_in)
+                sender = Sender(own, listed, table, nursery, clock, fake_server)
                 nursery.start_soon(sender.run)
             await trio.sleep(seconds)
             nursery.cancel_scope.cancel()
-        return [exchange.sent_at_ms for exchange in stand_in.received]
+        return [exchange.sent_at_ms for exchange in fake_server.received]
 
     @trio_test
-    async def test_cold_server_gets_no_more_than_it_bears(self):
-        """Guards against all instances' first requests to a cold server at once."""
+    async def test_cold_server_gets_no_more_than_its_bound(self):
+        """Guards against a burst of all instances' first requests to a cold server."""
         for instances, per_s in ((3, 20.0), (9, 4.0), (60, 10.0)):
             sent_ms = await self._received_ms(instances, per_s, 2.9)
-            self.assertLessEqual(_most_in_a_second(sent_ms), per_s * 1.5 + 5.0)
+            self.assertLessEqual(_max_per_second(sent_ms), per_s * 1.5 + 5.0)
             self.assertGreater(len(sent_ms), per_s)
 
     @trio_test
-    async def test_warm_server_and_one_without_a_bound_get_all(self):
+    async def test_warm_and_unbounded_servers_get_all_requests(self):
         """Guards against a limit that outlasts the warm-up."""
         cold_and_warm_ms = await self._received_ms(9, 4.0, 4.0)
-        self.assertGreater(_most_in_a_second(cold_and_warm_ms), 100)
+        self.assertGreater(_max_per_second(cold_and_warm_ms), 100)
         unbounded_ms = await self._received_ms(9, 0.0, 2.0)
-        self.assertGreater(_most_in_a_second(unbounded_ms), 100)
+        self.assertGreater(_max_per_second(unbounded_ms), 100)
 
     @trio_test
-    async def test_server_that_was_lost_counts_as_cold_when_it_is_back(self):
-        """Guards against a restarted server whose new entry is not here yet."""
+    async def test_reconnected_server_counts_as_cold(self):
+        """Guards against overload of a restarted server until its new entry arrives."""
         server = Server(_ENTRY, now_ms=0.0, is_near=True)
-        server.cold_start_limit.share = 1
+        server.cold_start_limit.share_per_s = 1
         server.cold_start_limit.warm_up_ms = _WARM_UP_MS
         now_ms = 2.0 * _WARM_UP_MS
         self.assertFalse(server.is_cold(now_ms))
--- a/ibisfront/tests/test_gateway_gather_plan.py
+++ b/ibisfront/tests/test_gateway_gather_plan.py
@@ -1,4 +1,4 @@
-"""Tests of when a gathered query acts."""
+"""Tests of the times at which a scatter-gather query acts."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def baseline(median_ms, late_ms):
-    """Return latencies that were measured."""
-    found = BaselineLatency(median_ms)
-    found.median_ms, found.late_ms = median_ms, late_ms
-    return found
+    """Return a baseline with the given latencies."""
+    result = BaselineLatency(median_ms)
+    result.median_ms, result.late_ms = median_ms, late_ms
+    return result
 
 
 def hedge_at_ms(left_ms, latencies):
-    """Return when a query of so much time hedges."""
+    """Return when a query with the given time left hedges."""
     plan = gather_plan(
         0.0,
         end_at_ms=left_ms,
@@ -28,28 +28,28 @@
 
 
 class HedgeMomentTest(unittest.TestCase):
-    """When late parts are asked of a second server."""
+    """When late parts are requested from a second server."""
 
     def test_healthy_stragglers_are_waited_for_while_there_is_time(self):
-        """Servers of a loaded zone get a tenth more requests, for nothing.
+        """Guards against a tenth more requests to a loaded zone without benefit.
 
-        A query has four times as long as its parts usually take. Hedged as
-        soon as parts are late, each query asks for a tenth of them twice,
-        although nearly all of these come a moment later.
+        A query has four baseline latencies left. If it hedged as soon as parts are
+        late, it would request a tenth of them twice, although nearly all of these
+        arrive shortly afterwards.
         """
         loaded = baseline(20.0, 30.0)
-        loaded.calm_ms = 10.0
+        loaded.unloaded_ms = 10.0
         self.assertEqual(hedge_at_ms(100.0, loaded), 40.0)
 
-    def test_idle_servers_are_asked_sooner(self):
-        """Guards against queries that wait for a paused server beside idle ones."""
+    def test_idle_servers_get_hedged_requests_sooner(self):
+        """Guards against waiting for a paused server while others are idle."""
         self.assertEqual(hedge_at_ms(100.0, baseline(20.0, 28.0)), 30.0)
 
     def test_short_query_hedges_as_soon_as_parts_are_late(self):
         self.assertEqual(hedge_at_ms(70.0, baseline(20.0, 28.0)), 28.0)
 
-    def test_second_server_is_left_half_of_the_time(self):
+    def test_second_server_has_half_of_the_time(self):
         self.assertAlmostEqual(hedge_at_ms(60.0, baseline(20.0, 45.0)), 27.0)
 
-    def test_no_part_is_hedged_before_it_is_usual_to_have_come(self):
+    def test_no_part_is_hedged_before_the_baseline_latency(self):
         self.assertAlmostEqual(hedge_at_ms(40.0, baseline(20.0, 45.0)), 24.0)
--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -321,7 +321,7 @@
     def test_told_queues_go_before_the_latency(self):
         """Guards against work cut off, and hedged late, beside idle servers."""
         baseline = BaselineLatency(10.0)
-        baseline.median_ms, baseline.calm_ms = 20.0, 10.0
+        baseline.median_ms, baseline.unloaded_ms = 20.0, 10.0
         self.assertTrue(baseline.is_loaded)
         baseline.record_load(ServerLoad(1, 0, 2))
         self.assertFalse(baseline.is_loaded)
--- a/properties/test_cold_start_limit_properties.py
+++ b/properties/test_cold_start_limit_properties.py
@@ -1,4 +1,4 @@
-"""However many instances send, a cold server gets no more than it bears."""
+"""A cold server gets no more than its bound, for any number of instances."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class ColdShareTest(unittest.TestCase):
-    """The shares of a cold server's bound."""
+    """Shares of a cold server's bound."""
 
     @settings(deadline=None)
     @given(bounds_per_s, instance_counts)
     def test_shares_add_up_to_no_more_than_the_bound(self, bound_per_s, count):
-        """Guards against a cold server that all instances together break down."""
+        """Guards against a cold server overloaded by all instances together."""
         senders = [f"i{number}" for number in range(count)]
         shares = [
             cold_share("s", own=own, senders=senders, bound_per_s=bound_per_s)
@@ -32,7 +32,7 @@
     @settings(deadline=None)
     @given(bounds_per_s, instance_counts)
     def test_instance_that_is_no_sender_has_no_share(self, bound_per_s, count):
-        """Guards against requests beside those that share the bound."""
+        """Guards against requests in excess of the shares of the bound."""
         senders = [f"i{number}" for number in range(count)]
         share = cold_share("s", own="other", senders=senders, bound_per_s=bound_per_s)
         self.assertEqual(share, 0)
