--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -185,7 +185,9 @@
             take=self.take_state,
             on_cut_off=self._record_cut_off,
             on_lost=self._record_peer_lost,
-            known_version=lambda: self._version if self.gateway.is_informed else 0,
+            known_version=lambda: (
+                self._version if self.gateway.has_initial_state else 0
+            ),
             seeds=settings.seeds,
             clock=clock,
             is_first_start=settings.is_first_start,
@@ -194,7 +196,7 @@
             state=self._state,
             is_fresh=lambda: self.state_sync.is_fresh,
             may_become_fresh=lambda: self.state_sync.may_become_fresh,
-            is_cut_off=lambda: self.gateway.is_cut_off,
+            is_cut_off=lambda: self.gateway.is_partitioned,
             clock=clock,
         )
         self.gateway = Gateway(
@@ -223,15 +225,15 @@
 
     def tell_readiness(self) -> bool:
         """Return what the balancer is told, and note when that changes."""
-        is_ready = self.gateway.tell_readiness() and not self.is_stopping
+        is_ready = self.gateway.report_readiness() and not self.is_stopping
         if is_ready is not self._was_ready:
             self._was_ready = is_ready
             word = "ready" if is_ready else "not ready"
             fields = {
                 "version": self._version,
                 "stopping": self.is_stopping,
-                "found_cut_off": self.gateway.is_cut_off,
-                "told_cut_off": self.gateway.is_reported_cut_off,
+                "found_cut_off": self.gateway.is_partitioned,
+                "told_cut_off": self.gateway.is_reported_partitioned,
             }
             _BALANCER_LOG.info("The balancer is told %s.", word, extra=fields)
         return is_ready
@@ -279,7 +281,7 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Put changed settings in force, as far as that needs no restart."""
         self.settings = settings
-        self.budgets.use(settings.bounds, self._clock.now_ms())
+        self.budgets.set_bounds(settings.bounds, self._clock.now_ms())
 
     def take_instances(self, listed: Sequence[InstanceEntry]) -> None:
         """Take in the list of instances."""
@@ -309,7 +311,7 @@
         if self.coordinators.is_coordinator:
             return
         if is_cut_off or name in self.coordinators.of_zone(self.own.zone):
-            self.gateway.record_cut_off(is_cut_off)
+            self.gateway.record_reported_partition(is_cut_off)
 
     def _record_peer_lost(self, name: str) -> None:
         """Take in that another instance does not answer any more."""
@@ -399,7 +401,7 @@
         """Take in a full list of servers; see ``ServerRegistry.replace``."""
         self.registry.replace(entries, after_outage=after_outage, unreadable=unreadable)
         self.connections.warm_up(self.registry)
-        self.gateway.record_learnt()
+        self.gateway.resume_waiting_requests()
 
     def use_evacuations(self, zones: frozenset[str]) -> None:
         """Send nothing more to the servers of these zones."""
@@ -412,7 +414,7 @@
         for server in released:
             server.return_cold(now_ms, warm_up_share=random.random())
         self.connections.warm_up(self.registry)
-        self.gateway.record_learnt()
+        self.gateway.resume_waiting_requests()
 
     def use_configuration(self, configuration: Configuration) -> None:
         """Put a configuration in force if it is newer than the one that is."""
--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Answering callers by the configuration in force."""
+"""Answers callers according to the configuration in force."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 __all__ = ["Gateway"]
 
-_START_MS = 1_000.0
-"""How long after its start an instance expects to learn what it needs; later, the
-store is away."""
+_STARTUP_MS = 1_000.0
+"""Time after its start in which an instance expects its initial state; after that, the
+store counts as unavailable."""
 
-_START_WAIT_SHARE = 0.25
-"""Share of its time for which a caller waits for that: it can still go elsewhere."""
+_STARTUP_WAIT_SHARE = 0.25
+"""Share of its deadline that a caller waits for that: it can still go elsewhere."""
 
-_PROMISES_NOT_RUN = (408, 421, 429, 503)
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Gateway:
@@ -43,19 +43,19 @@
     Parameters
     ----------
     request_services : RequestServices
-        What answering takes.
+        The components that all requests share.
     delegation : Delegation, optional
-        Asks other instances for the parts that stand near them.
+        Delegates to other instances the sub-requests to servers in their zones.
     """
 
     __slots__ = (
         "_delegation",
-        "_informed",
+        "_initial_state_loaded",
         "_queries",
         "_reachability",
         "_request_services",
+        "_round_robin",
         "_started_ms",
-        "_turns",
     )
 
     def __init__(
@@ -69,64 +69,64 @@
         self._queries = ScatterGather(
             self._request_services, delegation, self._reachability
         )
-        self._turns = WeightedRoundRobin()
-        self._informed = trio.Event()
+        self._round_robin = WeightedRoundRobin()
+        self._initial_state_loaded = trio.Event()
         self._started_ms = request_services.clock.now_ms()
 
     @property
     def table(self) -> RouteTable | None:
-        """The configuration in force; None until the first is known."""
+        """The configuration in force; None until the first is loaded."""
         return self._request_services.table
 
     @table.setter
     def table(self, table: RouteTable) -> None:
-        self._request_services.use(table)
-        self._reachability.keep(table.route_names)
-        self._turns.keep(table.route_names)
+        self._request_services.apply_table(table)
+        self._reachability.retain(table.route_names)
+        self._round_robin.keep(table.route_names)
         if self._delegation is not None:
             self._delegation.keep(table.route_names)
-        self.record_learnt()
+        self.resume_waiting_requests()
 
     @property
-    def is_informed(self) -> bool:
-        """Whether the configuration, the servers and the evacuated zones are known.
+    def has_initial_state(self) -> bool:
+        """Whether the configuration, the servers and the evacuated zones are loaded.
 
-        One that has just started would else ask servers that must get nothing.
+        Without them, a restarted instance would send to servers that must get nothing.
         """
         return self.table is not None and self._request_services.registry.is_known
 
-    def record_learnt(self) -> None:
-        """Go on with the requests that wait, if all that they need is known."""
-        if self.is_informed:
-            self._informed.set()
+    def resume_waiting_requests(self) -> None:
+        """Resume the waiting requests, if the initial state is complete."""
+        if self.has_initial_state:
+            self._initial_state_loaded.set()
 
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        if not self.is_informed or self._queries.is_unreachable:
+        if not self.has_initial_state or self._queries.is_unreachable:
             return False
-        return not self.is_cut_off
+        return not self.is_partitioned
 
-    def tell_readiness(self) -> bool:
-        """Return whether the balancer should send callers here, and note it."""
+    def report_readiness(self) -> bool:
+        """Return whether the balancer should send callers here, and record it."""
         is_ready = self.is_ready
         now_ms = self._request_services.clock.now_ms()
         self._request_services.rotation.record(is_ready=is_ready, now_ms=now_ms)
         return is_ready
 
     @property
-    def is_cut_off(self) -> bool:
-        """Whether this instance itself has found the paths to the servers cut."""
+    def is_partitioned(self) -> bool:
+        """Whether this instance has found the paths to the servers partitioned."""
         return self.table is not None and self._reachability.is_isolated(self.table)
 
     @property
-    def is_reported_cut_off(self) -> bool:
-        """Whether others have found the paths to the servers cut."""
+    def is_reported_partitioned(self) -> bool:
+        """Whether others have reported the paths to the servers as partitioned."""
         return self._queries.is_unreachable
 
-    def record_cut_off(self, is_cut_off: bool) -> None:
-        """Take in whether an instance that gathers for this one is cut off."""
-        if is_cut_off:
+    def record_reported_partition(self, is_partitioned: bool) -> None:
+        """Record whether a coordinator of this instance is partitioned."""
+        if is_partitioned:
             self._queries.record_reported_unreachable()
         else:
             self._queries.record_reachable()
@@ -134,7 +134,7 @@
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Return the answer to one request of a caller."""
         request_services = self._request_services
-        if not await self._is_informed_soon(request) or self.table is None:
+        if not await self._wait_for_initial_state(request) or self.table is None:
             return request_services.refuse(
                 request, request_services.not_run("no_configuration")
             )
@@ -144,46 +144,46 @@
                 request, CallerReply(404, [], b"", "no_route")
             )
         if not self._reachability.can_serve(route):
-            self.tell_readiness()
+            self.report_readiness()
             return request_services.refuse(request, request_services.unreachable())
         if route.gathering is not None:
             return await self._queries.answer(request, route, route.gathering)
         return await self._forward(request, route)
 
     async def answer_instance(self, request: InboundRequest) -> CallerReply:
-        """Return the answer to another instance: a query's parts, or a sign of life."""
-        alive = answer_liveness_probe(request, self._request_services.wire)
-        if alive is not None:
-            return alive
+        """Return the answer to another instance: query parts or a liveness reply."""
+        liveness_reply = answer_liveness_probe(request, self._request_services.wire)
+        if liveness_reply is not None:
+            return liveness_reply
         query = delegated_from(request)
         if query is None:
             return CallerReply(400, [], b"", "not_delegated")
-        if not await self._is_informed_soon(query.request):
+        if not await self._wait_for_initial_state(query.request):
             reply = self._request_services.not_run("no_configuration")
             return self._request_services.refuse(request, reply)
         return await self._queries.answer_delegated(query)
 
-    async def _is_informed_soon(self, request: InboundRequest) -> bool:
-        """Return whether what a request needs is known, now or in a moment.
+    async def _wait_for_initial_state(self, request: InboundRequest) -> bool:
+        """Wait briefly for the initial state; return whether it is complete.
 
-        Load pattern: all instances restart. Callers are there before the
-        configuration, which follows some ten milliseconds after the start; refused,
-        they would come again to another instance that has just started.
+        Load pattern: all instances restart. Callers arrive before the configuration,
+        which is loaded some ten milliseconds after the start; if refused, they would
+        retry at another instance that has just started.
         """
-        if self.is_informed:
+        if self.has_initial_state:
             return True
         clock = self._request_services.clock
         deadline_ms = request.deadline_ms
-        wait_ms = self._started_ms + _START_MS - clock.now_ms()
+        wait_ms = self._started_ms + _STARTUP_MS - clock.now_ms()
         if deadline_ms is not None:
-            wait_ms = min(wait_ms, _START_WAIT_SHARE * deadline_ms)
+            wait_ms = min(wait_ms, _STARTUP_WAIT_SHARE * deadline_ms)
         with clock.timeout_ms(wait_ms):
-            await self._informed.wait()
-        return self.is_informed
+            await self._initial_state_loaded.wait()
+        return self.has_initial_state
 
     async def _forward(self, request: InboundRequest, route: Route) -> CallerReply:
         request_services = self._request_services
-        service = self._turns.next_service(route)
+        service = self._round_robin.next_service(route)
         context = request_services.context(request, route)
         run = ForwardRun(
             service,
@@ -195,37 +195,37 @@
             await run.run()
         except trio.Cancelled:
             run.end(at_once=True)
-            request_services.record_left(request, route, context)
+            request_services.record_cancelled(request, route, context)
             raise
         run.end(at_once=not route.is_idempotent)
-        reply = self._forwarded(run)
+        reply = self._forwarding_reply(run)
         request_services.record(
             request, route, reply, context, parts=run.call.last_error
         )
         return reply
 
-    def _forwarded(self, run: ForwardRun) -> CallerReply:
+    def _forwarding_reply(self, run: ForwardRun) -> CallerReply:
         call = run.call
         if call.reply is not None:
-            return _passed_back(call.reply, "answered")
+            return _pass_through(call.reply, "answered")
         if not call.may_have_run:
             reason = call.last_error or "not_sent"
             return self._request_services.not_run(reason, call.retry_after_ms)
-        if call.failure is not None and _may_pass_back(call.failure):
-            return _passed_back(call.failure, "server_failed")
+        if call.failure is not None and _may_pass_through(call.failure):
+            return _pass_through(call.failure, "server_failed")
         if call.last_error:
             return CallerReply(BAD_GATEWAY, [], b"", call.last_error)
         return CallerReply(GATEWAY_TIMEOUT, [], b"", "timed_out")
 
 
-def _passed_back(reply: BackendReply, reason: str) -> CallerReply:
+def _pass_through(reply: BackendReply, reason: str) -> CallerReply:
     return CallerReply(reply.status, reply.headers, reply.body, reason)
 
 
-def _may_pass_back(reply: BackendReply) -> bool:
-    """Return whether a server's failure may be passed back as it is.
+def _may_pass_through(reply: BackendReply) -> bool:
+    """Return whether a server's failure may be passed to the caller unchanged.
 
-    Some statuses promise that the request did not run, which a server that
-    ran it did not mean; a body in an encoding is not the server's own.
+    Some statuses promise that the request did not run, which a server that ran it
+    does not mean; a body with a content encoding is not from the server itself.
     """
-    return reply.status not in _PROMISES_NOT_RUN and not reply.is_encoded
+    return reply.status not in _NOT_RUN_STATUSES and not reply.is_encoded
--- a/ibisfront/gateway/load/retry_budget.py
+++ b/ibisfront/gateway/load/retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of extra sub-requests of each service."""
+"""Budgets of extra sub-requests (retries and hedged requests) per service."""
 
 from __future__ import annotations
 
@@ -11,26 +11,25 @@
 __all__ = ["RetryBudgets", "ServiceRetryBudget"]
 
 _BUCKETS = 10
-"""Parts of a window in which counts are kept together; one more is held, so
-that a window is never counted shorter than it is."""
+"""Buckets of a sliding window; one more is held, so that the window counted is never
+shorter than the configured one."""
 
-_SAFETY = 0.85
-"""Share of the bound that is used: buckets are coarser than the sliding
-window by a tenth."""
+_SAFETY_FACTOR = 0.85
+"""Share of the bound that is used, as the buckets' granularity is a tenth of the
+sliding window."""
 
-
-_STARTED_SHARE = 0.5
+_STARTUP_SHARE = 0.5
 """Share of its allowance that an instance uses in the first window after its start:
-it does not know what it had spent before."""
+the extra sub-requests sent before a restart are not recorded."""
 
 
 class ServiceRetryBudget:
-    """Extra sub-requests to one service over a sliding window.
+    """Budget of extra sub-requests to one service over a sliding window.
 
-    All that goes to a service beyond the first sub-request of a request is
-    extra: hedged requests, retries, also those that the server rejects. The
-    share of this instance's own requests needs no talk with the others, since
-    the shares add up; the allowance is split over the instances.
+    Every sub-request to a service after the first one of a request is extra:
+    hedged requests and retries, including those that the server rejects. The
+    ratio applies to this instance's own requests, which needs no coordination
+    as the ratios add up; the allowance is split over the instances.
 
     Parameters
     ----------
@@ -57,12 +56,12 @@
         self.primaries = 0
         self.extras = 0
 
-    def use(self, bounds: Bounds, now_ms: float) -> None:
-        """Go by other bounds from now on.
+    def set_bounds(self, bounds: Bounds, now_ms: float) -> None:
+        """Replace the bounds.
 
-        Counts of another window cannot be placed in the new one. What was
-        spent counts as spent now, and what was earned is given up: a service
-        may get too little for one window, and never too much.
+        Counts of the old window cannot be placed in one of another length. All
+        extra attempts in it count as sent now, and the primary ones are dropped:
+        a service may get too few extra attempts for one window, never too many.
         """
         if bounds.extra_window_ms != self._bounds.extra_window_ms:
             size = len(self._primaries)
@@ -75,26 +74,26 @@
         self._bounds = bounds
 
     def record_primary(self, now_ms: float) -> None:
-        """Count the first sub-request of a request."""
+        """Count the primary sub-request of a request."""
         self._advance(now_ms)
         self._primaries[self._bucket % len(self._primaries)] += 1
         self.primaries += 1
 
     def try_spend(self, now_ms: float, *, senders: float) -> bool:
-        """Take one extra sub-request; return False if none is left.
+        """Spend one extra sub-request; return False if the budget is exhausted.
 
         Parameters
         ----------
         now_ms : float
-            The time.
+            The current time.
         senders : float
-            How many instances share the allowance, this one included; infinite if
-            this one has no part in it.
+            Number of instances that share the allowance, including this one;
+            infinite if this one has no share.
         """
         self._advance(now_ms)
         allowed = self._bounds.extra_ratio * self.primaries
         allowed += self._bounds.extra_allowance / senders
-        if self.extras + 1 > allowed * _SAFETY:
+        if self.extras + 1 > allowed * _SAFETY_FACTOR:
             return False
         self._extras[self._bucket % len(self._extras)] += 1
         self.extras += 1
@@ -116,29 +115,28 @@
 
 
 class RetryBudgets:
-    """The budgets of all services.
+    """Retry budgets of all services.
 
     Parameters
     ----------
     bounds : Bounds
         The deployment's bounds.
-
     instances : int
-        How many instances share the allowances.
+        Number of instances that share the allowances.
     started_ms : float, optional
-        When this instance started.
+        Start time of this instance.
 
     Attributes
     ----------
     instances : int
-        How many instances share the allowances.
+        Number of instances that share the allowances.
     """
 
     __slots__ = (
         "_bounds",
         "_budgets",
-        "_coordinators",
-        "_gathered",
+        "_coordinated_services",
+        "_coordinator_count",
         "_started_ms",
         "instances",
     )
@@ -149,43 +147,47 @@
         self._bounds = bounds
         self._budgets: dict[str, ServiceRetryBudget] = {}
         self._started_ms = started_ms
-        self._gathered: frozenset[str] = frozenset()
-        self._coordinators = math.inf
+        self._coordinated_services: frozenset[str] = frozenset()
+        self._coordinator_count = math.inf
         self.instances = instances
 
     def set_coordinator_count(self, count: float, services: frozenset[str]) -> None:
-        """Share the allowances of gathered services out to those that gather.
+        """Split the allowances of scatter-gather services over the coordinators.
 
-        Load pattern: a few instances gather for all. Split over all, the allowance
-        lies idle at those that ask no servers, and parts that are late at the others
-        are not asked for again.
+        Load pattern: a few instances coordinate for all. Split over all instances,
+        the allowance is unused at those that send no sub-requests, and the
+        coordinators lack it for hedged requests.
 
         Parameters
         ----------
         count : float
-            How many instances gather; infinite if this one does not.
+            Number of coordinators; infinite if this instance is not one of them.
         services : frozenset of str
-            The services of which that holds; none if all instances gather.
+            The services that only coordinators call; empty if there are none.
         """
-        self._coordinators = count
-        self._gathered = services
+        self._coordinator_count = count
+        self._coordinated_services = services
 
-    def use(self, bounds: Bounds, now_ms: float) -> None:
-        """Go by other bounds from now on."""
+    def set_bounds(self, bounds: Bounds, now_ms: float) -> None:
+        """Replace the bounds of all services."""
         self._bounds = bounds
         for budget in self._budgets.values():
-            budget.use(bounds, now_ms)
+            budget.set_bounds(bounds, now_ms)
 
     def of_service(self, service: str) -> ServiceRetryBudget:
-        """Return the budget of a service."""
+        """Return the retry budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = ServiceRetryBudget(self._bounds)
         return budget
 
     def try_spend(self, service: str, now_ms: float) -> bool:
-        """Take one extra sub-request of a service, if one is left."""
-        senders = self._coordinators if service in self._gathered else self.instances
+        """Spend one extra sub-request to a service, if its budget allows it."""
+        senders = (
+            self._coordinator_count
+            if service in self._coordinated_services
+            else self.instances
+        )
         if now_ms < self._started_ms + self._bounds.extra_window_ms:
-            senders /= _STARTED_SHARE
+            senders /= _STARTUP_SHARE
         return self.of_service(service).try_spend(now_ms, senders=senders)
--- a/ibisfront/gateway/load/weighted_round_robin.py
+++ b/ibisfront/gateway/load/weighted_round_robin.py
@@ -1,10 +1,10 @@
-"""Taking turns between the services that share a route."""
+"""Weighted round robin between the services that share a route."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.route_state import keep_routes
+from ibisfront.gateway.route_state import retain_routes
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -17,9 +17,9 @@
 class WeightedRoundRobin:
     """Smooth weighted round robin for each route.
 
-    Over any run of requests each service's count stays within one of its
-    share; drawing at random would be off by several in a hundred over the
-    few requests that one instance sees.
+    Over any sequence of requests each service's count stays within one of its
+    share; random selection would be off by several percent over the few
+    requests that one instance receives.
     """
 
     __slots__ = ("_credits",)
@@ -28,7 +28,7 @@
         self._credits: dict[str, dict[str, float]] = {}
 
     def next_service(self, route: Route) -> str:
-        """Return the service whose turn it is."""
+        """Return the service that gets the next request."""
         if len(route.services) == 1:
             return route.services[0].service
         names = {item.service for item in route.services}
@@ -44,5 +44,5 @@
         return chosen
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all routes but these."""
-        keep_routes(self._credits, names)
+        """Drop the credits of all routes except these."""
+        retain_routes(self._credits, names)
--- a/ibisfront/gateway/observability.py
+++ b/ibisfront/gateway/observability.py
@@ -1,4 +1,4 @@
-"""What the gateway counts and logs of each request."""
+"""Counters and log lines for each request to the gateway."""
 
 from __future__ import annotations
 
@@ -19,13 +19,12 @@
 
 _LOG = part_logger(LogPart.QUERY)
 
-_MOST_DECISIONS = 40
-"""Decisions that stand in one line; a query over many services may have more
-when all of them fail."""
+_MAX_DECISIONS = 40
+"""Decisions in one log line; a query over many services may have more if all fail."""
 
-_FOR_ANOTHER = "delegated_parts"
-_ORDINARY = frozenset(("whole", "answered", "partial", _FOR_ANOTHER))
-"""Reasons whose lines give way to those of failures."""
+_DELEGATED_PARTS = "delegated_parts"
+_ROUTINE_REASONS = frozenset(("whole", "answered", "partial", _DELEGATED_PARTS))
+"""Reasons whose log lines are dropped in favour of those of failures."""
 
 
 class Decision(msgspec.Struct, frozen=True):
@@ -34,15 +33,15 @@
     Attributes
     ----------
     after_ms : float
-        How long after the request had come.
+        Time since the request arrived.
     what : str
-        What was decided or seen.
+        The decision or observation.
     service : str
-        Of which service.
+        The service concerned.
     server : str
-        Which backend server or instance.
+        The backend server or instance concerned.
     detail : str
-        What decided it.
+        The cause of the decision.
     """
 
     after_ms: float
@@ -53,30 +52,30 @@
 
 
 class RequestTrace:
-    """The decisions about one request, in order.
+    """Decisions about one request, in order.
 
     Attributes
     ----------
     started_ms : float
-        When the request had come.
+        When the request arrived.
     extras : int
-        How many sub-requests beyond the first were sent.
+        Number of extra sub-requests sent.
     """
 
-    __slots__ = ("_decisions", "_left_out", "extras", "started_ms")
+    __slots__ = ("_decisions", "_omitted", "extras", "started_ms")
 
     def __init__(self, started_ms: float) -> None:
         self.started_ms = started_ms
         self.extras = 0
         self._decisions: list[Decision] = []
-        self._left_out = 0
+        self._omitted = 0
 
     def record(
         self, now_ms: float, what: str, service: str, server: str, detail: str = ""
     ) -> None:
-        """Note a decision."""
-        if len(self._decisions) >= _MOST_DECISIONS:
-            self._left_out += 1
+        """Record a decision."""
+        if len(self._decisions) >= _MAX_DECISIONS:
+            self._omitted += 1
             return
         after_ms = round(now_ms - self.started_ms, 1)
         self._decisions.append(Decision(after_ms, what, service, server, detail))
@@ -86,8 +85,8 @@
         fields: dict[str, Any] = {
             "decisions": [msgspec.to_builtins(item) for item in self._decisions]
         }
-        if self._left_out:
-            fields["decisions_left_out"] = self._left_out
+        if self._omitted:
+            fields["decisions_left_out"] = self._omitted
         return fields
 
 
@@ -120,10 +119,10 @@
         baseline: BaselineLatency,
         parts: str = "",
     ) -> None:
-        """Take in a request that was answered.
+        """Record a request that was answered.
 
-        The line of a failure or a late answer holds every decision about it; an
-        ordinary one's does not, and may be dropped when there are many.
+        The log line of a failure or a late answer contains all decisions; a routine
+        one does not, and may be dropped under load.
         """
         took_ms = now_ms - request.arrived_at_ms
         self.counters.add(CounterKind.ANSWERS, reply.reason)
@@ -142,9 +141,9 @@
         }
         if parts:
             fields["parts"] = parts
-        # Parts that another instance asked for are late at that one, if at all.
-        is_late = took_ms > route.objective_ms and reply.reason != _FOR_ANOTHER
-        if reply.reason in _ORDINARY and not is_late:
+        # Whether delegated parts are late is decided by the requesting instance.
+        is_late = took_ms > route.objective_ms and reply.reason != _DELEGATED_PARTS
+        if reply.reason in _ROUTINE_REASONS and not is_late:
             _LOG.info("Answered %d.", reply.status, extra=fields)
             return
         fields.update(trace.as_fields())
@@ -153,12 +152,12 @@
             "Answered %d%s: %s.", reply.status, late, reply.reason, extra=fields
         )
 
-    def record_left(
+    def record_cancelled(
         self, request: InboundRequest, route: Route, trace: RequestTrace, now_ms: float
     ) -> None:
-        """Take in a request whose asker left before its answer.
+        """Record a request whose sender disconnected before its answer.
 
-        An instance that asked for parts leaves when it gives the query up.
+        An instance that requested parts disconnects when it abandons the query.
         """
         self.counters.add(CounterKind.CANCELLATIONS, "asker_left")
         fields: dict[str, Any] = {
@@ -174,7 +173,7 @@
     def record_refused(
         self, request: InboundRequest, reply: CallerReply, *, version: int | None
     ) -> None:
-        """Take in a request that was refused before any decision."""
+        """Record a request that was refused before any decision."""
         self.counters.add(CounterKind.REFUSALS, reply.reason)
         fields = {
             "request_id": request.request_id,
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -10,7 +10,7 @@
 from ibisfront.gateway.load.baseline_latency import BaselineLatency
 from ibisfront.gateway.load.server_choice import choose_server
 from ibisfront.gateway.queries.remote_call import RemotePlan
-from ibisfront.gateway.route_state import keep_routes
+from ibisfront.gateway.route_state import retain_routes
 from ibisfront.gateway.state.configuration import Gathering
 
 if TYPE_CHECKING:
@@ -158,8 +158,8 @@
 
     def keep(self, names: Container[str]) -> None:
         """Forget all routes but these."""
-        keep_routes(self._latencies, names)
-        keep_routes(self._found, names)
+        retain_routes(self._latencies, names)
+        retain_routes(self._found, names)
 
     def _baseline(self, route: Route) -> BaselineLatency:
         baseline = self._latencies.get(route.name)
--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -195,7 +195,9 @@
         self, request: InboundRequest, route: Route, gathering: Gathering
     ) -> CallerReply:
         request_services = self._request_services
-        end_at_ms = request_services.states.of(route).objective_at_ms(request, route)
+        end_at_ms = request_services.states.for_route(route).objective_at_ms(
+            request, route
+        )
         context = request_services.context(request, route)
         asked = _Asked(request, route, gathering, context, end_at_ms)
         remote_plan = None
@@ -286,7 +288,7 @@
             await run.run()
         except trio.Cancelled:
             run.end(at_once=True)
-            self._request_services.record_left(
+            self._request_services.record_cancelled(
                 asked.request, asked.route, asked.context
             )
             raise
--- a/ibisfront/gateway/request_services.py
+++ b/ibisfront/gateway/request_services.py
@@ -1,4 +1,4 @@
-"""What answering any request takes: contexts, refusals, notes."""
+"""Shared services for answering requests: contexts, refusals, records."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ibisfront.gateway.messages import CallerReply
 from ibisfront.gateway.observability import RequestTrace
 from ibisfront.gateway.queries.service_call import CallContext
-from ibisfront.gateway.route_state import RouteStates, caller_until_ms
+from ibisfront.gateway.route_state import RouteStates, caller_deadline_at_ms
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
@@ -27,21 +27,21 @@
 _UNAVAILABLE = 503
 
 _RETRY_AFTER_MS = 150.0
-"""When to come back if no server may be asked: long enough for a failed server
-to be tried again, short beside a deadline."""
+"""Retry-after time if no server may be used: long enough for a failed server to be
+tried again, short compared with a deadline."""
 
 
 class RequestServices:
-    """The parts that forwarded requests and gathered queries share.
+    """Components that forwarded requests and scatter-gather queries share.
 
     Parameters
     ----------
     registry : ServerRegistry
         The backend servers.
     budgets : RetryBudgets
-        The budgets of extra sub-requests.
+        The retry budgets of all services.
     wire : WireCodec
-        The codec.
+        The codec of requests and replies.
     clock : Clock
         The tier's clock.
     observer : Observer
@@ -50,11 +50,11 @@
     Attributes
     ----------
     states : RouteStates
-        What was measured of the routes.
+        Measurements per route.
     table : RouteTable or None
-        The configuration in force; None until the first is known.
+        The configuration in force; None until the first is loaded.
     rotation : Rotation
-        When the balancer sends callers elsewhere.
+        How soon the balancer sends callers elsewhere.
     """
 
     __slots__ = (
@@ -88,11 +88,11 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the configuration in force, if one is known."""
+        """The version of the configuration in force, if one is loaded."""
         return None if self.table is None else self.table.configuration.version
 
-    def use(self, table: RouteTable) -> None:
-        """Go by another version from now on; forget routes that it lacks."""
+    def apply_table(self, table: RouteTable) -> None:
+        """Apply a new route table; drop the state of routes that it lacks."""
         self.table = table
         self.states.keep(table.route_names)
         self._observer.latencies.keep(table.route_names)
@@ -100,12 +100,12 @@
     def context(
         self, request: InboundRequest, route: Route, *, is_repeat: bool = False
     ) -> CallContext:
-        """Return what all sub-requests of a request share."""
+        """Return the context that all sub-requests of a request share."""
         encode_for = self.wire.encode_request(request)
-        until_ms = caller_until_ms(request, route)
+        deadline_at_ms = caller_deadline_at_ms(request, route)
 
         def payload(server: Server, at_ms: float) -> bytes:
-            return encode_for(server.entry.server_id, until_ms - at_ms)
+            return encode_for(server.entry.server_id, deadline_at_ms - at_ms)
 
         return CallContext(
             request_id=request.request_id.encode("latin-1"),
@@ -114,7 +114,7 @@
             attempts=route.attempts,
             rank=route.rank,
             has_reply_body=request.method != b"HEAD",
-            baseline=self.states.of(route).baseline,
+            baseline=self.states.for_route(route).baseline,
             registry=self.registry,
             budgets=self._budgets,
             clock=self.clock,
@@ -129,9 +129,9 @@
         return CallerReply(_UNAVAILABLE, [self.wire.retry_after(wait_ms)], b"", reason)
 
     def unreachable(self) -> CallerReply:
-        """Return the refusal where too few servers of a route can be reached.
+        """Return the refusal if too few servers of a route are reachable.
 
-        An instance of another zone can serve the caller, once the balancer
+        An instance in another zone can serve the caller once the balancer
         sends it there.
         """
         wait_ms = self.rotation.wait_ms(self.clock.now_ms())
@@ -140,16 +140,16 @@
         return reply
 
     def refuse(self, request: InboundRequest, reply: CallerReply) -> CallerReply:
-        """Note a request that is refused before any server is asked."""
+        """Record a request that is refused before any sub-request; return the reply."""
         self._observer.record_refused(request, reply, version=self.version)
         return reply
 
-    def record_left(
+    def record_cancelled(
         self, request: InboundRequest, route: Route, context: CallContext
     ) -> None:
-        """Note a request whose asker left before its answer."""
+        """Record a request whose sender disconnected before its answer."""
         now_ms = self.clock.now_ms()
-        self._observer.record_left(request, route, context.trace, now_ms)
+        self._observer.record_cancelled(request, route, context.trace, now_ms)
 
     def record(
         self,
@@ -160,7 +160,7 @@
         *,
         parts: str,
     ) -> None:
-        """Note a request that is answered."""
+        """Record a request that is answered."""
         self._observer.record_request(
             request,
             route,
--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -1,4 +1,4 @@
-"""What was measured of each route, and how long its callers wait."""
+"""Measurements per route, and the deadlines of its callers."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 __all__ = [
     "RouteState",
     "RouteStates",
-    "caller_until_ms",
+    "caller_deadline_at_ms",
     "give_up_at_ms",
-    "keep_routes",
+    "retain_routes",
 ]
 
 _T = TypeVar("_T")
 
 _DEFAULT_DEADLINE_MS = 10_000.0
-"""How long a caller waits that does not say; the route's timeout is less."""
+"""Deadline of a caller that sends none; the route's timeout is shorter."""
 
-_FIRST_GUESS_SHARE = 0.15
-"""The baseline latency before any reply was seen, as a share of the objective."""
+_INITIAL_BASELINE_SHARE = 0.15
+"""Initial baseline latency, as a share of the latency objective."""
 
 _WORK_MARGIN_MS = 3.0
-"""What this process needs from the last part to the last byte of an answer."""
+"""Time that this process needs from the last part to the last byte of an answer."""
 
 _GIVE_UP_MARGIN_MS = 15.0
-"""How long before its caller's time is up a request gets its final answer."""
+"""Time before its caller's deadline at which a request gets its final answer."""
 
 
-def keep_routes(by_name: dict[str, _T], names: Container[str]) -> None:
-    """Forget what is kept of all routes but these.
+def retain_routes(by_name: dict[str, _T], names: Container[str]) -> None:
+    """Delete the entries of all routes except these.
 
-    Routes come and go with each version; what is kept of those that are gone
-    would add up for as long as the process lives.
+    Routes are added and removed with each version; entries of removed routes would
+    accumulate for the lifetime of the process.
     """
     for name in [name for name in by_name if name not in names]:
         del by_name[name]
 
 
 class RouteState:
-    """What was measured of one route.
+    """Measurements of one route.
 
     Parameters
     ----------
@@ -57,22 +57,21 @@
     Attributes
     ----------
     baseline : BaselineLatency
-        The baseline latency of its sub-requests.
+        Baseline latency of its sub-requests.
     """
 
     __slots__ = ("_longest_deadline_ms", "baseline")
 
     def __init__(self, route: Route) -> None:
-        self.baseline = BaselineLatency(route.objective_ms * _FIRST_GUESS_SHARE)
+        self.baseline = BaselineLatency(route.objective_ms * _INITIAL_BASELINE_SHARE)
         self._longest_deadline_ms = 0.0
 
     def objective_at_ms(self, request: InboundRequest, route: Route) -> float:
-        """Return until when an answer has its full worth.
+        """Return until when an answer meets the latency objective.
 
-        A caller that comes again says so only by a shorter deadline: what it
-        has lost of the longest one seen was spent on earlier attempts. Past
-        the objective any answer has the same small worth, and the time is
-        infinite.
+        A caller's retry shows only in a shorter deadline: the difference from the
+        longest one seen was spent on earlier attempts. If the objective can no
+        longer be met, all answers have the same low value, and the time is infinite.
         """
         deadline_ms = request.deadline_ms
         spent_ms = 0.0
@@ -86,27 +85,27 @@
 
 
 class RouteStates:
-    """The states of all routes, by name: a new version keeps what was measured."""
+    """States of all routes by name; measurements persist across versions."""
 
     __slots__ = ("_by_name",)
 
     def __init__(self) -> None:
         self._by_name: dict[str, RouteState] = {}
 
-    def of(self, route: Route) -> RouteState:
-        """Return the state of a route."""
+    def for_route(self, route: Route) -> RouteState:
+        """Return the state of a route; create it if needed."""
         state = self._by_name.get(route.name)
         if state is None:
             state = self._by_name[route.name] = RouteState(route)
         return state
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all routes but these."""
-        keep_routes(self._by_name, names)
+        """Drop the states of all routes except these."""
+        retain_routes(self._by_name, names)
 
 
-def caller_until_ms(request: InboundRequest, route: Route) -> float:
-    """Return until when the caller waits, or may be kept waiting."""
+def caller_deadline_at_ms(request: InboundRequest, route: Route) -> float:
+    """Return when the caller's deadline or the route's timeout expires."""
     deadline_ms = request.deadline_ms
     if deadline_ms is None:
         deadline_ms = _DEFAULT_DEADLINE_MS
@@ -115,4 +114,6 @@
 
 def give_up_at_ms(request: InboundRequest, route: Route) -> float:
     """Return when a request gets its final answer, so that it arrives in time."""
-    return caller_until_ms(request, route) - request.network_ms - _GIVE_UP_MARGIN_MS
+    return (
+        caller_deadline_at_ms(request, route) - request.network_ms - _GIVE_UP_MARGIN_MS
+    )
--- a/ibisfront/tests/test_front_evacuations.py
+++ b/ibisfront/tests/test_front_evacuations.py
@@ -102,9 +102,9 @@
             reply = await process.gateway.answer(request)
             self.assertEqual((reply.status, reply.reason), (503, "no_configuration"))
             process.replace_servers([], after_outage=False)
-            self.assertFalse(process.gateway.is_informed)
+            self.assertFalse(process.gateway.has_initial_state)
             process.use_evacuations(frozenset())
-            self.assertTrue(process.gateway.is_informed)
+            self.assertTrue(process.gateway.has_initial_state)
             nursery.cancel_scope.cancel()
 
     @trio_test
--- a/ibisfront/tests/test_gateway_many_routes.py
+++ b/ibisfront/tests/test_gateway_many_routes.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance holds and does for each of thousands of routes."""
+"""Tests of the memory and CPU cost of thousands of routes."""
 
 from __future__ import annotations
 
@@ -24,59 +24,64 @@
 ROUTES = 4200
 
 CONTROL_BYTES = 64 * 1024 * 1024
-"""What an instance may hold for control: the aim at the full size."""
+"""Memory target of an instance for control data at full size."""
 
 
 def table_of(routes):
-    """Return the table of a configuration with this many routes."""
+    """Return the table of a configuration with the given number of routes."""
     return RouteTable(configuration_from(configuration_spec(1, routes), RouteCache()))
 
 
 class CountingRegistry(ServerRegistry):
-    """Counts how often it is asked whether a service is within reach."""
+    """Counts the checks of whether a service is reachable."""
 
-    asked = 0
+    checks = 0
 
     def is_reachable(self, service):
-        self.asked += 1
+        self.checks += 1
         return super().is_reachable(service)
 
 
-def questions(table):
-    """Return how many services are looked at to tell whether all can be served."""
+def checked_services(table):
+    """Return how many services are checked to decide whether all can be served."""
     registry = CountingRegistry(clock=Clock(), make_pool=lambda server: None, zone="z0")
     for service in sorted(table.service_names):
         registry.put(ServerEntry(service, service, "10.0.0.1:80", "z0"))
     Reachability(registry=registry, clock=Clock()).is_isolated(table)
-    return registry.asked
+    return registry.checks
 
 
 class ManyRoutesTest(unittest.TestCase):
-    """An instance that answers few requests is busy, or ends for want of memory.
+    """Guards against high CPU use or exhausted memory at a low request rate.
 
-    The configuration has 4,200 routes. For each follower that asks, each second,
-    all of them were looked at to say whether the instance is cut off: 12 ms of a
-    core each time, in which queries waited. Once each route had been asked, the
-    latencies kept for each of them took 91 MB.
+    With 4,200 routes, checking all of them for each subscriber every second to
+    detect a partition blocks queries for 12 ms each time. The latencies kept for
+    every route take 91 MB once each route has been requested.
     """
 
     @trio_test
-    async def test_looking_whether_all_can_be_served_does_not_grow_with_routes(self):
-        self.assertEqual(questions(table_of(ROUTES)), questions(table_of(1)))
+    async def test_cost_of_the_partition_check_does_not_grow_with_routes(self):
+        self.assertEqual(
+            checked_services(table_of(ROUTES)), checked_services(table_of(1))
+        )
 
-    def test_what_is_kept_of_routes_that_are_gone_goes_too(self):
+    def test_state_of_removed_routes_is_dropped(self):
         table = table_of(3)
-        gone = msgspec.structs.replace(table.configuration.routes[0], name="gone")
-        states, latencies, turns = RouteStates(), RouteLatencies(), WeightedRoundRobin()
+        removed = msgspec.structs.replace(table.configuration.routes[0], name="gone")
+        states, latencies, round_robin = (
+            RouteStates(),
+            RouteLatencies(),
+            WeightedRoundRobin(),
+        )
         weighted = (WeightedService("a", 1.0), WeightedService("b", 1.0))
-        for route in (gone, *table.configuration.routes):
-            states.of(route)
+        for route in (removed, *table.configuration.routes):
+            states.for_route(route)
             latencies.record_ms(route.name, "answered", 1.0)
-            turns.next_service(msgspec.structs.replace(route, services=weighted))
-        for kept in (states, latencies, turns):
-            kept.keep(table.route_names)
+            round_robin.next_service(msgspec.structs.replace(route, services=weighted))
+        for per_route in (states, latencies, round_robin):
+            per_route.keep(table.route_names)
         self.assertEqual(states._by_name.keys(), table.route_names)
-        self.assertEqual(turns._credits.keys(), table.route_names)
+        self.assertEqual(round_robin._credits.keys(), table.route_names)
         recorded = {sample.labels[0].value for sample in latencies.samples()}
         self.assertEqual(recorded, table.route_names)
 
--- a/ibisfront/tests/test_gateway_retry_budget.py
+++ b/ibisfront/tests/test_gateway_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget of extra sub-requests."""
+"""Tests of the retry budgets of services."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def spend_all(budget, now_ms, *, instances=1):
-    """Return how many extra sub-requests a budget gives at once."""
+    """Return how many extra sub-requests a budget grants at once."""
     count = 0
     while budget.try_spend(now_ms, senders=instances):
         count += 1
@@ -22,9 +22,9 @@
 
 
 class ServiceRetryBudgetTest(unittest.TestCase):
-    """No window holds more than the share and the allowance."""
+    """No window exceeds the ratio of primary sub-requests plus the allowance."""
 
-    def test_share_and_allowance_bound_what_is_spent(self):
+    def test_ratio_and_allowance_bound_the_extras(self):
         budget = ServiceRetryBudget(BOUNDS)
         for _ in range(100):
             budget.record_primary(0.0)
@@ -38,10 +38,10 @@
         self.assertGreater(spent, 10)
 
     def test_every_sliding_window_stays_within_the_bound(self):
-        """A service in trouble gets twice its extra load around a full second.
+        """Guards against twice the extra load across the boundary of a window.
 
-        Extra sub-requests are taken as fast as they are given, with no firsts.
-        Any ten seconds, wherever they begin, must hold the allowance at most.
+        Extra sub-requests are spent as soon as they are granted, with no primary
+        ones. Any ten seconds may contain at most the allowance.
         """
         budget = ServiceRetryBudget(BOUNDS)
         spent_ms = []
@@ -53,21 +53,23 @@
         )
         self.assertLessEqual(worst, 20)
 
-    def test_other_window_forgives_nothing(self):
+    def test_change_of_window_keeps_spent_extras(self):
         budgets = RetryBudgets(BOUNDS, instances=1)
         budget = budgets.of_service("s")
         spend_all(budget, 5_000.0)
-        budgets.use(msgspec.structs.replace(BOUNDS, extra_window_ms=20_000.0), 6_000.0)
+        budgets.set_bounds(
+            msgspec.structs.replace(BOUNDS, extra_window_ms=20_000.0), 6_000.0
+        )
         self.assertEqual(spend_all(budget, 6_000.0), 0)
         self.assertEqual(spend_all(budget, 20_000.0), 0)
         self.assertGreater(spend_all(budget, 40_000.0), 0)
 
 
 class CoordinatorsBudgetTest(unittest.TestCase):
-    """Allowances where a few of many instances ask the servers."""
+    """Allowances where a few of many instances are coordinators."""
 
     def spent(self, *, count, **options):
-        """Return how many extras an instance gives at once without firsts."""
+        """Return how many extras an instance grants at once without primaries."""
         budgets = RetryBudgets(BOUNDS, instances=80, **options)
         budgets.set_coordinator_count(count, frozenset(("s",)))
         spent = 0
@@ -75,14 +77,14 @@
             spent += 1
         return spent
 
-    def test_those_that_gather_share_the_allowance(self):
-        """Guards against late parts that are not asked again for want of a budget."""
+    def test_coordinators_share_the_allowance(self):
+        """Guards against late parts that are not hedged for lack of budget."""
         spent = 4 * self.spent(count=4)
         self.assertLessEqual(spent, BOUNDS.extra_allowance)
         self.assertGreater(spent, BOUNDS.extra_allowance / 2)
 
-    def test_those_that_do_not_gather_have_none(self):
-        """Guards against an allowance that is given out twice."""
+    def test_other_instances_have_no_allowance(self):
+        """Guards against an allowance that is granted twice."""
         self.assertEqual(self.spent(count=math.inf), 0)
 
     def test_started_instance_has_less_for_one_window(self):
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -238,12 +238,12 @@
             fixture.cut()
             cut_ms = fixture.clock.now_ms()
             for _ in range(80):
-                looks.append((fixture.clock.now_ms(), gateway.tell_readiness()))
+                looks.append((fixture.clock.now_ms(), gateway.report_readiness()))
                 await trio.sleep(0.025)
             fixture.heal()
             healed_ms = fixture.clock.now_ms()
             await trio.sleep(0.4)
-            is_back = gateway.tell_readiness()
+            is_back = gateway.report_readiness()
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
         during = [item for item in replies if cut_ms <= item[0] < healed_ms]
@@ -311,7 +311,7 @@
             for server in fixture.far_servers():
                 server.latency_ms = 400.0
             for _ in range(20):
-                ready.append(gateway.tell_readiness())
+                ready.append(gateway.report_readiness())
                 await trio.sleep(0.025)
             nursery.cancel_scope.cancel()
         self.assertEqual(set(ready), {True})
