--- a/ibisfront/gateway/load/gather_plan.py
+++ b/ibisfront/gateway/load/gather_plan.py
@@ -59,7 +59,7 @@
     give_up_at_ms : float
         When the query is abandoned without enough parts.
     silent_at_ms : float
-        When the query is abandoned if no server has replied at all.
+        When the query is abandoned if no server has replied since its start.
     remote_silent_at_ms : float
         The same for another instance that is requested to provide parts.
     """
--- a/ibisfront/gateway/load/reachability.py
+++ b/ibisfront/gateway/load/reachability.py
@@ -34,7 +34,7 @@
 
     route: Route
     can_serve: bool
-    expires_at_ms: float
+    expiry_ms: float
 
 
 class Reachability:
@@ -64,11 +64,7 @@
         """Return whether enough of a route's services are reachable."""
         now_ms = self._clock.now_ms()
         cached = self._cache.get(route.name)
-        if (
-            cached is None
-            or now_ms >= cached.expires_at_ms
-            or cached.route is not route
-        ):
+        if cached is None or now_ms >= cached.expiry_ms or cached.route is not route:
             cached = _CachedResult(route, self._evaluate(route), now_ms + _CACHE_MS)
             self._cache[route.name] = cached
         return cached.can_serve
--- a/ibisfront/gateway/settings.py
+++ b/ibisfront/gateway/settings.py
@@ -64,7 +64,7 @@
     cold_slack: float = 0.0
 
     def cold_bound_per_s(self, warm_up_per_s: float) -> float:
-        """Return how many requests per second all instances may send to a cold server."""
+        """Return a cold server's limit over all instances, in requests per second."""
         return warm_up_per_s * self.cold_excess + self.cold_slack
 
     @property
