--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -10,13 +10,13 @@
 import trio
 
 from ibisfront.core.admission import Admission
+from ibisfront.core.backend_pools import BackendPools
 from ibisfront.core.catalogue import Catalogue
 from ibisfront.core.counters import Counters
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.fanout import Fanout
 from ibisfront.core.latencies import Latencies
 from ibisfront.core.ledger import Ledger
-from ibisfront.core.links import BackendLinks
 from ibisfront.core.members import Member, Members
 from ibisfront.core.objects import ObjectStore
 from ibisfront.core.perform_sender import PerformSender
@@ -30,7 +30,7 @@
     collect_status,
 )
 from ibisfront.core.stopping import Stopping
-from ibisfront.shared import SharedState
+from ibisfront.shared_state import SharedState
 
 if TYPE_CHECKING:
     from ibisfront.adapters.entrypoint import AdapterEntrypoint
@@ -90,7 +90,7 @@
         self.admission = Admission(
             clock=clock, counters=self.counters, shares=self.shares
         )
-        self.links = BackendLinks(
+        self.backend_pools = BackendPools(
             catalogue=self.catalogue,
             members=self.members,
             open_connection=adapters.connection_opener(),
@@ -98,7 +98,7 @@
             counters=self.counters,
             backend=settings.backend,
             query=settings.query,
-            signs=self.shared.signs,
+            server_statuses=self.shared.server_statuses,
         )
         self.quarantine = Quarantine(
             clock=clock,
@@ -108,7 +108,7 @@
         )
         self.fanout = Fanout(
             catalogue=self.catalogue,
-            links=self.links,
+            pools=self.backend_pools,
             quarantine=self.quarantine,
             clock=clock,
             counters=self.counters,
@@ -128,17 +128,17 @@
             counters=self.counters,
             zone=settings.instance.zone,
             maximum_connections=_PERFORM_CONNECTIONS,
-            signs=self.shared.signs,
+            server_statuses=self.shared.server_statuses,
             quarantine=self.quarantine,
         )
         self.ledger = Ledger(
             instance=settings.instance.name,
-            run_once=sender.send,
+            send_once=sender.send,
             clock=clock,
             counters=self.counters,
         )
         self.ledger.use_peers(self.peers)
-        self.stopping.on_leaving(self.ledger.finish)
+        self.stopping.on_leaving(self.ledger.flush)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -147,10 +147,10 @@
         async with AsyncExitStack() as stack:
             platform = self._adapters.open_platform()
             stack.push_async_callback(platform.aclose)
-            stack.push_async_callback(self.links.aclose)
+            stack.push_async_callback(self.backend_pools.aclose)
             nursery = await stack.enter_async_context(trio.open_nursery())
             nursery.start_soon(self.shares.run, self.peers)
-            nursery.start_soon(self.links.keep_up)
+            nursery.start_soon(self.backend_pools.maintain)
             await nursery.start(self.ledger.run, platform)
             await nursery.start(
                 partial(
@@ -192,17 +192,17 @@
     async def search(self, request: CallerRequest) -> Answer:
         """Return one whole answer; see ``CallerService``."""
         row, purpose = self._row(request, "search")
-        async with self.admission.admitted(
+        async with self.admission.admit(
             row, purpose, deadline_at_ms=request.deadline_at_ms
         ) as place:
             answer = await self.fanout.search(request, purpose)
-            place.shed = answer.coverage.was_shed
+            place.shed = answer.coverage.has_shed_part
             return answer
 
     async def perform(self, request: CallerRequest, key: str) -> PerformAnswer:
         """Run non-idempotent work at most once; see ``CallerService``."""
         row, purpose = self._row(request, "perform")
-        async with self.admission.admitted(
+        async with self.admission.admit(
             row, purpose, deadline_at_ms=request.deadline_at_ms
         ):
             return await self.ledger.perform(request, purpose, key)
--- a/ibisfront/testing/ledger_world.py
+++ b/ibisfront/testing/ledger_simulation.py
@@ -1,9 +1,9 @@
-"""Entry instances' ledgers in one process, among faults, for histories.
+"""Simulation of entry instances' ledgers in one process, under faults.
 
 The claim, send and recovery code is the real one; the platform, the backend
 servers, the peers and the callers are fakes under trio's mock clock. A killed
-instance takes no further effect: its calls that are under way may still land.
-A paused one takes none until it goes on.
+instance has no further effect, except that its calls in progress may still
+complete. A paused one has none until it is resumed.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
     from ibisfront.core.query import SubRequest
     from ibisfront.core.types import Address, JsonBytes, Version
 
-__all__ = ["CopyAnswer", "LedgerNode", "LedgerWorld", "key_of_first_bucket"]
+__all__ = ["CopyAnswer", "LedgerNode", "LedgerSimulation", "first_bucket_key"]
 
 WALL_START_MS = 1_764_700_000_000
 PURPOSE = Purpose("print-envelopes", "perform", service="print-queue")
@@ -64,7 +64,7 @@
 
 
 class CopyAnswer(msgspec.Struct):
-    """One copy of a request, and what its caller was told.
+    """One copy of a request, and the answer to its caller.
 
     Attributes
     ----------
@@ -73,9 +73,9 @@
     key : str
         Its key.
     ran : Ran or None
-        What was said about its having run; None if nothing was.
+        The reported ``ran``; None if there was no answer.
     code : str
-        The error's code; empty for an answer.
+        The error's code; empty if there was none.
     result : str
         The answer's result.
     """
@@ -94,22 +94,22 @@
     ----------
     name : str
         The instance.
-    world : LedgerWorld
-        What is around it.
+    simulation : LedgerWorld
+        The simulation that it belongs to.
 
     Attributes
     ----------
     skew_ms : float
-        How far its time of day is ahead.
+        How far its wall clock is ahead.
     is_dead : bool
         Whether it was killed.
     is_cut_off : bool
-        Whether the platform is out of its reach.
+        Whether it is partitioned from the platform.
     """
 
-    def __init__(self, name: str, world: LedgerWorld) -> None:
+    def __init__(self, name: str, simulation: LedgerSimulation) -> None:
         self.name = name
-        self.world = world
+        self.simulation = simulation
         self.skew_ms = 0.0
         self.is_dead = False
         self.is_cut_off = False
@@ -119,7 +119,7 @@
         self._resumed = trio.Event()
         self._resumed.set()
         self.ledger = self._make_ledger()
-        self._peers = world.network.join(name)
+        self._peers = simulation.network.join(name)
         self.ledger.use_peers(self._peers)
 
     async def run(self) -> None:
@@ -128,30 +128,30 @@
             await self.ledger.run(self)
 
     def kill(self) -> None:
-        """End the process: it takes no further effect."""
+        """End the process: it has no further effect."""
         self.is_dead = True
-        self.world.network.leave(self.name)
+        self.simulation.network.leave(self.name)
         self._resumed.set()
         self._scope.cancel()
 
     def pause(self) -> None:
-        """Stop the process, without a word."""
+        """Pause the process, without notice to its peers."""
         if self._resumed.is_set() and not self.is_dead:
             self._resumed = trio.Event()
-            self.world.network.leave(self.name)
+            self.simulation.network.leave(self.name)
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the process."""
         if not self._resumed.is_set() and not self.is_dead:
             self._resumed.set()
-            self.world.network.peers[self.name] = self._peers
+            self.simulation.network.peers[self.name] = self._peers
 
     async def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
         """Return an object of the platform."""
 
         async def call() -> VersionedObject | None:
             try:
-                found = await self.world.platform.get(kind, name)
+                found = await self.simulation.platform.get(kind, name)
             except PlatformRefused:
                 return None
             value_json = msgspec.json.encode(found.value)
@@ -167,11 +167,11 @@
         *,
         if_version: Version | None,
     ) -> Version:
-        """Write an object of the platform on a condition."""
+        """Write an object of the platform conditionally."""
         value = msgspec.json.decode(value_json)
 
         async def call() -> int:
-            return await self.world.platform.put(
+            return await self.simulation.platform.put(
                 kind, name, value, if_version=if_version
             )
 
@@ -182,15 +182,18 @@
 
     async def open_connection(self, address: Address) -> FakeConnection:
         """Connect to a backend server."""
-        await self.clock.sleep_ms(self.world.connect_ms)
+        await self.clock.sleep_ms(self.simulation.connect_ms)
         await self.step()
-        if self.world.random.random() < self.world.refused_connections_fraction:
+        if (
+            self.simulation.random.random()
+            < self.simulation.refused_connections_fraction
+        ):
             raise SubRequestError(MissingReason.CONNECT_FAILED, not_run=True)
-        return FakeConnection(self, self.world.backends[address])
+        return FakeConnection(self, self.simulation.backends[address])
 
     async def step(self) -> None:
-        """Take some time between two steps, and wait while paused or dead."""
-        await self.clock.sleep_ms(self.world.delay_ms())
+        """Wait for a random time, then while paused; for ever once dead."""
+        await self.clock.sleep_ms(self.simulation.delay_ms())
         await self.wait_alive()
 
     async def wait_alive(self) -> None:
@@ -200,11 +203,16 @@
             await trio.sleep_forever()
 
     def _wall_ms(self) -> float:
-        return WALL_START_MS + self.clock.now_ms() - self.world.start_ms + self.skew_ms
+        return (
+            WALL_START_MS
+            + self.clock.now_ms()
+            - self.simulation.start_ms
+            + self.skew_ms
+        )
 
     def _make_ledger(self) -> Ledger:
         sender = PerformSender(
-            catalogue=self.world.catalogue,
+            catalogue=self.simulation.catalogue,
             open_connection=self.open_connection,
             clock=self.clock,
             counters=self.counters,
@@ -213,35 +221,35 @@
         )
         return Ledger(
             instance=self.name,
-            run_once=sender.send,
+            send_once=sender.send,
             clock=self.clock,
             counters=self.counters,
-            process=self.world.next_process_name(),
+            process=self.simulation.next_process_name(),
         )
 
     async def _call(
         self, call: Callable[[], Awaitable[_Returned]], lost: ErrorKind
     ) -> _Returned:
-        """Make one call to the platform, with its time-out."""
+        """Make one call to the platform, with a timeout."""
         await self.step()
         try:
             with self.clock.timeout_ms(_CALL_TIMEOUT_MS):
                 if self.is_cut_off:
                     await trio.sleep_forever()
-                returned = await self.world.carry_out(call)
+                returned = await self.simulation.run_detached(call)
                 await self.step()
                 return returned
         except AnswerLost:
-            # Told below, after one more step, as the caller of a time-out is.
-            lost_by = "the answer was lost"
+            # Raised below, after one more step, as a timeout is.
+            detail = "the response was lost"
         else:
-            lost_by = "no answer came in time"
+            detail = "no response arrived in time"
         await self.step()
-        raise IbisfrontError(lost, lost_by)
+        raise IbisfrontError(lost, detail)
 
 
 class FakeConnection:
-    """A connection of a node to a backend server's fake."""
+    """A connection of a node to a fake backend server."""
 
     def __init__(self, node: LedgerNode, backend: FakeBackend) -> None:
         self._node = node
@@ -250,20 +258,20 @@
     async def exchange(self, work: Work, sub_request: SubRequest) -> SubReply:
         """Send a sub-request; see ``BackendConnection``."""
         node = self._node
-        asked = WorkRequest(
+        request = WorkRequest(
             service=sub_request.service,
             request=msgspec.json.decode(sub_request.body_json),
             request_id=sub_request.sub_request_id,
             deadline_ms=sub_request.deadline_at_ms - node.clock.now_ms(),
         )
-        await node.step()  # the process may be stopped right before the bytes
+        await node.step()  # the process may be paused right before the first byte
 
         async def call() -> BackendReply:
-            await node.clock.sleep_ms(node.world.delay_ms())
-            return await self._backend.perform(asked)
+            await node.clock.sleep_ms(node.simulation.delay_ms())
+            return await self._backend.perform(request)
 
         try:
-            reply = await node.world.carry_out(call)
+            reply = await node.simulation.run_detached(call)
         except ConnectionLost as error:
             await node.step()
             raise SubRequestError(
@@ -281,18 +289,18 @@
         return True
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
 
 
-class LedgerWorld:
-    """The platform, the backend servers, the peers and the entry instances.
+class LedgerSimulation:
+    """A simulated platform, backend servers, peers and entry instances.
 
     Parameters
     ----------
     nursery : trio.Nursery
-        Where everything runs.
+        Runs all tasks.
     seed : int
-        Decides every delay and every fault of a fraction.
+        Seed of all random delays and faults.
     instances : int
         How many entry instances run.
     """
@@ -326,12 +334,12 @@
         return self.random.choices(_DELAYS_MS, _DELAY_WEIGHTS)[0]
 
     def next_process_name(self) -> str:
-        """Return a name for one more process."""
+        """Return an unused process name."""
         self._processes += 1
         return f"process-{self._processes}"
 
     def restart(self, number: int) -> None:
-        """Kill an instance and start another process of its name."""
+        """Kill an instance and start a new process of the same name."""
         old = self.nodes[number]
         old.kill()
         node = self._start(old.name)
@@ -356,13 +364,13 @@
         return copy
 
     def disconnect(self, copy: CopyAnswer) -> None:
-        """Let the caller of a copy go away."""
+        """Disconnect the caller of a copy."""
         scope = self._scopes.get(copy.copy)
         if scope is not None:
             scope.cancel()
 
-    async def carry_out(self, call: Callable[[], Awaitable[_Returned]]) -> _Returned:
-        """Make a call that lands even if its caller is killed meanwhile."""
+    async def run_detached(self, call: Callable[[], Awaitable[_Returned]]) -> _Returned:
+        """Make a call that completes even if its caller is killed meanwhile."""
         done = trio.Event()
         returned: list[_Returned] = []
         failed: list[Exception] = []
@@ -418,8 +426,8 @@
 
 
 @functools.cache
-def key_of_first_bucket(number: int, *, wall_ms: float) -> str:
-    """Return one of the keys whose object is the first bucket of its slot."""
+def first_bucket_key(number: int, *, wall_ms: float) -> str:
+    """Return a key that belongs to the first bucket of its slot."""
     random_bits = random.Random(number)
     while True:
         key = make_key(wall_ms=wall_ms, random_bits=random_bits.getrandbits(74))
