--- a/ibisfront/gateway/observability.py
+++ b/ibisfront/gateway/observability.py
@@ -122,7 +122,7 @@
         """Record a request that was answered.
 
         The log line of a failure or a late answer contains all decisions; a routine
-        one does not, and may be dropped under load.
+        one does not, and may be dropped when there are many.
         """
         took_ms = now_ms - request.arrived_at_ms
         self.counters.add(CounterKind.ANSWERS, reply.reason)
--- a/ibisfront/tests/test_gateway_retry_budget.py
+++ b/ibisfront/tests/test_gateway_retry_budget.py
@@ -38,7 +38,7 @@
         self.assertGreater(spent, 10)
 
     def test_every_sliding_window_stays_within_the_bound(self):
-        """Guards against twice the extra load across the boundary of a window.
+        """Guards against twice the extra load across the boundary of a fixed window.
 
         Extra sub-requests are spent as soon as they are granted, with no primary
         ones. Any ten seconds may contain at most the allowance.
