--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -320,7 +320,7 @@
     def test_reported_queues_take_precedence_over_the_latency(self):
         """Guards against cancelled work and late hedging while servers are idle."""
         baseline = BaselineLatency(10.0)
-        baseline.median_ms, baseline.calm_ms = 20.0, 10.0
+        baseline.median_ms, baseline.unloaded_ms = 20.0, 10.0
         self.assertTrue(baseline.is_loaded)
         baseline.record_load(ServerLoad(1, 0, 2))
         self.assertFalse(baseline.is_loaded)
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -240,12 +240,12 @@
             fixture.partition()
             partitioned_ms = fixture.clock.now_ms()
             for _ in range(80):
-                readiness.append((fixture.clock.now_ms(), gateway.tell_readiness()))
+                readiness.append((fixture.clock.now_ms(), gateway.report_readiness()))
                 await trio.sleep(0.025)
             fixture.heal()
             healed_ms = fixture.clock.now_ms()
             await trio.sleep(0.4)
-            is_ready_again = gateway.tell_readiness()
+            is_ready_again = gateway.report_readiness()
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
         during = [item for item in replies if partitioned_ms <= item[0] < healed_ms]
@@ -312,7 +312,7 @@
             for server in fixture.far_servers():
                 server.latency_ms = 400.0
             for _ in range(20):
-                ready.append(gateway.tell_readiness())
+                ready.append(gateway.report_readiness())
                 await trio.sleep(0.025)
             nursery.cancel_scope.cancel()
         self.assertEqual(set(ready), {True})
