--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -36,7 +36,7 @@
 
     def _check(self):
         if self.is_unavailable:
-            raise StoreError(StoreErrorKind.UNREACHABLE, "unavailable")
+            raise StoreError(StoreErrorKind.UNREACHABLE, "away")
 
 
 class SyncInstancesTest(unittest.TestCase):
