--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -10,7 +10,7 @@
 from ibisfront.gateway.load.reachability import Reachability
 from ibisfront.gateway.load.weighted_round_robin import WeightedRoundRobin
 from ibisfront.gateway.messages import CallerReply
-from ibisfront.gateway.queries.delegated_query import delegated_from
+from ibisfront.gateway.queries.delegated_query import parse_delegated_query
 from ibisfront.gateway.queries.forwarding import ForwardRun
 from ibisfront.gateway.queries.scatter_gather import ScatterGather
 from ibisfront.gateway.request_services import (
@@ -84,7 +84,7 @@
         self._reachability.keep(table.route_names)
         self._turns.keep(table.route_names)
         if self._delegation is not None:
-            self._delegation.keep(table.route_names)
+            self._delegation.retain(table.route_names)
         self.record_learnt()
 
     @property
@@ -155,7 +155,7 @@
         alive = answer_liveness_probe(request, self._request_services.wire)
         if alive is not None:
             return alive
-        query = delegated_from(request)
+        query = parse_delegated_query(request)
         if query is None:
             return CallerReply(400, [], b"", "not_delegated")
         if not await self._is_informed_soon(query.request):
--- a/ibisfront/gateway/queries/coordinated_query.py
+++ b/ibisfront/gateway/queries/coordinated_query.py
@@ -16,11 +16,11 @@
 
 __all__ = ["CoordinatedQuery", "NextCoordinator", "StartRemoteCall"]
 
-_MOST_REFUSALS = 4
+_MAX_REFUSALS = 4
 """Coordinators that may refuse one query: both of the own zone may be behind with the
 configuration, and so may one of another."""
 
-_MOST_UNREACHABLE = 2
+_MAX_UNREACHABLE = 2
 """Coordinators that may say that they cannot reach the servers: two of a zone mean that
 the zone is cut off. Others are behind the cut too; asking them would only hold up the
 caller, who has little time to come again elsewhere."""
@@ -69,20 +69,20 @@
     """
 
     __slots__ = (
-        "_ask",
         "_context",
         "_gathering",
         "_give_up_at_ms",
-        "_has_asked_twice",
-        "_may_ask_twice",
+        "_has_retried",
         "_may_have_run",
+        "_may_retry",
         "_next_plan",
         "_plan",
         "_start_liveness_probe",
+        "_start_remote",
         "_tried",
         "_unreachable",
         "_woken",
-        "found_silence",
+        "ended_unresponsive",
         "remote",
     )
 
@@ -93,25 +93,25 @@
         *,
         start_liveness_probe: StartLivenessProbe,
         plan: RemotePlan,
-        ask: StartRemoteCall,
+        start_remote: StartRemoteCall,
         next_plan: NextCoordinator,
         give_up_at_ms: float,
-        may_ask_twice: bool,
+        may_retry: bool,
     ) -> None:
         self._gathering = gathering
         self._context = context
         self._start_liveness_probe = start_liveness_probe
         self._plan = plan
-        self._ask = ask
+        self._start_remote = start_remote
         self._next_plan = next_plan
         self._give_up_at_ms = give_up_at_ms
-        self._may_ask_twice = may_ask_twice
-        self._has_asked_twice = False
+        self._may_retry = may_retry
+        self._has_retried = False
         self._may_have_run = False
         self._unreachable = 0
         self._tried: list[Server] = []
         self._woken = trio.Event()
-        self.found_silence = False
+        self.ended_unresponsive = False
         self.remote: RemoteCall | None = None
 
     @property
@@ -153,7 +153,7 @@
 
     async def run(self) -> None:
         """Have the query gathered, until there is an answer or none can come."""
-        remote = self._start(self._plan)
+        remote = self._start_call(self._plan)
         while True:
             is_lost = await self._wait_for(remote)
             has_time = self._context.clock.now_ms() < self._give_up_at_ms
@@ -161,10 +161,10 @@
                 return
             plan = self._plan_after(remote)
             if plan is None:
-                self.found_silence = is_lost
+                self.ended_unresponsive = is_lost
                 return
             remote.end(at_once=True)
-            remote = self._start(plan)
+            remote = self._start_call(plan)
 
     def end(self, *, at_once: bool) -> None:
         """Wait for no answer any more.
@@ -175,8 +175,8 @@
         if self.remote is not None:
             self.remote.end(at_once=True)
 
-    def _start(self, plan: RemotePlan) -> RemoteCall:
-        remote = self._ask(plan, self._may_have_run, self._wake)
+    def _start_call(self, plan: RemotePlan) -> RemoteCall:
+        remote = self._start_remote(plan, self._may_have_run, self._wake)
         self.remote = remote
         return remote
 
@@ -185,41 +185,41 @@
         self._tried.append(remote.peer)
         if remote.may_have_run:
             self._may_have_run = True
-            if self._has_asked_twice or not self._may_ask_twice:
+            if self._has_retried or not self._may_retry:
                 return None
-            self._has_asked_twice = True
+            self._has_retried = True
         self._unreachable += remote.is_unreachable
-        if self._unreachable >= _MOST_UNREACHABLE:
+        if self._unreachable >= _MAX_UNREACHABLE:
             return None
-        if len(self._tried) >= _MOST_REFUSALS:
+        if len(self._tried) >= _MAX_REFUSALS:
             return None
         plan = self._next_plan(self._tried)
         if plan is not None:
-            why = "refused" if remote.is_refused else "lost"
+            cause = "refused" if remote.is_refused else "lost"
             name = plan.peer.entry.server_id
             now_ms = self._context.clock.now_ms()
-            self._context.trace.record(now_ms, "gathered_again", "", name, why)
+            self._context.trace.record(now_ms, "gathered_again", "", name, cause)
         return plan
 
     async def _wait_for(self, remote: RemoteCall) -> bool:
         """Wait for an instance's answer; return whether it was found lost."""
         clock = self._context.clock
-        check = self._start_liveness_probe(remote, self._wake)
+        probe = self._start_liveness_probe(remote, self._wake)
         try:
             while remote.is_open:
                 now_ms = clock.now_ms()
                 if now_ms >= self._give_up_at_ms:
                     return False
-                if check.is_lost(now_ms):
+                if probe.is_lost(now_ms):
                     remote.peer.record_liveness_failure(now_ms)
                     return True
-                until_ms = min(check.next_at_ms, self._give_up_at_ms)
+                until_ms = min(probe.next_at_ms, self._give_up_at_ms)
                 with clock.timeout_ms(until_ms - now_ms):
                     await self._woken.wait()
                 if self._woken.is_set():
                     self._woken = trio.Event()
         finally:
-            check.end()
+            probe.end()
         return False
 
     def _wake(self) -> None:
--- a/ibisfront/gateway/queries/delegated_query.py
+++ b/ibisfront/gateway/queries/delegated_query.py
@@ -14,12 +14,12 @@
 
 __all__ = [
     "DelegatedQuery",
-    "delegated_from",
-    "delegating_request",
+    "format_delegated_query",
     "is_unreachable",
-    "service_bits",
+    "parse_delegated_query",
+    "parse_signatures",
+    "service_bitmask",
     "signatures_header",
-    "signatures_of",
     "unreachable_header",
 ]
 
@@ -61,29 +61,29 @@
     request: InboundRequest
     gathering: str
     services: int
-    objective_left_ms: float
+    objective_remaining_ms: float
     is_whole: bool = False
     minimum_parts: int = 0
     is_repeat: bool = False
 
-    def chosen(self, names: Sequence[str]) -> tuple[str, ...]:
+    def select(self, names: Sequence[str]) -> tuple[str, ...]:
         """Return the services asked for, given the route's list."""
         return tuple(
             name for index, name in enumerate(names) if self.services >> index & 1
         )
 
 
-def delegated_from(request: InboundRequest) -> DelegatedQuery | None:
+def parse_delegated_query(request: InboundRequest) -> DelegatedQuery | None:
     """Return what another instance asks for; None if it is malformed."""
     values = {name.lower(): value for name, value in request.headers}
-    own = (_GATHERING, _SERVICES, _OBJECTIVE, _WHOLE, _MINIMUM, _REPEAT)
-    kept = [item for item in request.headers if item[0].lower() not in own]
+    internal = (_GATHERING, _SERVICES, _OBJECTIVE, _WHOLE, _MINIMUM, _REPEAT)
+    headers = [item for item in request.headers if item[0].lower() not in internal]
     try:
         return DelegatedQuery(
-            request=msgspec.structs.replace(request, headers=kept),
+            request=msgspec.structs.replace(request, headers=headers),
             gathering=values[_GATHERING].decode("ascii"),
             services=int(values[_SERVICES], 16),
-            objective_left_ms=float(values[_OBJECTIVE]),
+            objective_remaining_ms=float(values[_OBJECTIVE]),
             is_whole=_WHOLE in values,
             minimum_parts=int(values.get(_MINIMUM, b"0")),
             is_repeat=_REPEAT in values,
@@ -107,13 +107,13 @@
     return (_SIGNATURES, b",".join(signatures))
 
 
-def delegating_request(query: DelegatedQuery) -> InboundRequest:
+def format_delegated_query(query: DelegatedQuery) -> InboundRequest:
     """Return the request by which an instance is asked; the other way round."""
     headers: list[Header] = [
         *query.request.headers,
         (_GATHERING, query.gathering.encode("ascii")),
         (_SERVICES, b"%x" % query.services),
-        (_OBJECTIVE, b"%.1f" % query.objective_left_ms),
+        (_OBJECTIVE, b"%.1f" % query.objective_remaining_ms),
     ]
     if query.is_whole:
         headers.append((_WHOLE, b"1"))
@@ -124,15 +124,15 @@
     return msgspec.structs.replace(query.request, headers=headers)
 
 
-def service_bits(gathering: Gathering, chosen: Sequence[str]) -> int:
+def service_bitmask(gathering: Gathering, selected: Sequence[str]) -> int:
     """Return the services asked for, as a query names them."""
-    names = frozenset(chosen)
+    names = frozenset(selected)
     return sum(
         1 << index for index, name in enumerate(gathering.services) if name in names
     )
 
 
-def signatures_of(reply: BackendReply) -> list[bytes]:
+def parse_signatures(reply: BackendReply) -> list[bytes]:
     """Return the signatures of the parts in a delegated answer."""
     for name, value in reply.headers:
         if name.lower() == _SIGNATURES and value:
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -22,21 +22,21 @@
 
 __all__ = ["Delegation"]
 
-_LEAST_PARTS = 3
+_MIN_DELEGATED_PARTS = 3
 """Parts for which another instance is asked: its one answer weighs about as
 much as two parts with their headers."""
 
-_KEPT_MS = 100.0
+_PLACEMENT_TTL_MS = 100.0
 """How long a finding on where a route's servers stand holds: servers come and
 go in seconds."""
 
 
-class _Found(msgspec.Struct, frozen=True):
+class _Placement(msgspec.Struct, frozen=True):
     """Where the services of a query stand, until a moment."""
 
     gathering: Gathering
     by_zone: dict[str, tuple[str, ...]]
-    until_ms: float
+    valid_until_ms: float
 
 
 class Delegation:
@@ -61,11 +61,11 @@
     """
 
     __slots__ = (
+        "_baselines",
         "_clock",
         "_coordinators",
-        "_found",
-        "_latencies",
         "_peers",
+        "_placements",
         "_registry",
         "_zone",
     )
@@ -84,8 +84,8 @@
         self._peers = peers
         self._zone = zone
         self._clock = clock
-        self._found: dict[str, _Found] = {}
-        self._latencies: dict[str, BaselineLatency] = {}
+        self._placements: dict[str, _Placement] = {}
+        self._baselines: dict[str, BaselineLatency] = {}
 
     @property
     def uses_coordinators(self) -> bool:
@@ -95,17 +95,17 @@
     def plan(self, route: Route, gathering: Gathering) -> RemotePlan | None:
         """Return whom to ask for which services; None to ask them all here."""
         if not self._coordinators.is_coordinator:
-            whole = self.plan_whole(route, gathering)
-            if whole is not None:
-                return whole
-        return self.plan_far(route, gathering)
+            whole_plan = self.plan_whole_query(route, gathering)
+            if whole_plan is not None:
+                return whole_plan
+        return self.plan_remote_zone(route, gathering)
 
-    def plan_far(self, route: Route, gathering: Gathering) -> RemotePlan | None:
+    def plan_remote_zone(self, route: Route, gathering: Gathering) -> RemotePlan | None:
         """Return whom to ask for the services that stand elsewhere only."""
         now_ms = self._clock.now_ms()
         by_zone = self._services_by_zone(route, gathering, now_ms)
         baseline = self._baseline(route)
-        candidates = [peer for zone in by_zone for peer in self._gathering_peers(zone)]
+        candidates = [peer for zone in by_zone for peer in self._available_peers(zone)]
         peer = choose_server(
             candidates, [], now_ms=now_ms, baseline_ms=baseline.median_ms
         )
@@ -113,19 +113,19 @@
             return None
         return RemotePlan(peer, by_zone[peer.entry.zone], baseline)
 
-    def may_ask_twice(self, route: Route, gathering: Gathering) -> bool:
+    def may_retry(self, route: Route, gathering: Gathering) -> bool:
         """Return whether a query may be gathered again after an instance was lost.
 
         The two could together reach more servers of a service than the route allows
         attempts, unless it has no more of them.
         """
-        askable = sum(
+        retryable = sum(
             len(self._registry.of_service(service)) <= route.attempts
             for service in gathering.services
         )
-        return askable >= gathering.needed_parts
+        return retryable >= gathering.needed_parts
 
-    def plan_whole(
+    def plan_whole_query(
         self, route: Route, gathering: Gathering, tried: Sequence[Server] = ()
     ) -> RemotePlan | None:
         """Return a coordinator for a whole query, of the own zone if there is one."""
@@ -136,7 +136,7 @@
             key=lambda zone: (zone != self._zone, zone),
         )
         for zone in zones:
-            candidates = self._gathering_peers(zone)
+            candidates = self._available_peers(zone)
             peer = choose_server(
                 candidates, list(tried), now_ms=now_ms, baseline_ms=baseline.median_ms
             )
@@ -144,27 +144,27 @@
                 return RemotePlan(peer, gathering.services, baseline, is_whole=True)
         return None
 
-    def _gathering_peers(self, zone: str) -> list[Server]:
+    def _available_peers(self, zone: str) -> list[Server]:
         """Return the instances of a zone that gather and are within reach."""
         now_ms = self._clock.now_ms()
-        chosen = self._coordinators.of_zone(zone)
+        coordinator_ids = self._coordinators.of_zone(zone)
         return [
             peer
             for peer in self._peers.of_service(zone)
-            if (not chosen or peer.entry.server_id in chosen)
+            if (not coordinator_ids or peer.entry.server_id in coordinator_ids)
             and peer.is_reachable(now_ms)
             and now_ms >= peer.not_before_ms
         ]
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Forget all routes but these."""
-        keep_routes(self._latencies, names)
-        keep_routes(self._found, names)
+        keep_routes(self._baselines, names)
+        keep_routes(self._placements, names)
 
     def _baseline(self, route: Route) -> BaselineLatency:
-        baseline = self._latencies.get(route.name)
+        baseline = self._baselines.get(route.name)
         if baseline is None:
-            baseline = self._latencies[route.name] = BaselineLatency(
+            baseline = self._baselines[route.name] = BaselineLatency(
                 route.objective_ms / 2.0
             )
         return baseline
@@ -173,22 +173,24 @@
         self, route: Route, gathering: Gathering, now_ms: float
     ) -> dict[str, tuple[str, ...]]:
         """Return the services that stand elsewhere only, by the best zones."""
-        found = self._found.get(route.name)
+        placement = self._placements.get(route.name)
         # A new version may name other services under the same route; parts of
         # both would stand in one answer if the finding outlived its version.
-        is_kept = (
-            found is not None
-            and found.gathering is gathering
-            and now_ms < found.until_ms
+        is_valid = (
+            placement is not None
+            and placement.gathering is gathering
+            and now_ms < placement.valid_until_ms
         )
-        if found is None or not is_kept:
-            by_zone = self._look(gathering, now_ms)
-            found = _Found(gathering, by_zone, now_ms + _KEPT_MS)
-            self._found[route.name] = found
-        return found.by_zone
-
-    def _look(self, gathering: Gathering, now_ms: float) -> dict[str, tuple[str, ...]]:
-        held: dict[str, list[str]] = {}
+        if placement is None or not is_valid:
+            by_zone = self._locate_services(gathering, now_ms)
+            placement = _Placement(gathering, by_zone, now_ms + _PLACEMENT_TTL_MS)
+            self._placements[route.name] = placement
+        return placement.by_zone
+
+    def _locate_services(
+        self, gathering: Gathering, now_ms: float
+    ) -> dict[str, tuple[str, ...]]:
+        services_by_zone: dict[str, list[str]] = {}
         for service in gathering.services:
             zones = {
                 server.entry.zone
@@ -198,12 +200,14 @@
             if self._zone in zones:
                 continue
             for zone in zones:
-                held.setdefault(zone, []).append(service)
-        most = max((len(services) for services in held.values()), default=0)
-        if most < _LEAST_PARTS:
+                services_by_zone.setdefault(zone, []).append(service)
+        max_parts = max(
+            (len(services) for services in services_by_zone.values()), default=0
+        )
+        if max_parts < _MIN_DELEGATED_PARTS:
             return {}
         return {
             zone: tuple(services)
-            for zone, services in held.items()
-            if len(services) == most
+            for zone, services in services_by_zone.items()
+            if len(services) == max_parts
         }
--- a/ibisfront/gateway/queries/forwarding.py
+++ b/ibisfront/gateway/queries/forwarding.py
@@ -39,8 +39,8 @@
         "_context",
         "_give_up_at_ms",
         "_hedge_at_ms",
-        "_resend_at_ms",
-        "_sent_by_ms",
+        "_retry_at_ms",
+        "_withdraw_unsent_at_ms",
         "_woken",
         "call",
     )
@@ -56,10 +56,10 @@
         self._context = context
         self._hedge_at_ms = hedge_at_ms if context.is_idempotent else math.inf
         self._give_up_at_ms = give_up_at_ms
-        self._resend_at_ms = -math.inf
-        self._sent_by_ms = math.inf
+        self._retry_at_ms = -math.inf
+        self._withdraw_unsent_at_ms = math.inf
         self._woken = trio.Event()
-        self.call = ServiceCall(service, context, self._changed)
+        self.call = ServiceCall(service, context, self._on_call_change)
 
     async def run(self) -> None:
         """Send it until it is answered, cannot be, or time is up."""
@@ -68,57 +68,57 @@
         started_ms = clock.now_ms()
         if not call.start(started_ms):
             return
-        self._sent_by_ms = started_ms + self._context.baseline.median_ms
+        self._withdraw_unsent_at_ms = started_ms + self._context.baseline.median_ms
         while not call.is_settled:
             now_ms = clock.now_ms()
-            if now_ms >= self._give_up_at_ms or not self._act(now_ms):
+            if now_ms >= self._give_up_at_ms or not self._run_due_actions(now_ms):
                 return
-            with clock.timeout_ms(self._next_act_ms() - now_ms):
+            with clock.timeout_ms(self._next_action_at_ms() - now_ms):
                 await self._woken.wait()
             if self._woken.is_set():
                 self._woken = trio.Event()
 
-    def _act(self, now_ms: float) -> bool:
+    def _run_due_actions(self, now_ms: float) -> bool:
         """Do what is due; return False if no reply can come any more."""
         call = self.call
-        if now_ms >= self._sent_by_ms:
-            self._sent_by_ms = math.inf
+        if now_ms >= self._withdraw_unsent_at_ms:
+            self._withdraw_unsent_at_ms = math.inf
             call.withdraw_unsent(now_ms)
         if not call.is_open:
-            return self._send_again(now_ms)
+            return self._retry(now_ms)
         if now_ms >= self._hedge_at_ms:
             self._hedge_at_ms = math.inf
             call.send_extra_attempt()
         return True
 
-    def _next_act_ms(self) -> float:
+    def _next_action_at_ms(self) -> float:
         if not self.call.is_open:
-            return self._resend_at_ms
-        return min(self._give_up_at_ms, self._hedge_at_ms, self._sent_by_ms)
+            return self._retry_at_ms
+        return min(self._give_up_at_ms, self._hedge_at_ms, self._withdraw_unsent_at_ms)
 
     def end(self, *, at_once: bool) -> None:
         """Wait for no more replies."""
         self.call.end(at_once=at_once)
 
-    def _send_again(self, now_ms: float) -> bool:
+    def _retry(self, now_ms: float) -> bool:
         """Send once more, now or later; return False if that is of no use.
 
         Load pattern: the servers turn work away or are left alone for a moment. A
         request that ended then would fail with most of its time left.
         """
-        if now_ms < self._resend_at_ms:
+        if now_ms < self._retry_at_ms:
             return True
-        if not self._may_repeat():
+        if not self._may_retry():
             return False
         if self.call.send_extra_attempt():
             return True
-        self._resend_at_ms = self.call.may_send_again_at_ms(now_ms)
+        self._retry_at_ms = self.call.next_retry_at_ms(now_ms)
         latest_ms = self._give_up_at_ms - self._context.baseline.median_ms
-        return self._resend_at_ms <= latest_ms
+        return self._retry_at_ms <= latest_ms
 
-    def _may_repeat(self) -> bool:
+    def _may_retry(self) -> bool:
         """Return whether sending once more cannot run the request twice."""
         return self._context.is_idempotent or not self.call.may_have_run
 
-    def _changed(self, call: ServiceCall) -> None:
+    def _on_call_change(self, call: ServiceCall) -> None:
         self._woken.set()
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -26,11 +26,11 @@
 
 __all__ = ["GatherRun"]
 
-_LAST_HEDGE_FACTOR = 1.15
+_MIN_HEDGE_BASELINES = 1.15
 """A hedged request is sent while at least this many baseline latencies are left
 before the query ends; later ones would come too late."""
 
-_READ_FIRST_MS = 1.0
+_READ_PAUSE_MS = 1.0
 """Pause in which replies that lie unread are read."""
 
 
@@ -65,30 +65,30 @@
 
     __slots__ = (
         "_all_calls",
+        "_awaiting_retry",
         "_context",
+        "_direct_parts",
         "_failed",
+        "_fallback_calls",
         "_fallback_parts",
         "_gathering",
-        "_has_lost_parts",
+        "_has_withheld_retries",
         "_hedge_at_ms",
         "_is_falling_back",
         "_is_past_end",
         "_liveness_probe",
-        "_lost",
         "_needed",
-        "_own_parts",
         "_plan",
-        "_remote_calls",
         "_remote_plan",
         "_remote_started_ms",
-        "_resend_at_ms",
+        "_retry_at_ms",
         "_start_liveness_probe",
         "_start_remote",
         "_started_ms",
         "_wake_at_ms",
         "_woken",
         "calls",
-        "found_silence",
+        "ended_unresponsive",
         "remote",
     )
 
@@ -109,26 +109,26 @@
         self._plan = plan
         self._woken = trio.Event()
         self._failed: list[ServiceCall] = []
-        self._lost: list[ServiceCall] = []
-        self._resend_at_ms = math.inf
-        self._remote_calls: list[ServiceCall] = []
+        self._awaiting_retry: list[ServiceCall] = []
+        self._retry_at_ms = math.inf
+        self._fallback_calls: list[ServiceCall] = []
         self._is_falling_back = False
         self._is_past_end = False
-        self._has_lost_parts = False
-        self._own_parts = 0
+        self._has_withheld_retries = False
+        self._direct_parts = 0
         self._fallback_parts = 0
-        elsewhere: frozenset[str] = frozenset()
+        delegated: frozenset[str] = frozenset()
         if remote_plan is not None:
-            elsewhere = frozenset(remote_plan.services)
+            delegated = frozenset(remote_plan.services)
         self.calls = [
-            ServiceCall(name, context, self._changed)
+            ServiceCall(name, context, self._on_call_change)
             for name in gathering.services
-            if name not in elsewhere
+            if name not in delegated
         ]
         self._all_calls = list(self.calls)
         self._needed = gathering.needed_parts
         self._started_ms = context.clock.now_ms()
-        self.found_silence = False
+        self.ended_unresponsive = False
         self.remote: RemoteCall | None = None
         self._remote_plan = remote_plan
         self._start_remote = start_remote
@@ -144,7 +144,7 @@
     @property
     def answered(self) -> int:
         """How many parts are in."""
-        return self._own_parts + max(self._remote_parts, self._fallback_parts)
+        return self._direct_parts + max(self._remote_parts, self._fallback_parts)
 
     @property
     def is_enough(self) -> bool:
@@ -183,7 +183,7 @@
             signatures += self.remote.signatures
             bodies.append(self.remote.records)
         else:
-            replies += _replies(self._remote_calls)
+            replies += _replies(self._fallback_calls)
         signatures += [item.signature or b"" for item in replies]
         bodies += [item.body for item in replies]
         return signatures, bodies
@@ -191,29 +191,29 @@
     async def run(self) -> None:
         """Ask every service until the plan says to stop."""
         if self._remote_plan is not None:
-            self._ask_remote(self._remote_plan)
+            self._start_remote_call(self._remote_plan)
         self._start(self.calls)
-        while not self._is_over():
+        while not self._is_done():
             now_ms = self._context.clock.now_ms()
             if now_ms > self._wake_at_ms + OVERSLEPT_MS:
                 # The processor was away: replies may lie unread, and every
                 # part would look late. They are read first.
                 self._wake_at_ms = math.inf
-                await self._context.clock.sleep_ms(_READ_FIRST_MS)
+                await self._context.clock.sleep_ms(_READ_PAUSE_MS)
                 continue
-            self._check_remote(now_ms)
-            if now_ms >= self._resend_at_ms:
-                self._failed += self._lost
-                self._lost = []
+            self._replace_failed_remote(now_ms)
+            if now_ms >= self._retry_at_ms:
+                self._failed += self._awaiting_retry
+                self._awaiting_retry = []
             if self._failed:
                 self._retry_failed(now_ms)
             if now_ms >= self._hedge_at_ms:
                 self._hedge_at_ms = math.inf
                 self._hedge(now_ms)
-            if self._is_silent(now_ms):
-                self.found_silence = True
+            if self._is_unresponsive(now_ms):
+                self.ended_unresponsive = True
                 return
-            if not self._is_over():
+            if not self._is_done():
                 await self._wait(now_ms)
 
     def end(self, *, at_once: bool) -> None:
@@ -247,7 +247,7 @@
             if not call.start(now_ms):
                 self._failed.append(call)
 
-    def _is_over(self) -> bool:
+    def _is_done(self) -> bool:
         now_ms = self._context.clock.now_ms()
         if now_ms >= self._plan.give_up_at_ms:
             return True
@@ -256,23 +256,23 @@
             return True
         if self._failed or self._must_replace_remote():
             return False
-        if self._resend_at_ms < math.inf:
+        if self._retry_at_ms < math.inf:
             return False
         return not self.is_open or self.answered == self.total
 
     async def _wait(self, now_ms: float) -> None:
         plan = self._plan
-        moments_ms = [plan.give_up_at_ms, self._hedge_at_ms, self._resend_at_ms]
+        times_ms = [plan.give_up_at_ms, self._hedge_at_ms, self._retry_at_ms]
         if now_ms < plan.end_at_ms:
-            moments_ms.append(plan.end_at_ms)
-        moments_ms += [
+            times_ms.append(plan.end_at_ms)
+        times_ms += [
             at_ms
             for at_ms in (plan.silent_at_ms, plan.remote_silent_at_ms)
             if now_ms < at_ms
         ]
         if self._waits_for_remote:
-            moments_ms.append(self._remote_due_at_ms())
-        self._wake_at_ms = min(moments_ms)
+            times_ms.append(self._remote_check_at_ms())
+        self._wake_at_ms = min(times_ms)
         with self._context.clock.timeout_ms(self._wake_at_ms - now_ms):
             await self._woken.wait()
         if self._woken.is_set():
@@ -281,17 +281,21 @@
     def _wake(self) -> None:
         self._woken.set()
 
-    def _changed(self, call: ServiceCall) -> None:
+    def _on_call_change(self, call: ServiceCall) -> None:
         if not call.is_settled:
             self._failed.append(call)
             self._wake()
             return
         call.end(at_once=self._context.baseline.is_loaded)
-        if self._remote_calls and call in self._remote_calls:
+        if self._fallback_calls and call in self._fallback_calls:
             self._fallback_parts += 1
         else:
-            self._own_parts += 1
-        if self._is_past_end or self._has_lost_parts or self.answered == self.total:
+            self._direct_parts += 1
+        if (
+            self._is_past_end
+            or self._has_withheld_retries
+            or self.answered == self.total
+        ):
             self._wake()
 
     def _retry_failed(self, now_ms: float) -> None:
@@ -300,11 +304,11 @@
             if call.is_settled or call.is_open:
                 continue
             if not call.send_extra_attempt():
-                self._has_lost_parts = True
-                self._lost.append(call)
-        self._resend_at_ms = self._next_resend_ms(now_ms)
+                self._has_withheld_retries = True
+                self._awaiting_retry.append(call)
+        self._retry_at_ms = self._next_retry_at_ms(now_ms)
 
-    def _next_resend_ms(self, now_ms: float) -> float:
+    def _next_retry_at_ms(self, now_ms: float) -> float:
         """Return when to ask again for parts without which the query fails.
 
         Load pattern: servers turn work away, or have crashed and are back in a
@@ -314,24 +318,24 @@
         open_parts = sum(call.is_open for call in self._all_calls)
         if self.remote is not None and self.remote.is_open:
             open_parts += len(self.remote.services)
-        lacking = self._needed - self.answered - open_parts
-        if lacking <= 0:
+        shortfall = self._needed - self.answered - open_parts
+        if shortfall <= 0:
             return math.inf
         latest_ms = self._plan.give_up_at_ms - self._context.baseline.median_ms
-        moments_ms = [call.may_send_again_at_ms(now_ms) for call in self._lost]
-        if sum(at_ms <= latest_ms for at_ms in moments_ms) < lacking:
+        times_ms = [call.next_retry_at_ms(now_ms) for call in self._awaiting_retry]
+        if sum(at_ms <= latest_ms for at_ms in times_ms) < shortfall:
             return math.inf
-        return min(moments_ms)
+        return min(times_ms)
 
     def _hedge(self, now_ms: float) -> None:
         baseline_ms = self._context.baseline.median_ms
-        if now_ms + _LAST_HEDGE_FACTOR * baseline_ms > self._plan.end_at_ms:
+        if now_ms + _MIN_HEDGE_BASELINES * baseline_ms > self._plan.end_at_ms:
             return
         for call in self._all_calls:
             if not call.is_settled and call.is_open:
                 call.send_extra_attempt()
 
-    def _remote_due_at_ms(self) -> float:
+    def _remote_check_at_ms(self) -> float:
         """Return when the other instance is to be looked at next."""
         if self.remote is None:
             return math.inf
@@ -339,10 +343,10 @@
             return self._liveness_probe.next_at_ms
         return self._remote_started_ms + self.remote.late_ms
 
-    def _is_given_up(self, remote: RemoteCall, now_ms: float) -> bool:
+    def _is_remote_lost(self, remote: RemoteCall, now_ms: float) -> bool:
         """Return whether the parts of an open remote call are asked from here."""
         if self._liveness_probe is None:
-            return now_ms >= self._remote_due_at_ms()
+            return now_ms >= self._remote_check_at_ms()
         if not self._liveness_probe.is_lost(now_ms):
             return False
         remote.peer.record_liveness_failure(now_ms)
@@ -357,14 +361,14 @@
             return False
         return not self.remote.signatures
 
-    def _ask_remote(self, plan: RemotePlan) -> None:
+    def _start_remote_call(self, plan: RemotePlan) -> None:
         assert self._start_remote is not None
         self._remote_started_ms = self._context.clock.now_ms()
         self.remote = self._start_remote(plan, False, self._wake)
         if self._start_liveness_probe is not None:
             self._liveness_probe = self._start_liveness_probe(self.remote, self._wake)
 
-    def _check_remote(self, now_ms: float) -> None:
+    def _replace_failed_remote(self, now_ms: float) -> None:
         """Ask from here if the other instance refuses, fails or is silent.
 
         It may have asked its servers already, so that asking them again
@@ -374,27 +378,28 @@
         remote = self.remote
         if remote is None or self._is_falling_back:
             return
-        is_given_up = remote.is_open and self._is_given_up(remote, now_ms)
-        if not is_given_up and not self._must_replace_remote():
+        is_lost = remote.is_open and self._is_remote_lost(remote, now_ms)
+        if not is_lost and not self._must_replace_remote():
             return
         self._is_falling_back = True
         # The first choice may be a server that has fallen silent together with
         # the instance; these parts are hedged in their turn.
         self._hedge_at_ms = now_ms + self._context.baseline.late_ms
-        self._remote_calls = [
-            ServiceCall(name, self._context, self._changed) for name in remote.services
+        self._fallback_calls = [
+            ServiceCall(name, self._context, self._on_call_change)
+            for name in remote.services
         ]
-        self._all_calls += self._remote_calls
+        self._all_calls += self._fallback_calls
         if not remote.may_have_run:
             # It may still wait for a connection, and would go out later.
             remote.end(at_once=True)
-            self._start(self._remote_calls)
+            self._start(self._fallback_calls)
             return
-        for call in self._remote_calls:
-            if call.has_no_more_servers_than_attempts:
+        for call in self._fallback_calls:
+            if call.attempts_cover_all_servers:
                 call.send_extra_attempt()
 
-    def _is_silent(self, now_ms: float) -> bool:
+    def _is_unresponsive(self, now_ms: float) -> bool:
         """Return whether no server that was asked has replied anything.
 
         An instance that was asked for parts replies only once, near the end; until
--- a/ibisfront/gateway/queries/records.py
+++ b/ibisfront/gateway/queries/records.py
@@ -7,14 +7,14 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ["RECORD_BYTES", "greatest_records"]
+__all__ = ["RECORD_BYTES", "top_records"]
 
 RECORD_BYTES = 16
 """Size of a record in bytes, by the format of a part; a shorter rest of
 a part is none."""
 
 
-def greatest_records(bodies: Sequence[bytes], count: int) -> bytes:
+def top_records(bodies: Sequence[bytes], count: int) -> bytes:
     """Return the greatest records of some parts, greatest first.
 
     Parameters
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -11,10 +11,10 @@
 from ibisfront.gateway.load.baseline_latency import BaselineLatency
 from ibisfront.gateway.queries.delegated_query import (
     DelegatedQuery,
-    delegating_request,
+    format_delegated_query,
     is_unreachable,
-    service_bits,
-    signatures_of,
+    parse_signatures,
+    service_bitmask,
 )
 from ibisfront.gateway.servers.exchange import Exchange
 from ibisfront.gateway.servers.server import Server
@@ -27,11 +27,11 @@
 
 __all__ = ["RemoteCall", "RemotePlan"]
 
-_RETURN_MS = 3.5
+_RETURN_MARGIN_MS = 3.5
 """How much earlier than here the query ends there: two ways between zones of
 1.4 ms at the most, and the work on its answer."""
 
-_RETURN_PART_MS = 0.06
+_RETURN_MARGIN_PER_PART_MS = 0.06
 """The same for each part: the last ones come together, and reading, merging
 and signing each takes this long on half a core."""
 
@@ -192,28 +192,28 @@
         is_repeat : bool
             Whether servers may have been asked for these parts already.
         """
-        bits = service_bits(gathering, self.services)
-        return_ms = _RETURN_MS + _RETURN_PART_MS * len(self.services)
+        bitmask = service_bitmask(gathering, self.services)
+        return_ms = _RETURN_MARGIN_MS + _RETURN_MARGIN_PER_PART_MS * len(self.services)
 
         def payload(at_ms: float) -> bytes:
             left_ms = end_at_ms - at_ms if math.isfinite(end_at_ms) else objective_ms
             query = DelegatedQuery(
                 request=request,
                 gathering=gathering.digest,
-                services=bits,
-                objective_left_ms=left_ms - return_ms,
+                services=bitmask,
+                objective_remaining_ms=left_ms - return_ms,
                 is_whole=self._plan.is_whole,
                 minimum_parts=self._minimum_parts(gathering),
                 is_repeat=is_repeat,
             )
-            encode_for = wire.encode_request(delegating_request(query))
+            encode_for = wire.encode_request(format_delegated_query(query))
             return encode_for(self.peer_name, give_up_at_ms - at_ms)
 
         self._exchange = Exchange(
             self._plan.peer,
             request_id=request.request_id.encode("latin-1"),
             payload=payload,
-            on_end=self._ended,
+            on_end=self._on_exchange_end,
             rank=rank,
             created_at_ms=self._clock.now_ms(),
             expected_ms=self._plan.baseline.late_ms,
@@ -228,15 +228,15 @@
         objective with one part too few would make the whole query fail with most
         of its time left.
         """
-        elsewhere = len(gathering.services) - len(self.services)
-        return max(gathering.needed_parts - elsewhere, 0)
+        other_parts = len(gathering.services) - len(self.services)
+        return max(gathering.needed_parts - other_parts, 0)
 
     def end(self, *, at_once: bool) -> None:
         """Wait for it no longer."""
         if self._exchange is not None:
             self._exchange.give_up(at_once=at_once)
 
-    def _ended(self, exchange: Exchange) -> None:
+    def _on_exchange_end(self, exchange: Exchange) -> None:
         now_ms = self._clock.now_ms()
         peer = self._plan.peer
         if peer.pool is not None:
@@ -246,7 +246,7 @@
             took_ms = now_ms - exchange.waits_since_ms
             peer.record_reply(now_ms, took_ms=took_ms, baseline_ms=baseline.median_ms)
             baseline.record_ms(took_ms)
-            self._take(exchange.reply)
+            self._apply_reply(exchange.reply)
         else:
             self.is_refused = exchange.sent_at_ms is None
             if exchange.sent_at_ms is not None and not exchange.is_cancelled:
@@ -254,10 +254,10 @@
         if not exchange.is_abandoned:
             self._on_change()
 
-    def _take(self, reply: BackendReply) -> None:
+    def _apply_reply(self, reply: BackendReply) -> None:
         self.is_refused = reply.status == _UNAVAILABLE
         self.is_unreachable = self.is_refused and is_unreachable(reply)
-        signatures = signatures_of(reply)
+        signatures = parse_signatures(reply)
         if reply.status == _OK and signatures:
             self.signatures = signatures
             self.records = reply.body
--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -19,7 +19,7 @@
     unreachable_header,
 )
 from ibisfront.gateway.queries.gather_run import GatherRun
-from ibisfront.gateway.queries.records import greatest_records
+from ibisfront.gateway.queries.records import top_records
 from ibisfront.gateway.queries.remote_call import RemoteCall
 from ibisfront.gateway.request_services import BAD_GATEWAY, GATEWAY_TIMEOUT
 from ibisfront.gateway.route_state import give_up_at_ms
@@ -38,7 +38,7 @@
 __all__ = ["ScatterGather"]
 
 _NO_COORDINATOR = "no_gatherer"
-_VERSION_PAUSE_MS = 60.0
+_VERSION_SKEW_MS = 60.0
 """How far apart instances may be with a new version: the pause before a source
 passes a change on, and the paths."""
 
@@ -51,11 +51,11 @@
 """The same after it was told so with the state: in an outage it looks for a source
 every second or two, while others restart. The end of a cut is told at once."""
 
-_SHOWN_SERVICES = 4
+_MAX_LOGGED_SERVICES = 4
 """Services without an answer that a log line names."""
 
 
-class _Asked(msgspec.Struct, frozen=True):
+class _PendingQuery(msgspec.Struct, frozen=True):
     """A query that is to be gathered.
 
     Attributes
@@ -84,7 +84,7 @@
         return give_up_at_ms(self.request, self.route)
 
     @property
-    def end_or_give_up_at_ms(self) -> float:
+    def effective_end_at_ms(self) -> float:
         """When it ends if the parts that are in suffice, with time to answer."""
         return min(self.end_at_ms, self.give_up_at_ms)
 
@@ -134,13 +134,13 @@
 
     def record_unreachable(self) -> None:
         """Take in that one that gathers has refused, as it reaches no servers."""
-        self._stay_unreachable(_UNREACHABLE_MS)
+        self._mark_unreachable(_UNREACHABLE_MS)
 
     def record_reported_unreachable(self) -> None:
         """Take in that those that gather say that they reach no servers."""
-        self._stay_unreachable(_REPORTED_UNREACHABLE_MS)
+        self._mark_unreachable(_REPORTED_UNREACHABLE_MS)
 
-    def _stay_unreachable(self, duration_ms: float) -> None:
+    def _mark_unreachable(self, duration_ms: float) -> None:
         now_ms = self._request_services.clock.now_ms()
         until_ms = max(self._unreachable_until_ms, now_ms + duration_ms)
         self._unreachable_until_ms = until_ms
@@ -157,7 +157,7 @@
         reply = await self._gather(request, route, gathering)
         if reply.reason != _NO_COORDINATOR:
             return reply
-        return await self._gather_again(request)
+        return await self._retry_gather(request)
 
     async def answer_delegated(self, query: DelegatedQuery) -> CallerReply:
         """Return the parts of a query that another instance asks for."""
@@ -178,14 +178,14 @@
             reply.headers.append(unreachable_header())
             return request_services.refuse(request, reply)
         gathering = _delegated_gathering(query, route.gathering)
-        end_at_ms = request.arrived_at_ms + query.objective_left_ms
+        end_at_ms = request.arrived_at_ms + query.objective_remaining_ms
         context = request_services.context(request, route, is_repeat=query.is_repeat)
-        asked = _Asked(request, route, gathering, context, end_at_ms)
+        pending = _PendingQuery(request, route, gathering, context, end_at_ms)
         remote_plan = None
         if query.is_whole and self._delegation is not None:
-            remote_plan = self._delegation.plan_far(route, gathering)
-        run = await self._run(asked, remote_plan)
-        reply = self._delegated(run, gathering)
+            remote_plan = self._delegation.plan_remote_zone(route, gathering)
+        run = await self._run_locally(pending, remote_plan)
+        reply = self._delegated_reply(run, gathering)
         request_services.record(request, route, reply, context, parts=_parts_text(run))
         # The other instance tells by it that the reply is to this query.
         reply.headers.append(request_services.wire.request_id(request.request_id))
@@ -197,29 +197,29 @@
         request_services = self._request_services
         end_at_ms = request_services.states.of(route).objective_at_ms(request, route)
         context = request_services.context(request, route)
-        asked = _Asked(request, route, gathering, context, end_at_ms)
+        pending = _PendingQuery(request, route, gathering, context, end_at_ms)
         remote_plan = None
         if self._delegation is not None:
             remote_plan = self._delegation.plan(route, gathering)
         run: GatherRun | CoordinatedQuery
         if remote_plan is not None and remote_plan.is_whole:
-            run = await self._follow(asked, remote_plan)
+            run = await self._run_coordinated(pending, remote_plan)
         else:
-            run = await self._run(asked, remote_plan)
+            run = await self._run_locally(pending, remote_plan)
         if run.remote is not None and run.remote.is_unreachable:
             self.record_unreachable()
-        reply = self._gathered(run, gathering)
+        reply = self._caller_reply(run, gathering)
         request_services.record(request, route, reply, context, parts=_parts_text(run))
         return reply
 
-    async def _gather_again(self, request: InboundRequest) -> CallerReply:
+    async def _retry_gather(self, request: InboundRequest) -> CallerReply:
         """Gather a query that no coordinator would take.
 
         They take queries only if their version gathers it in the same way. A
         new version reaches all instances within a moment of each other.
         """
         request_services = self._request_services
-        await request_services.clock.sleep_ms(_VERSION_PAUSE_MS)
+        await request_services.clock.sleep_ms(_VERSION_SKEW_MS)
         assert request_services.table is not None
         route = request_services.table.find(request.host, request.path)
         if route is None or route.gathering is None:
@@ -228,34 +228,38 @@
             )
         return await self._gather(request, route, route.gathering)
 
-    async def _run(self, asked: _Asked, remote_plan: RemotePlan | None) -> GatherRun:
+    async def _run_locally(
+        self, pending: _PendingQuery, remote_plan: RemotePlan | None
+    ) -> GatherRun:
         """Gather a query from here."""
-        context = asked.context
+        context = pending.context
         plan = gather_plan(
             self._request_services.clock.now_ms(),
-            end_at_ms=asked.end_or_give_up_at_ms,
-            give_up_at_ms=asked.give_up_at_ms,
+            end_at_ms=pending.effective_end_at_ms,
+            give_up_at_ms=pending.give_up_at_ms,
             baseline=context.baseline,
-            objective_ms=asked.route.objective_ms,
+            objective_ms=pending.route.objective_ms,
         )
         run = GatherRun(
-            asked.gathering,
+            pending.gathering,
             context,
             plan,
             remote_plan=remote_plan,
-            start_remote=self._remote_starter(asked),
+            start_remote=self._remote_starter(pending),
             start_liveness_probe=self._start_liveness_probe
             if self._uses_coordinators
             else None,
         )
-        await self._run_until_left(run, asked)
+        await self._run_until_cancelled(run, pending)
         # Servers drop a request when its connection closes. Under load that
         # frees slots for requests that are waited for; in calm it only costs a
         # connection.
         run.end(at_once=context.baseline.is_loaded)
         return run
 
-    async def _follow(self, asked: _Asked, remote_plan: RemotePlan) -> CoordinatedQuery:
+    async def _run_coordinated(
+        self, pending: _PendingQuery, remote_plan: RemotePlan
+    ) -> CoordinatedQuery:
         """Have a query gathered by another instance.
 
         Nothing is asked from here: with too few connections for every instance it
@@ -263,23 +267,23 @@
         """
         assert self._delegation is not None
         run = CoordinatedQuery(
-            asked.gathering,
-            asked.context,
+            pending.gathering,
+            pending.context,
             start_liveness_probe=self._start_liveness_probe,
             plan=remote_plan,
-            ask=self._remote_starter(asked),
+            start_remote=self._remote_starter(pending),
             next_plan=partial(
-                self._delegation.plan_whole, asked.route, asked.gathering
+                self._delegation.plan_whole_query, pending.route, pending.gathering
             ),
-            give_up_at_ms=asked.give_up_at_ms,
-            may_ask_twice=self._delegation.may_ask_twice(asked.route, asked.gathering),
+            give_up_at_ms=pending.give_up_at_ms,
+            may_retry=self._delegation.may_retry(pending.route, pending.gathering),
         )
-        await self._run_until_left(run, asked)
+        await self._run_until_cancelled(run, pending)
         run.end(at_once=True)
         return run
 
-    async def _run_until_left(
-        self, run: GatherRun | CoordinatedQuery, asked: _Asked
+    async def _run_until_cancelled(
+        self, run: GatherRun | CoordinatedQuery, pending: _PendingQuery
     ) -> None:
         """Run a query; stop its work if its asker leaves."""
         try:
@@ -287,11 +291,11 @@
         except trio.Cancelled:
             run.end(at_once=True)
             self._request_services.record_left(
-                asked.request, asked.route, asked.context
+                pending.request, pending.route, pending.context
             )
             raise
 
-    def _remote_starter(self, asked: _Asked) -> StartRemoteCall:
+    def _remote_starter(self, pending: _PendingQuery) -> StartRemoteCall:
         """Return what asks another instance for parts of a query."""
         request_services = self._request_services
 
@@ -302,14 +306,14 @@
                 remote_plan, clock=request_services.clock, on_change=on_change
             )
             remote.start(
-                asked.request,
+                pending.request,
                 wire=request_services.wire,
-                gathering=asked.gathering,
-                rank=asked.route.rank,
-                end_at_ms=asked.end_or_give_up_at_ms,
-                give_up_at_ms=asked.give_up_at_ms,
-                objective_ms=asked.route.objective_ms,
-                is_repeat=is_repeat or asked.context.is_repeat,
+                gathering=pending.gathering,
+                rank=pending.route.rank,
+                end_at_ms=pending.effective_end_at_ms,
+                give_up_at_ms=pending.give_up_at_ms,
+                objective_ms=pending.route.objective_ms,
+                is_repeat=is_repeat or pending.context.is_repeat,
             )
             return remote
 
@@ -324,42 +328,44 @@
         """
         return self._delegation is not None and self._delegation.uses_coordinators
 
-    def _gathered(
+    def _caller_reply(
         self, run: GatherRun | CoordinatedQuery, gathering: Gathering
     ) -> CallerReply:
         if not run.is_enough:
-            return self._no_answer(run)
+            return self._failure_reply(run)
         signatures, bodies = run.answer()
         missing = run.total - len(signatures)
-        body = greatest_records(bodies, gathering.top_count)
+        body = top_records(bodies, gathering.top_count)
         headers = self._request_services.wire.gathered_headers(signatures, missing)
         return CallerReply(200, headers, body, "partial" if missing else "whole")
 
-    def _delegated(self, run: GatherRun, gathering: Gathering) -> CallerReply:
+    def _delegated_reply(self, run: GatherRun, gathering: Gathering) -> CallerReply:
         signatures, bodies = run.answer()
         if not signatures:
-            return self._no_answer(run)
-        records = greatest_records(bodies, gathering.top_count)
+            return self._failure_reply(run)
+        records = top_records(bodies, gathering.top_count)
         headers = [signatures_header(signatures)]
         return CallerReply(200, headers, records, "delegated_parts")
 
-    def _not_run(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
+    def _refusal(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         """Return the refusal of a query that no server was asked for."""
         if run.remote is not None and run.remote.is_unreachable:
             return self._request_services.unreachable()
         reason = _NO_COORDINATOR if isinstance(run, CoordinatedQuery) else "no_server"
         return self._request_services.not_run(reason)
 
-    def _no_answer(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
+    def _failure_reply(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         if not run.was_sent:
-            return self._not_run(run)
-        if run.found_silence:
-            return self._failed(BAD_GATEWAY, "all_silent", closes=True)
+            return self._refusal(run)
+        if run.ended_unresponsive:
+            return self._failure(BAD_GATEWAY, "all_silent", closes=True)
         if run.is_open:
-            return self._failed(GATEWAY_TIMEOUT, "too_few_parts_in_time")
-        return self._failed(BAD_GATEWAY, "too_few_parts")
+            return self._failure(GATEWAY_TIMEOUT, "too_few_parts_in_time")
+        return self._failure(BAD_GATEWAY, "too_few_parts")
 
-    def _failed(self, status: int, reason: str, *, closes: bool = False) -> CallerReply:
+    def _failure(
+        self, status: int, reason: str, *, closes: bool = False
+    ) -> CallerReply:
         """Return a failure of a query that may have run.
 
         Where this instance is cut off, its caller's next try is of use only
@@ -371,10 +377,10 @@
             return CallerReply(status, [], b"", reason, closes=closes)
         now_ms = request_services.clock.now_ms()
         request_services.rotation.record(is_ready=False, now_ms=now_ms)
-        later = request_services.wire.retry_after(
+        retry_after = request_services.wire.retry_after(
             request_services.rotation.wait_ms(now_ms)
         )
-        return CallerReply(status, [later], b"", reason, closes=True)
+        return CallerReply(status, [retry_after], b"", reason, closes=True)
 
 
 def _delegated_gathering(query: DelegatedQuery, whole: Gathering) -> Gathering:
@@ -386,7 +392,7 @@
     would fail there, although the missing ones were about to come and a late
     answer has a worth: it is gathered until there are enough.
     """
-    services = query.chosen(whole.services)
+    services = query.select(whole.services)
     coverage = whole.minimum_coverage
     if not query.is_whole:
         coverage = query.minimum_parts / max(len(services), 1)
@@ -394,10 +400,10 @@
 
 
 def _parts_text(run: GatherRun | CoordinatedQuery) -> str:
-    missing = run.missing[:_SHOWN_SERVICES]
+    missing = run.missing[:_MAX_LOGGED_SERVICES]
     names = ", ".join(f"{call.service} ({call.last_error})" for call in missing)
     text = f"{run.answered}/{run.total} {names}"
     if run.remote is None:
         return text
-    asked = len(run.remote.services)
-    return f"{text}; {len(run.remote.signatures)}/{asked} by {run.remote.peer_name}"
+    delegated = len(run.remote.services)
+    return f"{text}; {len(run.remote.signatures)}/{delegated} by {run.remote.peer_name}"
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -25,18 +25,18 @@
 
 __all__ = ["CallContext", "ServiceCall"]
 
-_NOT_RUN_RETRIES = 2
+_MAX_NOT_RUN_RETRIES = 2
 """Sends beyond the route's attempts after replies that say "not run"."""
 
-_RESEND_PAUSE_MS = 50.0
+_RETRY_PAUSE_MS = 50.0
 """The least pause before a part that failed is asked for again: some requests of a
 server's queue end meanwhile."""
 
-_SLOW = 2.0
+_CANCEL_SLOWNESS = 2.0
 """Slowness from which on work that is not waited for is stopped."""
 
 
-_CONNECTION_BYTES = 400.0
+_RECONNECT_BYTES = 400.0
 """Bytes between zones that ending a connection and opening another one takes."""
 
 
@@ -112,19 +112,19 @@
     """
 
     __slots__ = (
-        "_again_at_ms",
         "_context",
         "_has_run",
         "_is_out_of_budget",
+        "_not_run_attempts",
         "_on_change",
         "_open",
-        "_refunded",
+        "_retry_at_ms",
         "_tried",
+        "attempts_sent",
         "failure",
         "last_error",
         "reply",
         "retry_after_ms",
-        "sends",
         "service",
     )
 
@@ -139,15 +139,15 @@
         self._on_change = on_change
         self._open: list[Exchange] = []
         self._tried: list[Server] = []
-        self._refunded = 0
-        self._again_at_ms = -math.inf
+        self._not_run_attempts = 0
+        self._retry_at_ms = -math.inf
         self._is_out_of_budget = False
         self.reply: BackendReply | None = None
         self.failure: BackendReply | None = None
         self.last_error = ""
         self._has_run = False
         self.retry_after_ms: float | None = None
-        self.sends = 0
+        self.attempts_sent = 0
 
     @property
     def is_settled(self) -> bool:
@@ -176,35 +176,37 @@
         if self._context.is_repeat:
             # The servers that were asked are not known here. With more of them
             # than the route allows attempts this could be one too many.
-            return self.has_no_more_servers_than_attempts and self.send_extra_attempt()
+            return self.attempts_cover_all_servers and self.send_extra_attempt()
         self._context.budgets.of_service(self.service).record_primary(now_ms)
         return self._send(now_ms)
 
     def send_extra_attempt(self) -> bool:
         """Send to one more server if attempts and budget allow it."""
         context = self._context
-        if self.sends >= context.attempts + min(self._refunded, _NOT_RUN_RETRIES):
+        if self.attempts_sent >= context.attempts + min(
+            self._not_run_attempts, _MAX_NOT_RUN_RETRIES
+        ):
             return False
         now_ms = context.clock.now_ms()
         server = self._choose(now_ms)
-        why = self.last_error or "late"
+        cause = self.last_error or "late"
         if server is None or now_ms < server.not_before_ms:
             context.counters.add(CounterKind.RETRIES_WITHHELD, "no_other_server")
-            context.trace.record(now_ms, "no_other_server", self.service, "", why)
+            context.trace.record(now_ms, "no_other_server", self.service, "", cause)
             return False
         if not context.budgets.try_spend(self.service, now_ms):
             context.counters.add(CounterKind.RETRIES_WITHHELD, "budget")
-            context.trace.record(now_ms, "budget_spent", self.service, "", why)
+            context.trace.record(now_ms, "budget_spent", self.service, "", cause)
             self._is_out_of_budget = True
             return False
-        context.counters.add(CounterKind.RETRIES, why)
+        context.counters.add(CounterKind.RETRIES, cause)
         context.trace.extras += 1
         name = server.entry.server_id
-        context.trace.record(now_ms, "sent_again", self.service, name, why)
+        context.trace.record(now_ms, "sent_again", self.service, name, cause)
         self._submit(server, now_ms)
         return True
 
-    def may_send_again_at_ms(self, now_ms: float) -> float:
+    def next_retry_at_ms(self, now_ms: float) -> float:
         """Return when a server may be asked again; infinite for never.
 
         Where the budget was spent it is never: it comes back over seconds, and the
@@ -213,19 +215,21 @@
         if self._is_out_of_budget:
             return math.inf
         context = self._context
-        if self.sends >= context.attempts + min(self._refunded, _NOT_RUN_RETRIES):
+        if self.attempts_sent >= context.attempts + min(
+            self._not_run_attempts, _MAX_NOT_RUN_RETRIES
+        ):
             return math.inf
-        at_ms = now_ms + _RESEND_PAUSE_MS
-        server = self._best(self._tried, now_ms)
-        if server is None and self._refunded:
-            server = self._best([], now_ms)
-            at_ms = max(at_ms, self._again_at_ms)
+        at_ms = now_ms + _RETRY_PAUSE_MS
+        server = self._choose_excluding(self._tried, now_ms)
+        if server is None and self._not_run_attempts:
+            server = self._choose_excluding([], now_ms)
+            at_ms = max(at_ms, self._retry_at_ms)
         if server is None:
             return math.inf
         return max(server.not_before_ms, at_ms)
 
     @property
-    def has_no_more_servers_than_attempts(self) -> bool:
+    def attempts_cover_all_servers(self) -> bool:
         """Whether asking each server once stays within the route's attempts."""
         servers = self._context.registry.of_service(self.service)
         return len(servers) <= self._context.attempts
@@ -237,7 +241,7 @@
         must not run twice waited there for its whole time, although nothing of it had
         been sent.
         """
-        if self._best(self._tried, now_ms) is None:
+        if self._choose_excluding(self._tried, now_ms) is None:
             return
         for exchange in list(self._open):
             if exchange.sent_at_ms is None:
@@ -255,20 +259,22 @@
         from another zone costs more bytes between zones than a new connection.
         """
         now_ms = self._context.clock.now_ms()
-        is_large = self._context.baseline.reply_bytes > _CONNECTION_BYTES
+        is_large = self._context.baseline.reply_bytes > _RECONNECT_BYTES
         for exchange in list(self._open):
             server = exchange.server
-            stops = server.slowness(now_ms) > _SLOW or (is_large and not server.is_near)
-            exchange.give_up(at_once=at_once or stops)
+            closes = server.slowness(now_ms) > _CANCEL_SLOWNESS or (
+                is_large and not server.is_near
+            )
+            exchange.give_up(at_once=at_once or closes)
 
     def _choose(self, now_ms: float) -> Server | None:
-        chosen = self._best(self._tried, now_ms)
-        if chosen is None and self._refunded and now_ms >= self._again_at_ms:
+        chosen = self._choose_excluding(self._tried, now_ms)
+        if chosen is None and self._not_run_attempts and now_ms >= self._retry_at_ms:
             # Every server was asked and some said "not run": ask one again.
-            return self._best([], now_ms)
+            return self._choose_excluding([], now_ms)
         return chosen
 
-    def _best(self, tried: list[Server], now_ms: float) -> Server | None:
+    def _choose_excluding(self, tried: list[Server], now_ms: float) -> Server | None:
         """Return the server to ask that was not tried."""
         context = self._context
         servers = context.registry.of_service(self.service)
@@ -291,7 +297,7 @@
             server,
             request_id=context.request_id,
             payload=lambda at_ms: payload(server, at_ms),
-            on_end=self._ended,
+            on_end=self._on_exchange_end,
             rank=context.rank,
             created_at_ms=now_ms,
             expected_ms=context.baseline.late_ms,
@@ -300,11 +306,11 @@
         )
         self._tried.append(server)
         self._open.append(exchange)
-        self.sends += 1
+        self.attempts_sent += 1
         assert server.pool is not None
         server.pool.submit(exchange)
 
-    def _ended(self, exchange: Exchange) -> None:
+    def _on_exchange_end(self, exchange: Exchange) -> None:
         """Take in the end of an exchange, also of an abandoned one."""
         server = exchange.server
         if server.pool is not None:
@@ -333,8 +339,8 @@
         elif reply.has_unreadable_load:
             self._context.counters.add(CounterKind.SERVER_LOADS, "unreadable")
         if reply.not_run:
-            self._refunded += 1
-            self._again_at_ms = now_ms + _RESEND_PAUSE_MS
+            self._not_run_attempts += 1
+            self._retry_at_ms = now_ms + _RETRY_PAUSE_MS
             self.last_error = f"not_run_{reply.status}"
             self.retry_after_ms = reply.retry_after_ms
             server.record_refused(now_ms, reply.retry_after_ms)
@@ -363,7 +369,7 @@
         if error.may_have_run:
             self._has_run = True
         elif error.kind is not ExchangeErrorKind.WITHDRAWN:
-            self._refunded += 1
+            self._not_run_attempts += 1
         if error.kind is ExchangeErrorKind.WITHDRAWN:
             return
         self.last_error = error.kind.value
--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -18,7 +18,7 @@
 from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import ExchangeErrorKind, InboundRequest
 from ibisfront.gateway.observability import Observer
-from ibisfront.gateway.queries.delegated_query import delegated_from
+from ibisfront.gateway.queries.delegated_query import parse_delegated_query
 from ibisfront.gateway.queries.delegation import Delegation
 from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
@@ -320,7 +320,7 @@
         request = WIRE.decode_request(
             reader.messages.pop(), self._zones.clock.now_ms(), 0.0
         )
-        self._zones.delegated += delegated_from(request) is not None
+        self._zones.delegated += parse_delegated_query(request) is not None
         if self._zones.frozen and self._gateway is self._zones.gateways["z1"]:
             await trio.sleep_forever()
         reply = await self._gateway.answer_instance(request)
--- a/ibisfront/tests/test_gateway_coordinated_query.py
+++ b/ibisfront/tests/test_gateway_coordinated_query.py
@@ -36,17 +36,17 @@
 class CoordinatedQueryTest(unittest.TestCase):
     """Whom a query goes on to when instances refuse it."""
 
-    async def asked(self, *, is_unreachable):
+    async def count_requests(self, *, is_unreachable):
         """Return how many instances are asked if all refuse."""
         route = gather_route(4)
         fixture = GatewayFixture(route)
         async with fixture.running():
             request = InboundRequest(b"GET", b"/", "h", "r", 900.0, [], b"", 0.0)
             context = fixture.request_services.context(request, route)
-            asked = []
+            requests = []
 
-            def ask(plan, is_repeat, on_change):
-                asked.append(is_repeat)
+            def start_remote(plan, is_repeat, on_change):
+                requests.append(is_repeat)
                 return RefusingRemote(plan, is_unreachable=is_unreachable)
 
             query = CoordinatedQuery(
@@ -54,20 +54,20 @@
                 context,
                 start_liveness_probe=lambda remote, on_change: Check(),
                 plan=PLAN,
-                ask=ask,
+                start_remote=start_remote,
                 next_plan=lambda tried: PLAN,
                 give_up_at_ms=trio.current_time() * 1000.0 + 900.0,
-                may_ask_twice=True,
+                may_retry=True,
             )
             await query.run()
         self.assertFalse(query.was_sent)
-        self.assertFalse(any(asked))
-        return len(asked)
+        self.assertFalse(any(requests))
+        return len(requests)
 
     @trio_test
     async def test_query_goes_on_while_instances_are_behind(self):
         """A zone refuses its queries while both that gather for it are behind."""
-        self.assertEqual(await self.asked(is_unreachable=False), 4)
+        self.assertEqual(await self.count_requests(is_unreachable=False), 4)
 
     @trio_test
     async def test_zone_that_is_cut_off_refuses_at_once(self):
@@ -76,7 +76,7 @@
         Both instances that gather for it say that they reach no servers. The query
         went on to those of other zones, behind the cut, and waited for each.
         """
-        self.assertEqual(await self.asked(is_unreachable=True), 2)
+        self.assertEqual(await self.count_requests(is_unreachable=True), 2)
 
 
 class Check:
--- a/ibisfront/tests/test_gateway_delegation.py
+++ b/ibisfront/tests/test_gateway_delegation.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from ibisfront.gateway.queries.delegated_query import delegated_from
+from ibisfront.gateway.queries.delegated_query import parse_delegated_query
 from ibisfront.testing.gateway_fixture import gather_route
 from ibisfront.testing.two_zones import TwoZones
 from ibisfront.tests import trio_test
@@ -28,9 +28,9 @@
         async with zones.running():
             reply = await zones.ask("z0")
             far = zones.received_from("z0", zone="z1")
-            handed = zones.delegated
+            delegated = zones.delegated
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
-        self.assertEqual((far, handed), (0, 1))
+        self.assertEqual((far, delegated), (0, 1))
         stamps = dict(reply.headers)[b"X-Shard-Stamps"].split(b", ")
         self.assertEqual(len(set(stamps)), 20)
 
@@ -279,11 +279,11 @@
     @trio_test
     async def test_malformed_query_is_none(self):
         request = TwoZones(route()).request("/search/a")
-        self.assertIsNone(delegated_from(request))
+        self.assertIsNone(parse_delegated_query(request))
         headers = [
             (b"X-Ibisfront-Version", b"7"),
             (b"X-Ibisfront-Services", b"zz"),
             (b"X-Ibisfront-Objective-Ms", b"5"),
         ]
         request = msgspec.structs.replace(request, headers=headers)
-        self.assertIsNone(delegated_from(request))
+        self.assertIsNone(parse_delegated_query(request))
--- a/ibisfront/tests/test_gateway_forwarding.py
+++ b/ibisfront/tests/test_gateway_forwarding.py
@@ -178,26 +178,28 @@
         self.assertLess(took_ms, 50.0)
 
 
-class RebornServerTest(unittest.TestCase):
+class RestartedServerTest(unittest.TestCase):
     """Requests under way at a server that starts again under its id."""
 
-    async def _ask_across_a_rebirth(self, kind):
+    async def _request_across_restart(self, kind):
         route = forward_route(kind=kind)
         fixture = GatewayFixture(route, servers=1, latency_ms=math.inf)
         replies = []
         async with fixture.running(), trio.open_nursery() as nursery:
-            stand_in = fixture.servers["archive"][0]
+            fake_server = fixture.servers["archive"][0]
 
             async def ask():
                 replies.append(await fixture.ask("/fetch/a", deadline_ms=2000.0))
 
             nursery.start_soon(ask)
             await trio.sleep(0.05)
-            stand_in.latency_ms = 10.0
-            fixture.registry.put(msgspec.structs.replace(stand_in.entry, born_ms=2_000))
+            fake_server.latency_ms = 10.0
+            fixture.registry.put(
+                msgspec.structs.replace(fake_server.entry, born_ms=2_000)
+            )
             await trio.sleep(0.1)
             ended = len(replies)
-        return ended, replies[0], len(stand_in.received)
+        return ended, replies[0], len(fake_server.received)
 
     @trio_test
     async def test_idempotent_request_goes_to_the_new_incarnation_at_once(self):
@@ -206,7 +208,7 @@
         The server died behind a cut, so that no reset came, and started again.
         The request waits on a connection to the dead one.
         """
-        ended, reply, received = await self._ask_across_a_rebirth(
+        ended, reply, received = await self._request_across_restart(
             RequestKind.IDEMPOTENT
         )
         self.assertEqual((ended, reply.status, received), (1, 200, 2))
@@ -218,7 +220,7 @@
         The server may have run the request before it died. Its next
         incarnation knows nothing of it; the caller is not told "not run".
         """
-        ended, reply, received = await self._ask_across_a_rebirth(
+        ended, reply, received = await self._request_across_restart(
             RequestKind.NON_IDEMPOTENT
         )
         self.assertEqual((ended, reply.status, received), (1, 502, 1))
--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ibisfront.gateway.queries.records import greatest_records
+from ibisfront.gateway.queries.records import top_records
 from ibisfront.testing.gateway_fixture import (
     GatewayFixture,
     gather_route,
@@ -243,4 +243,4 @@
     def test_equal_records_count_and_short_rests_do_not(self):
         low, high = b"a" * 16, b"b" * 16
         bodies = [low + high + b"zz", high, b"", b"c" * 15]
-        self.assertEqual(greatest_records(bodies, 3), high + high + low)
+        self.assertEqual(top_records(bodies, 3), high + high + low)
