--- a/ibisfront/gateway/queries/__init__.py
+++ b/ibisfront/gateway/queries/__init__.py
@@ -1,1 +1,1 @@
-"""Requests on their way: forwarded, gathered, delegated."""
+"""Execution of requests: forwarding, scatter-gather and delegation."""
--- a/ibisfront/gateway/queries/coordinated_query.py
+++ b/ibisfront/gateway/queries/coordinated_query.py
@@ -1,4 +1,4 @@
-"""A query that another instance gathers whole."""
+"""A query whose scatter-gather another instance runs."""
 
 from __future__ import annotations
 
@@ -17,55 +17,55 @@
 __all__ = ["CoordinatedQuery", "NextCoordinator", "StartRemoteCall"]
 
 _MAX_REFUSALS = 4
-"""Coordinators that may refuse one query: both of the own zone may be behind with the
-configuration, and so may one of another."""
+"""Refusals before a query is abandoned: both coordinators of the own zone may have an
+older configuration, and so may one of another zone."""
 
 _MAX_UNREACHABLE = 2
-"""Coordinators that may say that they cannot reach the servers: two of a zone mean that
-the zone is cut off. Others are behind the cut too; asking them would only hold up the
-caller, who has little time to come again elsewhere."""
+"""Coordinators that may report the servers unreachable: two in a zone mean that the
+zone is partitioned. Coordinators elsewhere are behind the partition too; trying them
+would only use up the time that the caller has left to retry in another zone."""
 
 StartRemoteCall: TypeAlias = (
     "Callable[[RemotePlan, bool, Callable[[], None]], RemoteCall]"
 )
-"""Asks an instance, told whether another one may have gathered the query already."""
+"""Sends a query to an instance, with whether another may have run it already."""
 
 NextCoordinator: TypeAlias = "Callable[[Sequence[Server]], RemotePlan | None]"
-"""Returns an instance to ask that was not tried yet."""
+"""Returns a plan for a coordinator that was not tried yet, or None."""
 
 
 class CoordinatedQuery:
-    """One query while another instance gathers it; used once.
+    """One query while another instance coordinates it; used once.
 
-    An instance that refuses the query is replaced at once. One that is lost with it
-    is replaced once, if servers may be asked a second time; otherwise the caller is
-    told while there is time to come again.
+    A coordinator that refuses the query is replaced at once. One that is lost while it
+    runs the query is replaced once, if the query may be retried; otherwise the caller
+    gets an error while there is time to retry.
 
     Parameters
     ----------
     gathering : Gathering
-        Which services, and how many are enough.
+        The services and the minimum coverage.
     context : CallContext
-        What answering the request takes.
+        The context of the request.
     start_liveness_probe : callable
-        Returns what finds out whether an instance is lost.
+        Starts the liveness probe of an instance.
     plan : RemotePlan
-        Whom to ask first.
-    ask : callable
-        Asks an instance.
+        The first coordinator.
+    start_remote : callable
+        Sends the query to a coordinator.
     next_plan : callable
-        Finds another one.
+        Returns the next coordinator.
     give_up_at_ms : float
-        When the query is given up.
-    may_ask_twice : bool
-        Whether servers may be asked again after an instance was lost.
+        When the query is abandoned.
+    may_retry : bool
+        Whether the query may run again after a coordinator was lost.
 
     Attributes
     ----------
     remote : RemoteCall
-        The instance that was asked last.
-    found_silence : bool
-        Whether it was given up since that one showed no life.
+        The call to the coordinator that was tried last.
+    ended_unresponsive : bool
+        Whether it was abandoned because that coordinator failed its liveness probe.
     """
 
     __slots__ = (
@@ -116,17 +116,17 @@
 
     @property
     def total(self) -> int:
-        """How many parts the answer would have."""
+        """Number of parts of a complete answer."""
         return len(self._gathering.services)
 
     @property
     def answered(self) -> int:
-        """How many parts are in."""
+        """Number of parts received."""
         return 0 if self.remote is None else len(self.remote.signatures)
 
     @property
     def is_enough(self) -> bool:
-        """Whether the parts that are in make an answer."""
+        """Whether the parts received suffice for an answer."""
         return self.answered >= self._gathering.needed_parts
 
     @property
@@ -142,17 +142,17 @@
 
     @property
     def missing(self) -> list[ServiceCall]:
-        """The services asked from here that have no answer: none is asked."""
+        """Always empty: this instance sends no sub-requests itself."""
         return []
 
     def answer(self) -> tuple[list[bytes], list[bytes]]:
-        """Return the signatures of the parts that are in, and their records."""
+        """Return the signatures and the records of the parts received."""
         if self.remote is None:
             return [], []
         return self.remote.signatures, [self.remote.records]
 
     async def run(self) -> None:
-        """Have the query gathered, until there is an answer or none can come."""
+        """Run the query until it is answered or cannot be."""
         remote = self._start_call(self._plan)
         while True:
             is_lost = await self._wait_for(remote)
@@ -167,10 +167,10 @@
             remote = self._start_call(plan)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for no answer any more.
+        """Stop waiting for the answer.
 
-        Closing tells the other instance to stop its work, whatever ``at_once`` says;
-        its parts cannot be waited for one by one.
+        The connection is closed whatever ``at_once`` says, which cancels the work of
+        the coordinator: it sends its parts in one reply only.
         """
         if self.remote is not None:
             self.remote.end(at_once=True)
@@ -181,7 +181,7 @@
         return remote
 
     def _plan_after(self, remote: RemoteCall) -> RemotePlan | None:
-        """Return whom to ask after an instance that brought no answer."""
+        """Return the plan after a coordinator without an answer, or None to stop."""
         self._tried.append(remote.peer)
         if remote.may_have_run:
             self._may_have_run = True
@@ -202,7 +202,7 @@
         return plan
 
     async def _wait_for(self, remote: RemoteCall) -> bool:
-        """Wait for an instance's answer; return whether it was found lost."""
+        """Wait for a coordinator's answer; return whether the coordinator was lost."""
         clock = self._context.clock
         probe = self._start_liveness_probe(remote, self._wake)
         try:
--- a/ibisfront/gateway/queries/delegated_query.py
+++ b/ibisfront/gateway/queries/delegated_query.py
@@ -1,4 +1,4 @@
-"""What instances say to each other when one asks for parts of a query."""
+"""Messages by which one instance requests parts of a query from another."""
 
 from __future__ import annotations
 
@@ -34,28 +34,28 @@
 
 
 class DelegatedQuery(msgspec.Struct, frozen=True):
-    """A part of a query that another instance asks for.
+    """Parts of a query requested by another instance.
 
     Attributes
     ----------
     request : InboundRequest
-        The caller's request, as it came.
+        The caller's request, unchanged.
     gathering : str
-        The digest of the gathering by which it was sent.
+        The digest of the sender's gathering.
     services : int
-        The services asked for: bit ``n`` stands for the ``n``-th of the
+        Bit mask of the requested services: bit ``n`` is the ``n``-th of the
         route's list.
-    objective_left_ms : float
-        After how long to answer with the parts that are in.
+    objective_remaining_ms : float
+        Time after which to answer with the parts received.
     is_whole : bool
-        Whether it is a whole query: it is gathered until there are enough
-        parts, and those of other zones may be asked of an instance there.
+        Whether it is a whole query: it runs until there are enough parts, and
+        parts in other zones may be delegated in turn.
     minimum_parts : int
-        Without how many of these parts the query fails even if all others
-        come: they are gathered past the objective if need be.
+        Number of these parts without which the query fails even if all others
+        arrive; they are awaited past the latency objective.
     is_repeat : bool
-        Whether another instance may have asked servers for these parts already,
-        so that each of them is an extra sub-request.
+        Whether another instance may have requested these parts from servers
+        already, so that each sub-request is an extra attempt.
     """
 
     request: InboundRequest
@@ -67,14 +67,14 @@
     is_repeat: bool = False
 
     def select(self, names: Sequence[str]) -> tuple[str, ...]:
-        """Return the services asked for, given the route's list."""
+        """Return the requested services, given the route's list."""
         return tuple(
             name for index, name in enumerate(names) if self.services >> index & 1
         )
 
 
 def parse_delegated_query(request: InboundRequest) -> DelegatedQuery | None:
-    """Return what another instance asks for; None if it is malformed."""
+    """Parse a request from another instance; return None if it is malformed."""
     values = {name.lower(): value for name, value in request.headers}
     internal = (_GATHERING, _SERVICES, _OBJECTIVE, _WHOLE, _MINIMUM, _REPEAT)
     headers = [item for item in request.headers if item[0].lower() not in internal]
@@ -93,22 +93,22 @@
 
 
 def is_unreachable(reply: BackendReply) -> bool:
-    """Return whether an instance refused since it cannot reach the servers."""
+    """Return whether an instance refused because it cannot reach the servers."""
     return any(name.lower() == _UNREACHABLE for name, _ in reply.headers)
 
 
 def unreachable_header() -> Header:
-    """Return the header by which an instance says so."""
+    """Return the header of a refusal because the servers are unreachable."""
     return (_UNREACHABLE, b"1")
 
 
 def signatures_header(signatures: Sequence[bytes]) -> Header:
-    """Return the header of a delegated answer that names its parts."""
+    """Return the header that lists the parts of a delegated answer."""
     return (_SIGNATURES, b",".join(signatures))
 
 
 def format_delegated_query(query: DelegatedQuery) -> InboundRequest:
-    """Return the request by which an instance is asked; the other way round."""
+    """Return the request to send for a delegated query; the inverse of parsing."""
     headers: list[Header] = [
         *query.request.headers,
         (_GATHERING, query.gathering.encode("ascii")),
@@ -125,7 +125,7 @@
 
 
 def service_bitmask(gathering: Gathering, selected: Sequence[str]) -> int:
-    """Return the services asked for, as a query names them."""
+    """Return the bit mask of some services of a gathering."""
     names = frozenset(selected)
     return sum(
         1 << index for index, name in enumerate(gathering.services) if name in names
@@ -133,7 +133,7 @@
 
 
 def parse_signatures(reply: BackendReply) -> list[bytes]:
-    """Return the signatures of the parts in a delegated answer."""
+    """Return the signatures of the parts of a delegated answer."""
     for name, value in reply.headers:
         if name.lower() == _SIGNATURES and value:
             return value.split(b",")
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -1,4 +1,4 @@
-"""Asking an instance of another zone for the parts that stand there."""
+"""Delegation of parts of a query to an instance in their zone."""
 
 from __future__ import annotations
 
@@ -23,16 +23,15 @@
 __all__ = ["Delegation"]
 
 _MIN_DELEGATED_PARTS = 3
-"""Parts for which another instance is asked: its one answer weighs about as
-much as two parts with their headers."""
+"""Fewest parts worth delegating: one merged answer is about as large as two parts
+with their headers."""
 
 _PLACEMENT_TTL_MS = 100.0
-"""How long a finding on where a route's servers stand holds: servers come and
-go in seconds."""
+"""How long a route's placement is cached: servers join and leave within seconds."""
 
 
 class _Placement(msgspec.Struct, frozen=True):
-    """Where the services of a query stand, until a moment."""
+    """Zones of the services of a query, cached until a time."""
 
     gathering: Gathering
     by_zone: dict[str, tuple[str, ...]]
@@ -40,10 +39,10 @@
 
 
 class Delegation:
-    """Decides which services of a query to ask another instance for.
+    """Decides which services of a query to delegate to another instance.
 
-    Each part that is asked of a server in another zone costs bytes between
-    zones. An instance there asks the servers next to it and sends one merged
+    Each part requested from a server in another zone costs traffic between
+    zones. An instance there queries the servers of its zone and sends one merged
     answer instead of all the parts.
 
     Parameters
@@ -51,11 +50,11 @@
     registry : ServerRegistry
         The backend servers.
     peers : ServerRegistry
-        The other instances, under their zone as the service.
+        The other instances, with their zone as the service.
     zone : str
         This instance's availability zone.
     coordinators : Coordinators
-        Which instances gather.
+        The instances that run scatter-gather queries.
     clock : Clock
         The tier's clock.
     """
@@ -89,11 +88,11 @@
 
     @property
     def uses_coordinators(self) -> bool:
-        """Whether only some instances gather."""
+        """Whether only some instances run scatter-gather."""
         return self._coordinators.uses_coordinators
 
     def plan(self, route: Route, gathering: Gathering) -> RemotePlan | None:
-        """Return whom to ask for which services; None to ask them all here."""
+        """Return what to delegate; None to query all services from here."""
         if not self._coordinators.is_coordinator:
             whole_plan = self.plan_whole_query(route, gathering)
             if whole_plan is not None:
@@ -101,7 +100,7 @@
         return self.plan_remote_zone(route, gathering)
 
     def plan_remote_zone(self, route: Route, gathering: Gathering) -> RemotePlan | None:
-        """Return whom to ask for the services that stand elsewhere only."""
+        """Return a plan for the services that exist in other zones only."""
         now_ms = self._clock.now_ms()
         by_zone = self._services_by_zone(route, gathering, now_ms)
         baseline = self._baseline(route)
@@ -114,10 +113,10 @@
         return RemotePlan(peer, by_zone[peer.entry.zone], baseline)
 
     def may_retry(self, route: Route, gathering: Gathering) -> bool:
-        """Return whether a query may be gathered again after an instance was lost.
+        """Return whether a query may be retried after its coordinator was lost.
 
-        The two could together reach more servers of a service than the route allows
-        attempts, unless it has no more of them.
+        The two runs together could reach more servers of a service than the route
+        allows attempts, unless the service has no more servers than that.
         """
         retryable = sum(
             len(self._registry.of_service(service)) <= route.attempts
@@ -128,7 +127,7 @@
     def plan_whole_query(
         self, route: Route, gathering: Gathering, tried: Sequence[Server] = ()
     ) -> RemotePlan | None:
-        """Return a coordinator for a whole query, of the own zone if there is one."""
+        """Return a plan for a whole query, preferring coordinators of this zone."""
         now_ms = self._clock.now_ms()
         baseline = self._baseline(route)
         zones = sorted(
@@ -145,7 +144,7 @@
         return None
 
     def _available_peers(self, zone: str) -> list[Server]:
-        """Return the instances of a zone that gather and are within reach."""
+        """Return the reachable coordinators of a zone."""
         now_ms = self._clock.now_ms()
         coordinator_ids = self._coordinators.of_zone(zone)
         return [
@@ -157,7 +156,7 @@
         ]
 
     def retain(self, names: Container[str]) -> None:
-        """Forget all routes but these."""
+        """Drop the state of all other routes."""
         keep_routes(self._baselines, names)
         keep_routes(self._placements, names)
 
@@ -172,10 +171,10 @@
     def _services_by_zone(
         self, route: Route, gathering: Gathering, now_ms: float
     ) -> dict[str, tuple[str, ...]]:
-        """Return the services that stand elsewhere only, by the best zones."""
+        """Return the services in other zones only, by the zones with most of them."""
         placement = self._placements.get(route.name)
-        # A new version may name other services under the same route; parts of
-        # both would stand in one answer if the finding outlived its version.
+        # A new version may list other services for the same route; a placement used
+        # beyond its version would mix parts of both in one answer.
         is_valid = (
             placement is not None
             and placement.gathering is gathering
--- a/ibisfront/gateway/queries/forwarding.py
+++ b/ibisfront/gateway/queries/forwarding.py
@@ -1,4 +1,4 @@
-"""A request for one backend server of a service."""
+"""Forwarding of a request to one backend server of a service."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     Parameters
     ----------
     service : str
-        The service that runs it.
+        The service that handles it.
     context : CallContext
-        What its sub-requests share.
+        The context of its sub-requests.
     hedge_at_ms : float
-        When an idempotent request is sent to a second server.
+        When an idempotent request is hedged.
     give_up_at_ms : float
-        When it is given up.
+        When it is abandoned.
 
     Attributes
     ----------
@@ -62,7 +62,7 @@
         self.call = ServiceCall(service, context, self._on_call_change)
 
     async def run(self) -> None:
-        """Send it until it is answered, cannot be, or time is up."""
+        """Run the request until it is answered, fails or times out."""
         call = self.call
         clock = self._context.clock
         started_ms = clock.now_ms()
@@ -79,7 +79,7 @@
                 self._woken = trio.Event()
 
     def _run_due_actions(self, now_ms: float) -> bool:
-        """Do what is due; return False if no reply can come any more."""
+        """Run the actions that are due; return False if no reply can arrive."""
         call = self.call
         if now_ms >= self._withdraw_unsent_at_ms:
             self._withdraw_unsent_at_ms = math.inf
@@ -97,14 +97,14 @@
         return min(self._give_up_at_ms, self._hedge_at_ms, self._withdraw_unsent_at_ms)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for no more replies."""
+        """Stop waiting for replies."""
         self.call.end(at_once=at_once)
 
     def _retry(self, now_ms: float) -> bool:
-        """Send once more, now or later; return False if that is of no use.
+        """Retry now or schedule a retry; return False if none can succeed.
 
-        Load pattern: the servers turn work away or are left alone for a moment. A
-        request that ended then would fail with most of its time left.
+        Servers that reject requests or are in backoff are often available again
+        soon. A request that ended then would fail with most of its deadline left.
         """
         if now_ms < self._retry_at_ms:
             return True
@@ -117,7 +117,7 @@
         return self._retry_at_ms <= latest_ms
 
     def _may_retry(self) -> bool:
-        """Return whether sending once more cannot run the request twice."""
+        """Return whether a retry cannot run a non-idempotent request twice."""
         return self._context.is_idempotent or not self.call.may_have_run
 
     def _on_call_change(self, call: ServiceCall) -> None:
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -1,4 +1,4 @@
-"""A query over many services: ask all, put the parts together."""
+"""Scatter-gather: a query sent to many services, with the parts merged."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 __all__ = ["GatherRun"]
 
 _MIN_HEDGE_BASELINES = 1.15
-"""A hedged request is sent while at least this many baseline latencies are left
-before the query ends; later ones would come too late."""
+"""Least time before the end of a query at which it is hedged, in baseline latencies;
+replies to later hedged requests would arrive too late."""
 
 _READ_PAUSE_MS = 1.0
-"""Pause in which replies that lie unread are read."""
+"""Pause in which buffered replies are read."""
 
 
 class GatherRun:
@@ -40,27 +40,27 @@
     Parameters
     ----------
     gathering : Gathering
-        Which services, and how many are enough.
+        The services and the minimum coverage.
     context : CallContext
-        What its sub-requests share.
+        The context of its sub-requests.
     plan : GatherPlan
-        When it acts.
+        When the query hedges, ends and is abandoned.
     remote_plan : RemotePlan, optional
-        Which services another instance is asked for.
+        The services delegated to another instance.
     start_remote : callable, optional
-        Asks it.
+        Sends the delegated query.
     start_liveness_probe : callable, optional
-        Returns what finds out whether that instance is lost, given it and what to
-        call. Without it the parts are asked from here as soon as it is late.
+        Starts the liveness probe of that instance, given the call and a callback.
+        Without it the parts are requested directly as soon as the instance is late.
 
     Attributes
     ----------
     calls : list of ServiceCall
-        One for each service that is asked from here.
-    found_silence : bool
-        Whether it was given up since no server replied anything.
+        One for each service that is queried directly.
+    ended_unresponsive : bool
+        Whether it was abandoned because no server replied.
     remote : RemoteCall or None
-        What another instance was asked for.
+        The delegated parts.
     """
 
     __slots__ = (
@@ -138,17 +138,17 @@
 
     @property
     def total(self) -> int:
-        """How many parts the answer would have."""
+        """Number of parts of a complete answer."""
         return len(self._gathering.services)
 
     @property
     def answered(self) -> int:
-        """How many parts are in."""
+        """Number of parts received."""
         return self._direct_parts + max(self._remote_parts, self._fallback_parts)
 
     @property
     def is_enough(self) -> bool:
-        """Whether the parts that are in make an answer."""
+        """Whether the parts received suffice for an answer."""
         return self.answered >= self._needed
 
     @property
@@ -160,21 +160,21 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether any part may still come."""
+        """Whether any part may still arrive."""
         if self.remote is not None and self.remote.is_open:
             return True
         return any(call.is_open for call in self._all_calls)
 
     @property
     def missing(self) -> list[ServiceCall]:
-        """The services asked from here that have no answer."""
+        """The services queried directly that have not answered."""
         return [call for call in self._all_calls if not call.is_settled]
 
     def answer(self) -> tuple[list[bytes], list[bytes]]:
-        """Return the signatures of the parts that are in, and their records.
+        """Return the signatures and the records of the parts received.
 
-        The records that another instance merged cannot be told apart by
-        service; they are taken whole, or the parts asked from here instead.
+        The records merged by another instance cannot be separated by service: they
+        are used whole, or the parts requested directly replace all of them.
         """
         replies = [call.reply for call in self.calls if call.reply is not None]
         bodies: list[bytes] = []
@@ -189,15 +189,15 @@
         return signatures, bodies
 
     async def run(self) -> None:
-        """Ask every service until the plan says to stop."""
+        """Query every service until the plan ends the query."""
         if self._remote_plan is not None:
             self._start_remote_call(self._remote_plan)
         self._start(self.calls)
         while not self._is_done():
             now_ms = self._context.clock.now_ms()
             if now_ms > self._wake_at_ms + OVERSLEPT_MS:
-                # The processor was away: replies may lie unread, and every
-                # part would look late. They are read first.
+                # The process was not scheduled in time. Buffered replies are read
+                # first; otherwise every part would look late.
                 self._wake_at_ms = math.inf
                 await self._context.clock.sleep_ms(_READ_PAUSE_MS)
                 continue
@@ -217,20 +217,20 @@
                 await self._wait(now_ms)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for no more parts."""
+        """Stop waiting for parts."""
         for call in self._all_calls:
             if call.is_open:
                 call.end(at_once=at_once)
         if self._liveness_probe is not None:
             self._liveness_probe.end()
         if self.remote is not None:
-            # Closing tells the other instance to stop its work; its parts
-            # cannot be waited for one by one.
+            # Closing the connection cancels the work of the other instance, which
+            # sends its parts in one reply only.
             self.remote.end(at_once=True)
 
     @property
     def _waits_for_remote(self) -> bool:
-        """Whether the other instance's answer may still be replaced."""
+        """Whether the other instance's answer is pending and may still be replaced."""
         if self.remote is None or self._is_falling_back:
             return False
         return self.remote.is_open
@@ -240,8 +240,8 @@
         return 0 if self.remote is None else len(self.remote.signatures)
 
     def _start(self, calls: list[ServiceCall]) -> None:
-        # The clock is read once for all parts: reading it costs as much as a step of
-        # sending one.
+        # One clock reading serves all parts; a reading costs as much as a step of
+        # sending a part.
         now_ms = self._context.clock.now_ms()
         for call in calls:
             if not call.start(now_ms):
@@ -309,11 +309,11 @@
         self._retry_at_ms = self._next_retry_at_ms(now_ms)
 
     def _next_retry_at_ms(self, now_ms: float) -> float:
-        """Return when to ask again for parts without which the query fails.
+        """Return when to retry parts without which the query fails.
 
-        Load pattern: servers turn work away, or have crashed and are back in a
-        moment. A query that ended with its last failed part would lose all others
-        with most of its time left. One that cannot have enough in time ends at once.
+        Servers that reject requests or restart are often available again soon. A
+        query that ended at its last failed part would discard all others with most
+        of its deadline left. One that cannot get enough parts in time ends at once.
         """
         open_parts = sum(call.is_open for call in self._all_calls)
         if self.remote is not None and self.remote.is_open:
@@ -336,7 +336,7 @@
                 call.send_extra_attempt()
 
     def _remote_check_at_ms(self) -> float:
-        """Return when the other instance is to be looked at next."""
+        """Return when to check the other instance next."""
         if self.remote is None:
             return math.inf
         if self._liveness_probe is not None:
@@ -344,19 +344,19 @@
         return self._remote_started_ms + self.remote.late_ms
 
     def _is_remote_lost(self, remote: RemoteCall, now_ms: float) -> bool:
-        """Return whether the parts of an open remote call are asked from here."""
+        """Return whether an open remote call is to be replaced by direct requests."""
         if self._liveness_probe is None:
             return now_ms >= self._remote_check_at_ms()
         if not self._liveness_probe.is_lost(now_ms):
             return False
         remote.peer.record_liveness_failure(now_ms)
-        # Nothing comes any more; counted as open it would hold up a query whose
+        # No answer will arrive; a call left open would delay the end of a query whose
         # other parts have failed.
         remote.end(at_once=True)
         return True
 
     def _must_replace_remote(self) -> bool:
-        """Return whether the other instance has failed and was not replaced."""
+        """Return whether the other instance has failed and was not yet replaced."""
         if self.remote is None or self._is_falling_back or self.remote.is_open:
             return False
         return not self.remote.signatures
@@ -369,11 +369,11 @@
             self._liveness_probe = self._start_liveness_probe(self.remote, self._wake)
 
     def _replace_failed_remote(self, now_ms: float) -> None:
-        """Ask from here if the other instance refuses, fails or is silent.
+        """Request the parts directly if the other instance refuses, fails or is lost.
 
-        It may have asked its servers already, so that asking them again
-        counts as extra and must not reach more servers than the route allows;
-        that holds if a service has no more of them.
+        It may have queried its servers already. Direct requests then count as extra
+        attempts and must not reach more servers than the route allows attempts, which
+        holds if a service has no more servers than that.
         """
         remote = self.remote
         if remote is None or self._is_falling_back:
@@ -382,8 +382,8 @@
         if not is_lost and not self._must_replace_remote():
             return
         self._is_falling_back = True
-        # The first choice may be a server that has fallen silent together with
-        # the instance; these parts are hedged in their turn.
+        # The preferred server may have become unresponsive together with the
+        # instance, so that these parts need a hedge of their own.
         self._hedge_at_ms = now_ms + self._context.baseline.late_ms
         self._fallback_calls = [
             ServiceCall(name, self._context, self._on_call_change)
@@ -391,7 +391,7 @@
         ]
         self._all_calls += self._fallback_calls
         if not remote.may_have_run:
-            # It may still wait for a connection, and would go out later.
+            # The request may be queued for a connection and must not be sent later.
             remote.end(at_once=True)
             self._start(self._fallback_calls)
             return
@@ -400,10 +400,10 @@
                 call.send_extra_attempt()
 
     def _is_unresponsive(self, now_ms: float) -> bool:
-        """Return whether no server that was asked has replied anything.
+        """Return whether no server has replied to any sub-request.
 
-        An instance that was asked for parts replies only once, near the end; until
-        then its silence says nothing.
+        An instance replies to a delegated query only once, near the end; until then
+        a missing reply is no evidence.
         """
         if self.answered or now_ms < self._plan.silent_at_ms:
             return False
--- a/ibisfront/gateway/queries/records.py
+++ b/ibisfront/gateway/queries/records.py
@@ -1,4 +1,4 @@
-"""Records of a gathered query: putting the parts together."""
+"""Merging of the records in the parts of a query."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 __all__ = ["RECORD_BYTES", "top_records"]
 
 RECORD_BYTES = 16
-"""Size of a record in bytes, by the format of a part; a shorter rest of
-a part is none."""
+"""Size of a record in a part, in bytes; a shorter remainder is ignored."""
 
 
 def top_records(bodies: Sequence[bytes], count: int) -> bytes:
-    """Return the greatest records of some parts, greatest first.
+    """Return the greatest records of all parts, in descending order.
 
     Parameters
     ----------
     bodies : sequence of bytes
-        Records of :data:`RECORD_BYTES` in no order; a shorter rest is none.
+        Records of :data:`RECORD_BYTES` in any order; a shorter remainder is ignored.
     count : int
-        How many records to return at most.
+        Maximum number of records.
     """
     records: list[bytes] = []
     for body in bodies:
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -1,4 +1,4 @@
-"""The parts of one query that another instance is asked for."""
+"""Calls that delegate parts of a query to another instance."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
 __all__ = ["RemoteCall", "RemotePlan"]
 
 _RETURN_MARGIN_MS = 3.5
-"""How much earlier than here the query ends there: two ways between zones of
-1.4 ms at the most, and the work on its answer."""
+"""How much earlier a query ends at the other instance than here: a round trip between
+zones, at most 1.4 ms each way, and the processing of its answer."""
 
 _RETURN_MARGIN_PER_PART_MS = 0.06
-"""The same for each part: the last ones come together, and reading, merging
-and signing each takes this long on half a core."""
+"""The same for each part: the last parts arrive together, and to read, merge and sign
+one takes this long on half a core."""
 
 _UNAVAILABLE = 503
 _OK = 200
 
 
 class RemotePlan(msgspec.Struct, frozen=True):
-    """Whom to ask for which services.
+    """The instance to which services of a query are delegated.
 
     Attributes
     ----------
     peer : Server
         The instance.
     services : tuple of str
-        The services.
+        The delegated services.
     baseline : BaselineLatency
-        What is usual for the route's delegated queries.
+        The baseline latency of the route's delegated queries.
     is_whole : bool
-        Whether it is asked for the whole query, and may ask another instance
-        for the parts of other zones in turn.
+        Whether the whole query is delegated; the instance may then delegate the
+        parts of other zones in turn.
     """
 
     peer: Server
@@ -62,29 +62,29 @@
 
 
 class RemoteCall:
-    """The parts of one query that another instance is asked for; used once.
+    """One call that delegates parts of a query to another instance; used once.
 
     Parameters
     ----------
     plan : RemotePlan
-        Whom to ask for which services.
+        The instance and the services.
     clock : Clock
         The tier's clock.
     on_change : callable
-        Called when it has ended.
+        Called when the call has ended.
 
     Attributes
     ----------
     services : tuple of str
-        The services.
+        The delegated services.
     signatures : list of bytes
-        The signatures of the parts that are in.
+        The signatures of the parts received.
     records : bytes
         The greatest records of these parts.
     is_refused : bool
-        Whether the instance has not run it and will not.
+        Whether the instance has not run the query and will not.
     is_unreachable : bool
-        Whether it refused since it cannot reach the servers.
+        Whether it refused because it cannot reach the servers.
     """
 
     __slots__ = (
@@ -114,22 +114,22 @@
 
     @property
     def peer(self) -> Server:
-        """The instance that is asked."""
+        """The instance called."""
         return self._plan.peer
 
     @property
     def peer_name(self) -> str:
-        """The instance that is asked."""
+        """The id of the instance called."""
         return self._plan.peer.entry.server_id
 
     @property
     def is_open(self) -> bool:
-        """Whether an answer may still come."""
+        """Whether an answer may still arrive."""
         return self._exchange is not None and not self._exchange.has_ended
 
     @property
     def has_answered(self) -> bool:
-        """Whether it took the query and has said what came of it."""
+        """Whether the instance accepted the query and has replied."""
         exchange = self._exchange
         if exchange is None or exchange.reply is None:
             return False
@@ -137,7 +137,7 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether the instance has replied to nothing since it was asked."""
+        """Whether the instance has sent no reply since the request was sent."""
         exchange = self._exchange
         if exchange is None:
             return False
@@ -146,12 +146,12 @@
 
     @property
     def late_ms(self) -> float:
-        """After how long its answer is late."""
+        """Time after which its answer is late."""
         return self._plan.baseline.late_ms
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any server may have run the request for it."""
+        """Whether any server may have run the request on its behalf."""
         sent = self._exchange is not None and self._exchange.sent_at_ms is not None
         return sent and not self.is_refused
 
@@ -167,7 +167,7 @@
         objective_ms: float,
         is_repeat: bool = False,
     ) -> None:
-        """Ask.
+        """Send the request.
 
         Parameters
         ----------
@@ -176,21 +176,21 @@
         wire : WireCodec
             The codec.
         gathering : Gathering
-            The route's gathering here. The other instance answers only by an
-            equal one, so that all parts of an answer are of one version and a
-            caller never sees versions fall. The versions themselves may
-            differ: most of them change other routes, and spread over the
-            instances for seconds while the store turns some away.
+            This instance's gathering of the route. The other instance answers only
+            if its own is equal, so that all parts of an answer are of one version
+            and a caller never sees a version decrease. The configuration versions
+            may differ: most change other routes only, and they take seconds to
+            reach all instances while the store rejects some.
         rank : int
             The route's rank.
         end_at_ms : float
-            When the query ends with the parts that are in.
+            When the query ends with the parts received.
         give_up_at_ms : float
-            When it is given up.
+            When it is abandoned.
         objective_ms : float
-            How long to wait for parts if the objective is past already.
+            How long to wait for parts if the latency objective has passed already.
         is_repeat : bool
-            Whether servers may have been asked for these parts already.
+            Whether these parts may have been requested from servers already.
         """
         bitmask = service_bitmask(gathering, self.services)
         return_ms = _RETURN_MARGIN_MS + _RETURN_MARGIN_PER_PART_MS * len(self.services)
@@ -222,17 +222,17 @@
         self._plan.peer.pool.submit(self._exchange)
 
     def _minimum_parts(self, gathering: Gathering) -> int:
-        """Return without how many of its parts the query fails for certain.
+        """Return the number of its parts without which the query must fail.
 
-        The other instance gathers at least these. One that ended at the
-        objective with one part too few would make the whole query fail with most
-        of its time left.
+        The other instance waits for at least these. If it ended at the latency
+        objective with one part too few, the whole query would fail with most of its
+        deadline left.
         """
         other_parts = len(gathering.services) - len(self.services)
         return max(gathering.needed_parts - other_parts, 0)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for it no longer."""
+        """Stop waiting for the answer."""
         if self._exchange is not None:
             self._exchange.give_up(at_once=at_once)
 
--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -1,4 +1,4 @@
-"""Answering gathered queries, for callers and for other instances."""
+"""Scatter-gather queries, for callers and for other instances."""
 
 from __future__ import annotations
 
@@ -39,24 +39,24 @@
 
 _NO_COORDINATOR = "no_gatherer"
 _VERSION_SKEW_MS = 60.0
-"""How far apart instances may be with a new version: the pause before a source
-passes a change on, and the paths."""
+"""Time within which a new version reaches all instances: the pause before a state
+source sends an update, and the latency of the network paths."""
 
 _UNREACHABLE_MS = 1_500.0
-"""How long an instance stays not ready after one that gathers for it found the
-paths to the servers cut: it hears of it again about once a second as long as
-that is so."""
+"""How long an instance stays not ready after a coordinator could not reach the
+servers; during a partition such refusals recur about once a second."""
 
 _REPORTED_UNREACHABLE_MS = 4_000.0
-"""The same after it was told so with the state: in an outage it looks for a source
-every second or two, while others restart. The end of a cut is told at once."""
+"""The same after the state source reported it: in an outage an instance searches for a
+state source every second or two, while others restart. The end of a partition is
+reported at once."""
 
 _MAX_LOGGED_SERVICES = 4
-"""Services without an answer that a log line names."""
+"""Maximum number of services without an answer listed in a log line."""
 
 
 class _PendingQuery(msgspec.Struct, frozen=True):
-    """A query that is to be gathered.
+    """A query to run.
 
     Attributes
     ----------
@@ -65,11 +65,11 @@
     route : Route
         Its route.
     gathering : Gathering
-        Which services, and how many are enough.
+        The services and the minimum coverage.
     context : CallContext
-        What its sub-requests share.
+        The context of its sub-requests.
     end_at_ms : float
-        When it ends with the parts that are in, if they suffice.
+        When it ends with the parts received, if they suffice.
     """
 
     request: InboundRequest
@@ -80,26 +80,26 @@
 
     @property
     def give_up_at_ms(self) -> float:
-        """When it gets its final answer at the latest."""
+        """Latest time of its final answer."""
         return give_up_at_ms(self.request, self.route)
 
     @property
     def effective_end_at_ms(self) -> float:
-        """When it ends if the parts that are in suffice, with time to answer."""
+        """When it ends if the parts received suffice, with time left to answer."""
         return min(self.end_at_ms, self.give_up_at_ms)
 
 
 class ScatterGather:
-    """Gathers the parts of queries.
+    """Runs scatter-gather queries.
 
     Parameters
     ----------
     request_services : RequestServices
-        What answering takes.
+        The services shared by all requests.
     delegation : Delegation or None
-        Asks other instances for the parts that stand near them.
+        Selects parts to delegate to other instances.
     reachability : Reachability
-        Which routes can be served.
+        Decides which routes can be served.
     """
 
     __slots__ = (
@@ -126,18 +126,18 @@
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether those that gather for this instance have found a cut path.
+        """Whether the coordinators used by this instance cannot reach the servers.
 
-        It asks no servers itself, and would not see that its zone is cut off.
+        It queries no servers itself and would not detect a partition of its zone.
         """
         return self._request_services.clock.now_ms() < self._unreachable_until_ms
 
     def record_unreachable(self) -> None:
-        """Take in that one that gathers has refused, as it reaches no servers."""
+        """Record that a coordinator refused because it cannot reach the servers."""
         self._mark_unreachable(_UNREACHABLE_MS)
 
     def record_reported_unreachable(self) -> None:
-        """Take in that those that gather say that they reach no servers."""
+        """Record a report that the coordinators cannot reach the servers."""
         self._mark_unreachable(_REPORTED_UNREACHABLE_MS)
 
     def _mark_unreachable(self, duration_ms: float) -> None:
@@ -147,7 +147,7 @@
         self._request_services.rotation.record(is_ready=False, now_ms=now_ms)
 
     def record_reachable(self) -> None:
-        """Take in that those that gather can reach the servers."""
+        """Record that the coordinators can reach the servers."""
         self._unreachable_until_ms = -math.inf
 
     async def answer(
@@ -160,7 +160,7 @@
         return await self._retry_gather(request)
 
     async def answer_delegated(self, query: DelegatedQuery) -> CallerReply:
-        """Return the parts of a query that another instance asks for."""
+        """Return the parts of a query that another instance delegates."""
         request_services = self._request_services
         request = query.request
         table = request_services.table
@@ -187,7 +187,7 @@
         run = await self._run_locally(pending, remote_plan)
         reply = self._delegated_reply(run, gathering)
         request_services.record(request, route, reply, context, parts=_parts_text(run))
-        # The other instance tells by it that the reply is to this query.
+        # The other instance matches the reply to its query by this header.
         reply.headers.append(request_services.wire.request_id(request.request_id))
         return reply
 
@@ -213,10 +213,10 @@
         return reply
 
     async def _retry_gather(self, request: InboundRequest) -> CallerReply:
-        """Gather a query that no coordinator would take.
+        """Retry a query that no coordinator accepted.
 
-        They take queries only if their version gathers it in the same way. A
-        new version reaches all instances within a moment of each other.
+        Coordinators accept only queries with a gathering equal to their own. A new
+        version reaches all instances within a short time.
         """
         request_services = self._request_services
         await request_services.clock.sleep_ms(_VERSION_SKEW_MS)
@@ -231,7 +231,7 @@
     async def _run_locally(
         self, pending: _PendingQuery, remote_plan: RemotePlan | None
     ) -> GatherRun:
-        """Gather a query from here."""
+        """Run a query on this instance."""
         context = pending.context
         plan = gather_plan(
             self._request_services.clock.now_ms(),
@@ -251,19 +251,18 @@
             else None,
         )
         await self._run_until_cancelled(run, pending)
-        # Servers drop a request when its connection closes. Under load that
-        # frees slots for requests that are waited for; in calm it only costs a
-        # connection.
+        # Servers cancel a request when its connection closes. Under load that frees
+        # slots for other requests; otherwise it only costs a connection.
         run.end(at_once=context.baseline.is_loaded)
         return run
 
     async def _run_coordinated(
         self, pending: _PendingQuery, remote_plan: RemotePlan
     ) -> CoordinatedQuery:
-        """Have a query gathered by another instance.
+        """Run a query on a coordinator.
 
-        Nothing is asked from here: with too few connections for every instance it
-        would take them from those that gather.
+        This instance sends no sub-requests: there are too few connections for every
+        instance, and it would take them from the coordinators.
         """
         assert self._delegation is not None
         run = CoordinatedQuery(
@@ -285,7 +284,7 @@
     async def _run_until_cancelled(
         self, run: GatherRun | CoordinatedQuery, pending: _PendingQuery
     ) -> None:
-        """Run a query; stop its work if its asker leaves."""
+        """Run a query; cancel its work if the caller disconnects."""
         try:
             await run.run()
         except trio.Cancelled:
@@ -296,7 +295,7 @@
             raise
 
     def _remote_starter(self, pending: _PendingQuery) -> StartRemoteCall:
-        """Return what asks another instance for parts of a query."""
+        """Return a function that delegates parts of a query to another instance."""
         request_services = self._request_services
 
         def start(
@@ -321,10 +320,10 @@
 
     @property
     def _uses_coordinators(self) -> bool:
-        """Whether only some instances gather.
+        """Whether only some instances run scatter-gather.
 
-        They have little room for work that is done twice: parts that another one
-        was asked for are asked from here only if it is lost.
+        They have little capacity for duplicate work, so that delegated parts are
+        requested directly only if the other instance is lost.
         """
         return self._delegation is not None and self._delegation.uses_coordinators
 
@@ -348,7 +347,7 @@
         return CallerReply(200, headers, records, "delegated_parts")
 
     def _refusal(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
-        """Return the refusal of a query that no server was asked for."""
+        """Return the refusal of a query for which no sub-request was sent."""
         if run.remote is not None and run.remote.is_unreachable:
             return self._request_services.unreachable()
         reason = _NO_COORDINATOR if isinstance(run, CoordinatedQuery) else "no_server"
@@ -366,10 +365,10 @@
     def _failure(
         self, status: int, reason: str, *, closes: bool = False
     ) -> CallerReply:
-        """Return a failure of a query that may have run.
+        """Return the failure of a query that may have run.
 
-        Where this instance is cut off, its caller's next try is of use only
-        once the balancer sends it to another zone.
+        If this instance is partitioned, the caller's retry can succeed only after
+        the load balancer has switched to another zone.
         """
         request_services = self._request_services
         table = request_services.table
@@ -384,13 +383,13 @@
 
 
 def _delegated_gathering(query: DelegatedQuery, whole: Gathering) -> Gathering:
-    """Return what to gather for another instance.
+    """Return the gathering to run for another instance.
 
-    Some parts of a query are of use there whatever their number, since the
-    others stand elsewhere; beyond those without which it fails there is no
-    need to wait. A whole query that ended at its objective with too few parts
-    would fail there, although the missing ones were about to come and a late
-    answer has a worth: it is gathered until there are enough.
+    Any number of delegated parts is useful there, since it has the others from
+    elsewhere; only those without which the query fails are awaited past the latency
+    objective. A whole query that ended at the objective with too few parts would
+    fail, although the missing ones were about to arrive and a late answer still has
+    value: it runs until there are enough.
     """
     services = query.select(whole.services)
     coverage = whole.minimum_coverage
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -1,4 +1,4 @@
-"""One service's share of a request: first send, hedged request, retries."""
+"""The part of a request for one service: primary attempt, hedge and retries."""
 
 from __future__ import annotations
 
@@ -26,52 +26,52 @@
 __all__ = ["CallContext", "ServiceCall"]
 
 _MAX_NOT_RUN_RETRIES = 2
-"""Sends beyond the route's attempts after replies that say "not run"."""
+"""Retries beyond the route's attempts after attempts that did not run."""
 
 _RETRY_PAUSE_MS = 50.0
-"""The least pause before a part that failed is asked for again: some requests of a
-server's queue end meanwhile."""
+"""Minimum pause before a failed part is retried, in which some of the requests queued
+at a server complete."""
 
 _CANCEL_SLOWNESS = 2.0
-"""Slowness from which on work that is not waited for is stopped."""
+"""Slowness of a server above which abandoned requests are cancelled."""
 
 
 _RECONNECT_BYTES = 400.0
-"""Bytes between zones that ending a connection and opening another one takes."""
+"""Traffic between zones of closing a connection and opening another, in bytes."""
 
 
 class CallContext(msgspec.Struct):
-    """What all calls of one caller's request share.
+    """The context that all calls of one caller's request share.
 
     Attributes
     ----------
     request_id : bytes
-        The caller's name for this attempt.
+        The caller's id of this attempt.
     payload : callable
-        Returns the bytes for a server, given it and the time.
+        Returns the bytes to send, given the server and the time.
     is_idempotent : bool
         Whether the request may run more than once.
     attempts : int
-        To how many servers of a service it may be sent.
+        Maximum number of servers of a service to which the request is sent.
     rank : int
-        0 goes first.
+        Priority; 0 is sent first.
     has_reply_body : bool
         Whether replies may have a body.
     baseline : BaselineLatency
-        What is usual on the route.
+        The baseline latency of the route.
     registry : ServerRegistry
         The servers.
     budgets : RetryBudgets
-        The budgets of extra sub-requests.
+        The budgets of extra attempts.
     clock : Clock
         The tier's clock.
     trace : RequestTrace
-        Where decisions are noted.
+        Records the decisions.
     counters : Counters
-        Where sub-requests and what came of them are counted.
+        Counts sub-requests and their outcomes.
     is_repeat : bool
-        Whether another instance may have sent the request to servers already:
-        each sub-request is an extra one then.
+        Whether another instance may have sent the request to servers already, so
+        that each sub-request is an extra attempt.
     """
 
     request_id: bytes
@@ -97,18 +97,18 @@
     service : str
         The service.
     context : CallContext
-        What the request's calls share.
+        The context of the request.
     on_change : callable
-        Called with this call when it was settled or an exchange failed.
+        Called with this call when it is settled or an exchange has failed.
 
     Attributes
     ----------
     reply : BackendReply or None
         The reply that settled it.
     failure : BackendReply or None
-        The last reply that is a failure, if the server had run the request.
-    sends : int
-        How many exchanges were started.
+        The last failure from a server that had run the request.
+    attempts_sent : int
+        Number of exchanges started.
     """
 
     __slots__ = (
@@ -151,16 +151,16 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether its reply is there."""
+        """Whether a successful reply has arrived."""
         return self.reply is not None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request may have run at some server, or may yet.
+        """Whether the request may have run on some server, or may still run.
 
-        An exchange that was sent and has no end counts: its bytes may reach
-        the server seconds later, when a cut link heals. Telling the caller
-        "not run" then would let it send work again that runs.
+        An exchange that was sent and has not ended counts: its bytes may reach the
+        server seconds later, when a partition heals. If the caller were told "not
+        run", it could repeat a request that still runs.
         """
         return self._has_run or any(
             exchange.sent_at_ms is not None for exchange in self._open
@@ -168,20 +168,20 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a reply may still come."""
+        """Whether a reply may still arrive."""
         return bool(self._open)
 
     def start(self, now_ms: float) -> bool:
-        """Send the first exchange; return False if no server may be asked."""
+        """Send the primary attempt; return False if no server may be used."""
         if self._context.is_repeat:
-            # The servers that were asked are not known here. With more of them
-            # than the route allows attempts this could be one too many.
+            # The servers used by the other instance are unknown here. If the service
+            # has more servers than the route allows attempts, one more could exceed it.
             return self.attempts_cover_all_servers and self.send_extra_attempt()
         self._context.budgets.of_service(self.service).record_primary(now_ms)
         return self._send(now_ms)
 
     def send_extra_attempt(self) -> bool:
-        """Send to one more server if attempts and budget allow it."""
+        """Send an extra attempt if the attempts and the budget allow it."""
         context = self._context
         if self.attempts_sent >= context.attempts + min(
             self._not_run_attempts, _MAX_NOT_RUN_RETRIES
@@ -207,10 +207,10 @@
         return True
 
     def next_retry_at_ms(self, now_ms: float) -> float:
-        """Return when a server may be asked again; infinite for never.
+        """Return when a retry is possible; infinite for never.
 
-        Where the budget was spent it is never: it comes back over seconds, and the
-        caller is told at once in place of being held for them.
+        It is never after the budget was spent: the budget recovers over seconds, and
+        the caller gets an error at once instead of waiting for that.
         """
         if self._is_out_of_budget:
             return math.inf
@@ -230,16 +230,15 @@
 
     @property
     def attempts_cover_all_servers(self) -> bool:
-        """Whether asking each server once stays within the route's attempts."""
+        """Whether one attempt for each server stays within the route's attempts."""
         servers = self._context.registry.of_service(self.service)
         return len(servers) <= self._context.attempts
 
     def withdraw_unsent(self, now_ms: float) -> None:
-        """Give up what still waits for a connection, if another server may be asked.
+        """Withdraw requests queued for a connection if another server is available.
 
-        Load pattern: a server has gone dark and does not even refuse. A request that
-        must not run twice waited there for its whole time, although nothing of it had
-        been sent.
+        An unresponsive server may not even refuse connections. A non-idempotent request
+        would wait there until its deadline, although none of it had been sent.
         """
         if self._choose_excluding(self._tried, now_ms) is None:
             return
@@ -249,14 +248,15 @@
                 exchange.give_up(at_once=False)
 
     def is_silent_since(self, since_ms: float) -> bool:
-        """Return whether no server that was asked has replied since a time."""
+        """Return whether no server used has replied since a time."""
         return all(server.last_reply_at_ms <= since_ms for server in self._tried)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for nothing more; see :meth:`Exchange.give_up`.
+        """Stop waiting for replies; see :meth:`Exchange.give_up`.
 
-        A server that is slow is short of slots, whatever the others are. A large reply
-        from another zone costs more bytes between zones than a new connection.
+        Connections to slow servers are closed whatever ``at_once`` says, since these
+        lack free slots, as are those on which a large reply from another zone would
+        cost more traffic than a new connection.
         """
         now_ms = self._context.clock.now_ms()
         is_large = self._context.baseline.reply_bytes > _RECONNECT_BYTES
@@ -270,12 +270,12 @@
     def _choose(self, now_ms: float) -> Server | None:
         chosen = self._choose_excluding(self._tried, now_ms)
         if chosen is None and self._not_run_attempts and now_ms >= self._retry_at_ms:
-            # Every server was asked and some said "not run": ask one again.
+            # Every server was tried and some replied "not run", so one is retried.
             return self._choose_excluding([], now_ms)
         return chosen
 
     def _choose_excluding(self, tried: list[Server], now_ms: float) -> Server | None:
-        """Return the server to ask that was not tried."""
+        """Return the best server among those not tried."""
         context = self._context
         servers = context.registry.of_service(self.service)
         baseline_ms = context.baseline.median_ms
@@ -311,7 +311,7 @@
         server.pool.submit(exchange)
 
     def _on_exchange_end(self, exchange: Exchange) -> None:
-        """Take in the end of an exchange, also of an abandoned one."""
+        """Process the end of an exchange, abandoned or not."""
         server = exchange.server
         if server.pool is not None:
             server.pool.forget(exchange)
@@ -345,8 +345,8 @@
             self.retry_after_ms = reply.retry_after_ms
             server.record_refused(now_ms, reply.retry_after_ms)
             if reply.is_other_server:
-                # Another server has the address now: this one is gone, though
-                # the store may list it for a while yet.
+                # Another server has the address now: this one is gone, although the
+                # store may still list it for some time.
                 server.is_gone = True
             return
         self._has_run = True
