--- a/ibisfront/tests/test_gateway_coordinated_query.py
+++ b/ibisfront/tests/test_gateway_coordinated_query.py
@@ -1,4 +1,4 @@
-"""Tests of queries that other instances gather, in mock time."""
+"""Tests of queries that other instances coordinate, in mock time."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class CoordinatedQueryTest(unittest.TestCase):
-    """Whom a query goes on to when instances refuse it."""
+    """Retries of a query that coordinators refuse."""
 
     async def count_requests(self, *, is_unreachable):
-        """Return how many instances are asked if all refuse."""
+        """Return how many coordinators receive a query if all refuse it."""
         route = gather_route(4)
         fixture = GatewayFixture(route)
         async with fixture.running():
@@ -52,7 +52,7 @@
             query = CoordinatedQuery(
                 route.gathering,
                 context,
-                start_liveness_probe=lambda remote, on_change: Check(),
+                start_liveness_probe=lambda remote, on_change: FakeLivenessProbe(),
                 plan=PLAN,
                 start_remote=start_remote,
                 next_plan=lambda tried: PLAN,
@@ -65,22 +65,22 @@
         return len(requests)
 
     @trio_test
-    async def test_query_goes_on_while_instances_are_behind(self):
-        """A zone refuses its queries while both that gather for it are behind."""
+    async def test_query_is_retried_while_coordinators_are_outdated(self):
+        """Guards against refusals while both coordinators of a zone are outdated."""
         self.assertEqual(await self.count_requests(is_unreachable=False), 4)
 
     @trio_test
-    async def test_zone_that_is_cut_off_refuses_at_once(self):
-        """Callers of a zone that is cut off are refused when their time is over.
+    async def test_partitioned_zone_refuses_at_once(self):
+        """Guards against refusals only at the deadline in a partitioned zone.
 
-        Both instances that gather for it say that they reach no servers. The query
-        went on to those of other zones, behind the cut, and waited for each.
+        Both coordinators of the zone report the servers unreachable. The query must not
+        wait for coordinators in other zones, which are behind the partition.
         """
         self.assertEqual(await self.count_requests(is_unreachable=True), 2)
 
 
-class Check:
-    """Finds every instance alive."""
+class FakeLivenessProbe:
+    """A liveness probe that finds every instance alive."""
 
     next_at_ms = 0.0
 
--- a/ibisfront/tests/test_gateway_delegation.py
+++ b/ibisfront/tests/test_gateway_delegation.py
@@ -1,4 +1,4 @@
-"""Tests of asking another instance for parts of a query, in mock time."""
+"""Tests of the delegation of parts of a query to another instance, in mock time."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 def route(number=20, name="part", **changes):
-    """Return a route over so many services."""
+    """Return a scatter-gather route over a number of services."""
     return gather_route(number, prefix=name, **changes)
 
 
 class DelegationTest(unittest.TestCase):
-    """Two instances in two zones; each zone holds half of the services."""
+    """Two instances in two zones, each with half of the services."""
 
     @trio_test
-    async def test_far_parts_are_asked_of_one_instance(self):
+    async def test_parts_of_another_zone_are_delegated_to_one_instance(self):
         zones = TwoZones(route())
         async with zones.running():
             reply = await zones.ask("z0")
@@ -35,11 +35,11 @@
         self.assertEqual(len(set(stamps)), 20)
 
     @trio_test
-    async def test_answer_holds_parts_of_one_version_across_a_repartition(self):
-        """A search names 37 parts although the index never had so many.
+    async def test_answer_has_parts_of_one_version_across_a_repartition(self):
+        """Guards against one answer with parts of two versions.
 
-        A new version names other services for the same route. What was found
-        out for the old one a moment ago must not be used for the new one.
+        A new version lists other services for the same route. The placement that was
+        cached for the old version must not be used for the new one.
         """
         zones = TwoZones(route(), also=route(30, "shard"))
         async with zones.running():
@@ -51,12 +51,12 @@
         self.assertTrue(all(stamp.startswith(b"shard") for stamp in stamps))
 
     @trio_test
-    async def test_parts_without_which_the_query_fails_are_waited_for(self):
-        """Searches fail with three quarters of their time left.
+    async def test_required_parts_are_awaited_past_the_objective(self):
+        """Guards against queries that fail with most of their deadline left.
 
-        Both servers of four services of the other zone are slow. The instance
-        there ended at the objective with 6 of its 10 parts; 8 are needed even
-        with all 10 of this zone. All 40 of such queries failed before.
+        Both servers of four services of the other zone are slow. If the instance there
+        ended at the latency objective, it would return 6 of its 10 parts, where 8 are
+        needed even with all 10 of this zone.
         """
         zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0))
         async with zones.running():
@@ -72,10 +72,10 @@
 
     @trio_test
     async def test_instance_with_another_list_of_services_is_not_used(self):
-        """Versions fall for a caller whose query crosses a slower instance.
+        """Guards against versions that decrease for a caller.
 
-        One instance knows the new version, the other does not yet. The first
-        must ask all services itself instead of mixing both.
+        One instance has the new version, the other does not yet. The first must query
+        all services itself instead of mixing both.
         """
         zones = TwoZones(route(), also=route(30, "shard"))
         async with zones.running():
@@ -87,12 +87,12 @@
         self.assertTrue(all(stamp.startswith(b"shard") for stamp in stamps))
 
     @trio_test
-    async def test_instance_with_another_version_gathers_the_same_query(self):
-        """Searches are refused for seconds after each change of some route.
+    async def test_instance_with_another_version_runs_the_same_query(self):
+        """Guards against refusals for seconds after each change of another route.
 
-        The store turns some instances away while the operators change a route.
-        An instance knows the new version, the one that gathers for it does not.
-        The search itself is the same in both, and must be gathered.
+        The store rejects some instances while operators change a route. An instance
+        has the new version, its coordinator does not. The query is the same in both
+        and must be answered.
         """
         zones = TwoZones(route(), follows=True)
         async with zones.running():
@@ -102,10 +102,10 @@
 
     @trio_test
     async def test_silent_instance_is_replaced_in_time(self):
-        """Searches of a zone lose half of their parts while an instance hangs.
+        """Guards against the loss of half of the parts while an instance hangs.
 
-        The other instance is frozen: it takes the query and says nothing. The
-        parts must be asked for from here while there is time.
+        The other instance accepts the query and does not reply. The parts must be
+        requested directly while there is time.
         """
         zones = TwoZones(route())
         async with zones.running():
@@ -119,12 +119,12 @@
         self.assertLess(took_ms, 100.0)
 
     @trio_test
-    async def test_waiting_for_own_parts_costs_no_processor_time(self):
-        """An instance is busy with nothing, and answers late.
+    async def test_waiting_for_direct_parts_costs_no_processor_time(self):
+        """Guards against a busy loop that delays answers.
 
-        The other instance has answered, one part asked from here has not. The
-        moment to replace the other instance has passed; waking up for it over
-        and over took half of the processor.
+        The other instance has answered, one part requested directly has not. The time
+        to replace the other instance has passed; wake-ups for it would repeat without
+        end and take half of the processor.
         """
         zones = TwoZones(route())
         async with zones.running():
@@ -137,14 +137,13 @@
         self.assertLess(reads, 400)
 
     @trio_test
-    async def test_parts_asked_from_here_are_hedged_too(self):
-        """Searches fail in all zones for the first second of a cut.
-
-        A zone falls silent with its instances and its servers. The parts that
-        an instance there was asked for are asked for from here; where the
-        first choice is one of the silent servers, the other one must be asked
-        while there is time, although the parts asked from here at once were
-        hedged long before.
+    async def test_fallback_parts_are_hedged(self):
+        """Guards against failures in all zones in the first second of a partition.
+
+        The instances and servers of a zone become unresponsive. The parts delegated to
+        it are requested directly; where the preferred server is unresponsive too, the
+        request must be hedged in time, although the hedge of the parts that were
+        requested directly from the start was long before.
         """
         zones = TwoZones(route(minimum=1.0))
         zones.set_latency("z1", 30.0)
@@ -157,13 +156,12 @@
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
 
     @trio_test
-    async def test_whole_query_is_gathered_until_there_is_enough(self):
-        """Searches fail at once whenever a few servers pause.
+    async def test_whole_query_runs_until_there_are_enough_parts(self):
+        """Guards against failures whenever a few servers pause.
 
-        An instance has its whole query gathered by another one. Some servers
-        reply just after the objective. Ended there with the parts that were
-        in, the query would fail for too few parts, long before the caller's
-        time was up; a late answer is wanted instead.
+        A coordinator runs a whole query, and some servers reply just after the latency
+        objective. If it ended there, the query would fail with too few parts long
+        before the caller's deadline; a late answer is wanted instead.
         """
         zones = TwoZones(route(minimum=0.9), follows=True)
         zones.set_latency("z0", 130.0)
@@ -172,12 +170,12 @@
         self.assertEqual((reply.status, zones.delegated), (200, 1))
 
     @trio_test
-    async def test_instance_that_is_late_and_alive_is_waited_for(self):
-        """Searches fail with most of their time left while servers are slow.
+    async def test_late_live_instance_is_awaited(self):
+        """Guards against the loss of an answer that is only late.
 
-        An instance has its queries gathered by another one, which it asks once in
-        seconds: no reply to anything else says that the other one is at work. Its
-        answer was given up after two objectives and would have come.
+        An instance sends its coordinator one query in several seconds, so that no
+        other reply shows that the coordinator is alive. The call must not be abandoned
+        after two latency objectives, with most of the deadline left.
         """
         zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), follows=True)
         async with zones.running():
@@ -189,11 +187,11 @@
         self.assertEqual((reply.status, zones.delegated), (200, 2))
 
     @trio_test
-    async def test_query_of_a_lost_instance_is_gathered_by_another(self):
-        """Each instance of a zone loses a search when the one they follow hangs.
+    async def test_query_of_a_lost_instance_is_retried_on_another(self):
+        """Guards against the loss of queries when a coordinator hangs.
 
-        It took their queries and says nothing more. Each of them has to find that
-        out by itself, and its caller comes again to one that has not yet.
+        It accepts queries and does not reply. Each instance of the zone has to detect
+        that itself, and a caller's retry may reach one that has not yet.
         """
         zones = TwoZones(route(minimum=0.9, timeout_ms=2000.0), follows=True)
         async with zones.running():
@@ -206,16 +204,16 @@
             again = await zones.ask("z0")
             took_again_ms = zones.clock.now_ms() - started_ms - took_ms
         self.assertEqual((reply.status, again.status), (200, 200))
-        # Half of the caller's time; the next query knows.
+        # Half of the deadline; the next query avoids the lost instance.
         self.assertLess(took_ms, 500.0)
         self.assertLess(took_again_ms, 100.0)
 
     @trio_test
-    async def test_servers_are_not_asked_beyond_the_attempts_of_the_route(self):
-        """A part runs on three servers although the route allows two.
+    async def test_retry_does_not_exceed_the_attempts_of_the_route(self):
+        """Guards against a part that runs on more servers than the route allows.
 
-        Each service has more servers than the route allows attempts. The instance
-        that gathered the query was lost with it, and may have asked any of them.
+        Each service has more servers than the route allows attempts. The coordinator
+        was lost while it ran the query and may have queried any of them.
         """
         zones = TwoZones(route(timeout_ms=2000.0, attempts=1), follows=True)
         async with zones.running():
@@ -226,12 +224,12 @@
         self.assertEqual(zones.delegated, 2)
 
     @trio_test
-    async def test_instance_that_others_gather_for_sees_that_its_zone_is_cut(self):
-        """A zone cut off from the servers keeps taking callers.
+    async def test_instance_with_coordinators_detects_partition_of_its_zone(self):
+        """Guards against a partitioned zone that still accepts callers.
 
-        Its instances have their queries gathered by one of them and ask no
-        servers themselves, so that each seems ready to the balancer. Every
-        search there fails while the other zones could serve it.
+        Its instances use a coordinator and query no servers themselves, so that each
+        would look ready to the load balancer. Every query there would fail, although
+        the other zones could serve it.
         """
         zones = TwoZones(route(minimum=0.9), follows=True)
         async with zones.running():
@@ -248,12 +246,12 @@
             self.assertTrue(zones.gateways["z0"].is_ready)
 
     @trio_test
-    async def test_query_that_was_replaced_unsent_is_never_sent(self):
-        """A part runs on three servers although the route allows two.
+    async def test_replaced_query_is_not_sent_later(self):
+        """Guards against a part that runs on three servers where the route allows two.
 
-        The connection to the other instance takes long to open. The parts are
-        asked for from here; the query that still waits for the connection
-        must not go out once it is open.
+        The connection to the other instance takes long to open, and the parts are
+        requested directly. The query queued for the connection must not be sent once
+        it is open.
         """
         zones = TwoZones(route())
         zones.peer_connect_ms = 130.0
@@ -263,7 +261,7 @@
         self.assertEqual((reply.reason, zones.delegated), ("whole", 0))
 
     @trio_test
-    async def test_caller_that_leaves_stops_the_work_of_both(self):
+    async def test_caller_disconnect_cancels_the_work_of_both_instances(self):
         zones = TwoZones(route(), latency_ms=80.0)
         async with zones.running():
             with trio.move_on_after(0.03):
@@ -274,7 +272,7 @@
 
 
 class DelegatedQueryTest(unittest.TestCase):
-    """What stands on the wire between instances."""
+    """Parsing of delegated queries."""
 
     @trio_test
     async def test_malformed_query_is_none(self):
--- a/ibisfront/tests/test_gateway_forwarding.py
+++ b/ibisfront/tests/test_gateway_forwarding.py
@@ -17,7 +17,7 @@
 
 
 class ForwardTest(unittest.TestCase):
-    """Requests for one server."""
+    """Requests forwarded to one server."""
 
     @trio_test
     async def test_time_left_shrinks_with_each_attempt(self):
@@ -35,10 +35,10 @@
 
     @trio_test
     async def test_non_idempotent_request_is_sent_once(self):
-        """A trainer is phoned twice since an alert was sent again.
+        """Guards against a non-idempotent request that runs twice.
 
-        The server loses the connection after it took the request, which may
-        have run. It must not be sent again, nor be called "not run".
+        The server closes the connection after it received the request, which may have
+        run. It must not be retried, nor be reported as "not run".
         """
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
         fixture = GatewayFixture(route)
@@ -50,8 +50,8 @@
         self.assertEqual((sent, reply.status), (1, 502))
 
     @trio_test
-    async def test_unsent_request_does_not_wait_for_a_server_that_is_dark(self):
-        """Guards against work held for its whole time for want of a connection."""
+    async def test_unsent_request_does_not_wait_for_an_unresponsive_server(self):
+        """Guards against a request that waits for a connection until its deadline."""
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
         fixture = GatewayFixture(route)
         dark = fixture.servers["archive"][0]
@@ -72,7 +72,7 @@
         self.assertEqual(dark.received, [])
 
     @trio_test
-    async def test_non_idempotent_request_refused_unrun_goes_elsewhere(self):
+    async def test_non_idempotent_request_is_retried_after_not_run(self):
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
         fixture = GatewayFixture(route)
         async with fixture.running():
@@ -84,12 +84,12 @@
         self.assertTrue(first.received and second.received)
 
     @trio_test
-    async def test_request_held_up_by_a_cut_link_is_not_called_unrun(self):
-        """An inquiry is sent twice: the first copy ran seconds after "not run".
+    async def test_request_behind_a_partition_is_not_reported_as_not_run(self):
+        """Guards against a request that runs after it was reported as "not run".
 
-        The link to the server is cut after the request was written. At the
-        route's timeout nothing is known of it; the bytes may arrive when the
-        link heals. The answer must not promise that it will not run.
+        The network path to the server fails after the request was written. The bytes
+        may arrive when it recovers, after the route's timeout, so that the answer must
+        not promise that the request will not run.
         """
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT, timeout_ms=500.0)
         fixture = GatewayFixture(route)
@@ -100,7 +100,7 @@
         self.assertEqual(reply.status, 504)
 
     @trio_test
-    async def test_unreachable_service_is_refused_at_once_as_unrun(self):
+    async def test_unreachable_service_is_refused_at_once_as_not_run(self):
         fixture = GatewayFixture(forward_route())
         async with fixture.running():
             for server in fixture.servers["archive"]:
@@ -113,12 +113,11 @@
         self.assertLess(took_ms, 50.0)
 
     @trio_test
-    async def test_long_work_is_not_taken_for_a_cut_way(self):
-        """Fetches are refused although every server is at work on others.
+    async def test_long_work_is_not_mistaken_for_a_partition(self):
+        """Guards against refusals while every server is busy with other requests.
 
-        The work of a route takes two seconds. Each server has one request and
-        replies to nothing meanwhile; that silence is its usual work, and says
-        nothing of whether it can be reached.
+        Requests of a route take two seconds. Each server has one and sends no reply
+        meanwhile, which is normal and does not mean that it is unreachable.
         """
         route = forward_route(timeout_ms=20_000.0, objective_ms=5_000.0)
         fixture = GatewayFixture(route, latency_ms=2_000.0)
@@ -137,7 +136,7 @@
         self.assertEqual({reply.reason for reply in replies}, {"answered"})
 
     @trio_test
-    async def test_weights_share_the_requests(self):
+    async def test_requests_follow_the_weights(self):
         services = (WeightedService("archive", 3.0), WeightedService("print", 1.0))
         fixture = GatewayFixture(forward_route(services=services))
         async with fixture.running():
@@ -147,10 +146,10 @@
         self.assertEqual(sent, 10)
 
     @trio_test
-    async def test_forwarded_request_waits_for_room_while_there_is_time(self):
-        """A caller is refused twice within milliseconds, with seconds left.
+    async def test_forwarded_request_is_retried_while_time_is_left(self):
+        """Guards against refusals within milliseconds of requests with seconds left.
 
-        Both servers of the service are full for a moment.
+        Both servers of the service are full for a short time.
         """
         fixture = GatewayFixture(forward_route(kind=RequestKind.NON_IDEMPOTENT))
         async with fixture.running():
@@ -162,10 +161,10 @@
 
     @trio_test
     async def test_request_without_budget_is_refused_at_once(self):
-        """A caller is held for eight seconds, and refused all the same.
+        """Guards against a caller that waits eight seconds for a refusal.
 
-        Both servers of the service are full, and the budget of extra sub-requests is
-        spent. It comes back over ten seconds; the caller may come again at once.
+        Both servers of the service are full, and the retry budget is spent. It recovers
+        over ten seconds; the caller itself may retry at once.
         """
         fixture = GatewayFixture(forward_route(), allowance=0.0)
         async with fixture.running():
@@ -179,7 +178,7 @@
 
 
 class RestartedServerTest(unittest.TestCase):
-    """Requests under way at a server that starts again under its id."""
+    """Requests in progress at a server that restarts under the same id."""
 
     async def _request_across_restart(self, kind):
         route = forward_route(kind=kind)
@@ -203,10 +202,10 @@
 
     @trio_test
     async def test_idempotent_request_goes_to_the_new_incarnation_at_once(self):
-        """A lookup comes two seconds late though its server is long back.
+        """Guards against an answer seconds late although the server has restarted.
 
-        The server died behind a cut, so that no reset came, and started again.
-        The request waits on a connection to the dead one.
+        The server crashed behind a partition, so that no connection reset arrived. The
+        request waits on a connection to its old incarnation.
         """
         ended, reply, received = await self._request_across_restart(
             RequestKind.IDEMPOTENT
@@ -214,11 +213,11 @@
         self.assertEqual((ended, reply.status, received), (1, 200, 2))
 
     @trio_test
-    async def test_non_idempotent_request_may_have_run_at_the_dead_one(self):
-        """An envelope is printed twice.
+    async def test_non_idempotent_request_may_have_run_before_the_restart(self):
+        """Guards against a non-idempotent request that runs twice.
 
-        The server may have run the request before it died. Its next
-        incarnation knows nothing of it; the caller is not told "not run".
+        The server may have run the request before it crashed, which its new
+        incarnation cannot tell. The caller must not get "not run".
         """
         ended, reply, received = await self._request_across_restart(
             RequestKind.NON_IDEMPOTENT
--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -1,4 +1,4 @@
-"""Tests of forwarded requests and gathered queries, in mock time."""
+"""Tests of scatter-gather queries, in mock time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Queries over many services."""
 
     @trio_test
-    async def test_calm_query_is_whole(self):
+    async def test_query_without_failures_is_whole(self):
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
             reply = await fixture.ask()
@@ -27,11 +27,11 @@
 
     @trio_test
     async def test_paused_server_is_hedged_in_time(self):
-        """A buyer's search comes late because one server of forty stands still.
+        """Guards against a late answer because one server of forty pauses.
 
-        One server takes a request and falls silent for a while, as servers do
-        now and then. The second server of the service answers the same at
-        once; the answer must be whole and within the objective.
+        One server accepts a request and pauses, as servers do occasionally. The second
+        server of the service can answer at once; the answer must be complete and within
+        the latency objective.
         """
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
@@ -46,11 +46,11 @@
         self.assertLess(took_ms, 50.0)
 
     @trio_test
-    async def test_answer_leaves_out_what_would_make_it_late(self):
-        """A thin page in time is worth more than a whole one too late.
+    async def test_answer_omits_late_parts(self):
+        """Guards against a complete answer that comes too late to be of use.
 
-        Both servers of one service are silent. The answer goes out before the
-        objective, names what it holds, and says that one part is missing.
+        Both servers of one service are unresponsive. The answer is sent before the
+        latency objective, lists its parts and reports one part missing.
         """
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
@@ -67,11 +67,11 @@
         self.assertEqual(headers[b"X-Shard-Stamps"].count(b","), 18)
 
     @trio_test
-    async def test_part_that_was_turned_away_is_asked_for_again(self):
-        """Searches fail with most of their time left while servers are full.
+    async def test_rejected_part_is_retried(self):
+        """Guards against failures with time left while servers are full.
 
-        Both servers of one service turn the part away. No other part is missing, and
-        a moment later there is room again; the caller would have waited for it.
+        Both servers of one service reject the part, and no other part is missing. They
+        have room again soon, well before the deadline.
         """
         fixture = GatewayFixture(gather_route(4, minimum=1.0, timeout_ms=2000.0))
         async with fixture.running():
@@ -85,10 +85,10 @@
 
     @trio_test
     async def test_query_that_cannot_have_enough_parts_ends_at_once(self):
-        """A caller waits for its whole time and is refused all the same.
+        """Guards against a query that fails only at its deadline.
 
-        Two of four services have no server that may be asked again, and three parts
-        are needed: one that is about to come back does not help.
+        Two of four services have no server for a retry, and three parts are needed: a
+        single one that becomes available again does not help.
         """
         fixture = GatewayFixture(gather_route(4, minimum=0.75, timeout_ms=2000.0))
         async with fixture.running():
@@ -112,11 +112,11 @@
         self.assertEqual(reply.status, 502)
 
     @trio_test
-    async def test_caller_that_leaves_stops_the_work(self):
-        """Servers go on working for a caller that has hung up.
+    async def test_caller_disconnect_cancels_the_work(self):
+        """Guards against servers that go on working after the caller has disconnected.
 
-        The caller leaves after a tenth of the work. Every server must see its
-        connection close, or the slots are held for nobody.
+        The caller disconnects after a fifth of the work. Every connection to a server
+        must be closed, or slots stay occupied for an abandoned request.
         """
         fixture = GatewayFixture(gather_route(5), latency_ms=100.0)
         async with fixture.running():
@@ -129,12 +129,12 @@
         self.assertIn("The asker left.", logs.output[-1])
 
     @trio_test
-    async def test_slow_server_does_not_work_on_for_nobody(self):
-        """Slow servers are full of requests whose answers went out long ago.
+    async def test_abandoned_requests_on_slow_servers_are_cancelled(self):
+        """Guards against slow servers that are full of abandoned requests.
 
-        Both servers of a service take thirty times as long, and answers go
-        out without its part. What the servers still work on must be stopped,
-        since others wait for their slots; healthy servers are left alone.
+        Both servers of a service take thirty times as long, and answers are sent
+        without its part. Their abandoned requests must be cancelled to free the slots;
+        requests on healthy servers are not cancelled.
         """
         fixture = GatewayFixture(gather_route(5))
         async with fixture.running():
@@ -151,10 +151,10 @@
 
     @trio_test
     async def test_hedges_stay_within_the_budget(self):
-        """A slow service gets twice the load just when it can do least.
+        """Guards against twice the load on a service that has become slow.
 
-        Every server of a service turns slow; each query would be hedged. Extra
-        sub-requests must stay within a fifth of the first ones.
+        Every server of a service is slow, so that each query would be hedged. Extra
+        attempts must stay within a fifth of the primary ones.
         """
         fixture = GatewayFixture(gather_route(5), allowance=0.0)
         async with fixture.running():
@@ -170,15 +170,15 @@
 
 
 class IsolationTest(unittest.TestCase):
-    """An instance that is cut off from its servers."""
+    """An instance partitioned from its servers."""
 
     @trio_test
-    async def test_query_to_silent_servers_ends_in_time_to_go_elsewhere(self):
-        """A whole zone's searches hang until their time is up.
+    async def test_query_to_unresponsive_servers_ends_in_time_for_a_retry(self):
+        """Guards against queries of a whole zone that wait until their deadline.
 
-        The zone is cut off; all servers stand in other zones, and nothing
-        comes back from any. The first queries must fail while their callers
-        still have time to ask elsewhere, not at the route's timeout.
+        The zone is partitioned; all servers are in other zones, and none replies. The
+        first queries must fail while their callers still have time to retry elsewhere,
+        not at the route's timeout.
         """
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
@@ -193,12 +193,12 @@
         self.assertLess(took_ms, 100.0)
 
     @trio_test
-    async def test_cut_off_instance_refuses_at_once_and_is_not_ready(self):
-        """Callers go on being sent to an instance that can serve none.
+    async def test_partitioned_instance_refuses_at_once_and_is_not_ready(self):
+        """Guards against callers sent to an instance that can serve none of them.
 
-        After the first silence the instance knows that it is cut off. It
-        refuses at once, unrun, and tells the balancer; when the cut heals it
-        notices by itself and serves again.
+        After the first requests without a reply the instance detects the partition. It
+        refuses at once as not run and reports itself not ready; when the partition
+        heals, it detects that by itself and serves again.
         """
         fixture = GatewayFixture(gather_route(20), zone="z1")
         async with fixture.running() as gateway:
@@ -238,9 +238,9 @@
 
 
 class RecordsTest(unittest.TestCase):
-    """The greatest records of the parts."""
+    """Merging of the records of the parts."""
 
-    def test_equal_records_count_and_short_rests_do_not(self):
+    def test_equal_records_count_and_short_remainders_do_not(self):
         low, high = b"a" * 16, b"b" * 16
         bodies = [low + high + b"zz", high, b"", b"c" * 15]
         self.assertEqual(top_records(bodies, 3), high + high + low)
