--- a/ibisfront/gateway/queries/coordinated_query.py
+++ b/ibisfront/gateway/queries/coordinated_query.py
@@ -22,7 +22,7 @@
 
 _MAX_UNREACHABLE = 2
 """Coordinators that may report the servers unreachable: two in a zone mean that the
-zone is partitioned. Coordinators elsewhere are behind the partition too; trying them
+zone is partitioned. Other coordinators are behind the partition too; trying them
 would only use up the time that the caller has left to retry in another zone."""
 
 StartRemoteCall: TypeAlias = (
@@ -115,19 +115,19 @@
         self.remote: RemoteCall | None = None
 
     @property
-    def total(self) -> int:
+    def total_parts(self) -> int:
         """Number of parts of a complete answer."""
         return len(self._gathering.services)
 
     @property
-    def answered(self) -> int:
+    def received_parts(self) -> int:
         """Number of parts received."""
         return 0 if self.remote is None else len(self.remote.signatures)
 
     @property
-    def is_enough(self) -> bool:
+    def has_enough_parts(self) -> bool:
         """Whether the parts received suffice for an answer."""
-        return self.answered >= self._gathering.needed_parts
+        return self.received_parts >= self._gathering.needed_parts
 
     @property
     def was_sent(self) -> bool:
@@ -141,7 +141,7 @@
         return self.remote is not None and self.remote.is_open
 
     @property
-    def missing(self) -> list[ServiceCall]:
+    def missing_calls(self) -> list[ServiceCall]:
         """Always empty: this instance sends no sub-requests itself."""
         return []
 
@@ -169,8 +169,8 @@
     def end(self, *, at_once: bool) -> None:
         """Stop waiting for the answer.
 
-        The connection is closed whatever ``at_once`` says, which cancels the work of
-        the coordinator: it sends its parts in one reply only.
+        The coordinator sends all parts in one reply, so the connection is closed
+        whatever ``at_once`` says, which cancels its work.
         """
         if self.remote is not None:
             self.remote.end(at_once=True)
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -31,7 +31,7 @@
 
 
 class _Placement(msgspec.Struct, frozen=True):
-    """Zones of the services of a query, cached until a time."""
+    """Cached zones of the services of a query."""
 
     gathering: Gathering
     by_zone: dict[str, tuple[str, ...]]
@@ -144,7 +144,7 @@
         return None
 
     def _available_peers(self, zone: str) -> list[Server]:
-        """Return the reachable coordinators of a zone."""
+        """Return the available instances of a zone that run scatter-gather."""
         now_ms = self._clock.now_ms()
         coordinator_ids = self._coordinators.of_zone(zone)
         return [
--- a/ibisfront/gateway/queries/forwarding.py
+++ b/ibisfront/gateway/queries/forwarding.py
@@ -117,7 +117,7 @@
         return self._retry_at_ms <= latest_ms
 
     def _may_retry(self) -> bool:
-        """Return whether a retry cannot run a non-idempotent request twice."""
+        """Return whether the request is idempotent or has not run."""
         return self._context.is_idempotent or not self.call.may_have_run
 
     def _on_call_change(self, call: ServiceCall) -> None:
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -60,7 +60,7 @@
     ended_unresponsive : bool
         Whether it was abandoned because no server replied.
     remote : RemoteCall or None
-        The delegated parts.
+        The call for the delegated parts.
     """
 
     __slots__ = (
@@ -137,19 +137,19 @@
         self._hedge_at_ms = plan.hedge_at_ms
 
     @property
-    def total(self) -> int:
+    def total_parts(self) -> int:
         """Number of parts of a complete answer."""
         return len(self._gathering.services)
 
     @property
-    def answered(self) -> int:
+    def received_parts(self) -> int:
         """Number of parts received."""
         return self._direct_parts + max(self._remote_parts, self._fallback_parts)
 
     @property
-    def is_enough(self) -> bool:
+    def has_enough_parts(self) -> bool:
         """Whether the parts received suffice for an answer."""
-        return self.answered >= self._needed
+        return self.received_parts >= self._needed
 
     @property
     def was_sent(self) -> bool:
@@ -166,7 +166,7 @@
         return any(call.is_open for call in self._all_calls)
 
     @property
-    def missing(self) -> list[ServiceCall]:
+    def missing_calls(self) -> list[ServiceCall]:
         """The services queried directly that have not answered."""
         return [call for call in self._all_calls if not call.is_settled]
 
@@ -224,8 +224,8 @@
         if self._liveness_probe is not None:
             self._liveness_probe.end()
         if self.remote is not None:
-            # Closing the connection cancels the work of the other instance, which
-            # sends its parts in one reply only.
+            # The other instance sends all parts in one reply; closing the connection
+            # cancels its work.
             self.remote.end(at_once=True)
 
     @property
@@ -252,13 +252,13 @@
         if now_ms >= self._plan.give_up_at_ms:
             return True
         self._is_past_end = now_ms >= self._plan.end_at_ms
-        if self._is_past_end and self.is_enough:
+        if self._is_past_end and self.has_enough_parts:
             return True
         if self._failed or self._must_replace_remote():
             return False
         if self._retry_at_ms < math.inf:
             return False
-        return not self.is_open or self.answered == self.total
+        return not self.is_open or self.received_parts == self.total_parts
 
     async def _wait(self, now_ms: float) -> None:
         plan = self._plan
@@ -294,7 +294,7 @@
         if (
             self._is_past_end
             or self._has_withheld_retries
-            or self.answered == self.total
+            or self.received_parts == self.total_parts
         ):
             self._wake()
 
@@ -318,7 +318,7 @@
         open_parts = sum(call.is_open for call in self._all_calls)
         if self.remote is not None and self.remote.is_open:
             open_parts += len(self.remote.services)
-        shortfall = self._needed - self.answered - open_parts
+        shortfall = self._needed - self.received_parts - open_parts
         if shortfall <= 0:
             return math.inf
         latest_ms = self._plan.give_up_at_ms - self._context.baseline.median_ms
@@ -400,12 +400,12 @@
                 call.send_extra_attempt()
 
     def _is_unresponsive(self, now_ms: float) -> bool:
-        """Return whether no server has replied to any sub-request.
+        """Return whether none of the queried servers has sent any reply.
 
         An instance replies to a delegated query only once, near the end; until then
         a missing reply is no evidence.
         """
-        if self.answered or now_ms < self._plan.silent_at_ms:
+        if self.received_parts or now_ms < self._plan.silent_at_ms:
             return False
         remote = self.remote
         if remote is not None and remote.is_open:
--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -39,8 +39,8 @@
 
 _NO_COORDINATOR = "no_gatherer"
 _VERSION_SKEW_MS = 60.0
-"""Time within which a new version reaches all instances: the pause before a state
-source sends an update, and the latency of the network paths."""
+"""Largest delay between instances in a new version: the pause before a state source
+sends an update, and the latency of the network paths."""
 
 _UNREACHABLE_MS = 1_500.0
 """How long an instance stays not ready after a coordinator could not reach the
@@ -95,7 +95,7 @@
     Parameters
     ----------
     request_services : RequestServices
-        The services shared by all requests.
+        Shared objects and helpers for answering requests.
     delegation : Delegation or None
         Selects parts to delegate to other instances.
     reachability : Reachability
@@ -215,8 +215,8 @@
     async def _retry_gather(self, request: InboundRequest) -> CallerReply:
         """Retry a query that no coordinator accepted.
 
-        Coordinators accept only queries with a gathering equal to their own. A new
-        version reaches all instances within a short time.
+        Coordinators accept only queries with a gathering equal to their own. All
+        instances receive a new version at nearly the same time.
         """
         request_services = self._request_services
         await request_services.clock.sleep_ms(_VERSION_SKEW_MS)
@@ -330,10 +330,10 @@
     def _caller_reply(
         self, run: GatherRun | CoordinatedQuery, gathering: Gathering
     ) -> CallerReply:
-        if not run.is_enough:
+        if not run.has_enough_parts:
             return self._failure_reply(run)
         signatures, bodies = run.answer()
-        missing = run.total - len(signatures)
+        missing = run.total_parts - len(signatures)
         body = top_records(bodies, gathering.top_count)
         headers = self._request_services.wire.gathered_headers(signatures, missing)
         return CallerReply(200, headers, body, "partial" if missing else "whole")
@@ -399,9 +399,9 @@
 
 
 def _parts_text(run: GatherRun | CoordinatedQuery) -> str:
-    missing = run.missing[:_MAX_LOGGED_SERVICES]
+    missing = run.missing_calls[:_MAX_LOGGED_SERVICES]
     names = ", ".join(f"{call.service} ({call.last_error})" for call in missing)
-    text = f"{run.answered}/{run.total} {names}"
+    text = f"{run.received_parts}/{run.total_parts} {names}"
     if run.remote is None:
         return text
     delegated = len(run.remote.services)
