--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -175,7 +175,8 @@
         """Send the primary attempt; return False if no server may be used."""
         if self._context.is_repeat:
             # The servers used by the other instance are unknown here. If the service
-            # has more servers than the route allows attempts, this could be one too many.
+            # has more servers than the route allows attempts, this one could exceed
+            # the limit.
             return self.attempts_cover_all_servers and self.send_extra_attempt()
         self._context.budgets.of_service(self.service).record_primary(now_ms)
         return self._send(now_ms)
