--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -152,7 +152,7 @@
         seeds = range(4)
         unserved = sum(run_pattern(full, seed=seed).unserved for seed in seeds)
         with mock.patch.object(
-            GatherRun, "_next_resend_ms", lambda self, now_ms: float("inf")
+            GatherRun, "_next_retry_at_ms", lambda self, now_ms: float("inf")
         ):
             without = sum(run_pattern(full, seed=seed).unserved for seed in seeds)
         self.assertLess(unserved, 0.5 * without)
