--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -39,8 +39,8 @@
 
 _NO_COORDINATOR = "no_gatherer"
 _VERSION_SKEW_MS = 60.0
-"""Largest delay between instances in a new version: the pause before a state source
-sends an update, and the latency of the network paths."""
+"""Largest difference between the arrivals of a new version at two instances: the pause
+before a state source sends an update, and the latency of the network paths."""
 
 _UNREACHABLE_MS = 1_500.0
 """How long an instance stays not ready after a coordinator could not reach the
