--- a/benchmarks/start_cost.py
+++ b/benchmarks/start_cost.py
@@ -24,7 +24,7 @@
 _IMPORT = "import ibisfront.front.daemon"
 _LEAN = (
     "import gc; gc.disable();"
-    "from ibisfront.front.lean_imports import leave_out_tls; leave_out_tls()"
+    "from ibisfront.front.lean_imports import stub_out_tls; stub_out_tls()"
 )
 _RUNS = 11
 """Counted runs of each way: their medians differed by less than 5% between calls."""
--- a/ibisfront/front/__main__.py
+++ b/ibisfront/front/__main__.py
@@ -13,9 +13,9 @@
     # of 31 runs, benchmarks/start_cost).
     gc.disable()
     from ibisfront.front.early_start import start_early
-    from ibisfront.front.lean_imports import leave_out_tls
+    from ibisfront.front.lean_imports import stub_out_tls
 
-    leave_out_tls()
+    stub_out_tls()
     start = start_early()
     from ibisfront.front.daemon import main
 
--- a/ibisfront/front/compiled.py
+++ b/ibisfront/front/compiled.py
@@ -9,13 +9,13 @@
 
 from importlib import import_module
 
-from ibisfront.front.lean_imports import leave_out_tls
+from ibisfront.front.lean_imports import stub_out_tls
 
 __all__: list[str] = []
 
 _MODULES = ("ibisfront.front.early_start", "ibisfront.front.daemon")
 
 if __name__ == "__main__":
-    leave_out_tls()
+    stub_out_tls()
     for name in _MODULES:
         import_module(name)
--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -25,11 +25,11 @@
 
 __all__ = ["Connections"]
 
-_PEER_CONNECTIONS = 16
+_MAX_PEER_CONNECTIONS = 16
 """Connections to another instance, each with one delegated query at a time: at
 a hundred queries a second of a tenth of a second each, ten are under way."""
 
-_ALONE_AFTER_MS = 3_000.0
+_INSTANCE_LIST_TIMEOUT_MS = 3_000.0
 """After how long without a list of instances this one acts as if alone: the
 list is read within a tenth of a second if the store answers."""
 
@@ -90,28 +90,28 @@
             decode_reply=WIRE.decode_reply, clock=clock, nursery=nursery
         )
 
-    def server_pool(self, server: Server) -> ServerPool:
+    def create_server_pool(self, server: Server) -> ServerPool:
         """Return the connections of a new backend server."""
         service = server.entry.service
-        pool = self._pool(server, self._maximum(service))
+        pool = self._pool(server, self._connection_limit(service))
         pool.keeps_idle = self._keeps_idle(service)
-        self._limit_cold(server)
+        self._limit_cold_requests(server)
         return pool
 
-    def peer_pool(self, peer: Server) -> ServerPool:
+    def create_peer_pool(self, peer: Server) -> ServerPool:
         """Return the connections of another instance."""
-        return self._pool(peer, _PEER_CONNECTIONS)
+        return self._pool(peer, _MAX_PEER_CONNECTIONS)
 
-    def share(self, registry: ServerRegistry) -> None:
+    def update_limits(self, registry: ServerRegistry) -> None:
         """Share out what servers accept, and give back what is not ours."""
         for server in registry.servers():
             pool = server.pool
             if pool is None:
                 continue
             service = server.entry.service
-            pool.maximum = self._maximum(service)
+            pool.maximum = self._connection_limit(service)
             pool.keeps_idle = self._keeps_idle(service)
-            self._limit_cold(server)
+            self._limit_cold_requests(server)
             if not pool.keeps_idle:
                 pool.close_idle()
 
@@ -122,7 +122,7 @@
         would otherwise wait for a connection to each of its servers.
         """
         table = self._find_table()
-        if table is None or not self._knows_instances:
+        if table is None or not self._has_instance_list:
             return
         names = table.service_names
         if not self._coordinators.is_coordinator:
@@ -133,7 +133,7 @@
                     server.pool.warm_up()
 
     @property
-    def _knows_instances(self) -> bool:
+    def _has_instance_list(self) -> bool:
         """Whether the list of instances was read, or should have been.
 
         Without it every instance of many would open connections to all
@@ -141,7 +141,7 @@
         """
         if len(self._coordinators.instances) > 1:
             return True
-        return self._clock.now_ms() - self._started_ms > _ALONE_AFTER_MS
+        return self._clock.now_ms() - self._started_ms > _INSTANCE_LIST_TIMEOUT_MS
 
     def _keeps_idle(self, service: str) -> bool:
         """Return whether connections to a service are kept open while idle.
@@ -155,7 +155,7 @@
             return True
         return service not in table.gathered_services
 
-    def _maximum(self, service: str) -> int:
+    def _connection_limit(self, service: str) -> int:
         """Return this instance's share of what a server accepts."""
         table = self._find_table()
         routed = None if table is None else table.configuration.services.get(service)
@@ -167,7 +167,7 @@
             instances = self._coordinators.count
         return max(int(shared / instances), 1)
 
-    def _limit_cold(self, server: Server) -> None:
+    def _limit_cold_requests(self, server: Server) -> None:
         """Give this instance its share of what a cold server bears."""
         table = self._find_table()
         service = server.entry.service
--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -17,7 +17,7 @@
 from ibisfront.core.logs import LOGGER_NAME, LogPart, part_logger
 from ibisfront.front.garbage_collection import collect_garbage
 from ibisfront.front.process import FrontProcess
-from ibisfront.front.stopping import stop_in_order
+from ibisfront.front.stopping import stop_gracefully
 from ibisfront.gateway.instances.directory import keep_instances
 from ibisfront.http1.caller_listener import CallerListener
 from ibisfront.http1.listening import listening_socket
@@ -49,11 +49,11 @@
     handler = BoundedLogHandler(_STDOUT, instance=start.settings.instance, clock=clock)
     with ExitStack() as stack:
         stack.callback(handler.flush)
-        _use_log(handler)
+        _install_log_handler(handler)
         trio.run(run_front, start, handler, clock)
 
 
-def _use_log(handler: BoundedLogHandler) -> None:
+def _install_log_handler(handler: BoundedLogHandler) -> None:
     log = logging.getLogger(LOGGER_NAME)
     log.addHandler(handler)
     log.setLevel(logging.INFO)
@@ -82,19 +82,19 @@
             listen(settings.metrics_address, process.answer_metrics, limits)
         if settings.peers_address is not None:
             listen(settings.peers_address, process.answer_peer, process.peer_limits)
-            _join(settings, process, nursery, stack, clock)
+            _join_instances(settings, process, nursery, stack, clock)
         else:
             process.state_sync.record_listed()
         nursery.start_soon(process.state_sync.run)
-        nursery.start_soon(process.keep_up)
+        nursery.start_soon(process.run_maintenance)
         nursery.start_soon(process.zone_path_monitor.run)
         nursery.start_soon(handler.run)
         nursery.start_soon(collect_garbage, clock)
         nursery.start_soon(_watch_settings, process, path, clock)
         fields = {"zone": settings.zone, "early": start.callers is not None}
         _LOG.info("%s starts.", settings.instance, extra=fields)
-        await _until_stopped(process, path)
-        await stop_in_order(process, callers, clock=clock)
+        await _wait_for_stop(process, path)
+        await stop_gracefully(process, callers, clock=clock)
         nursery.cancel_scope.cancel()
 
 
@@ -118,7 +118,7 @@
     return listener
 
 
-def _join(
+def _join_instances(
     settings: GatewaySettings,
     process: FrontProcess,
     nursery: trio.Nursery,
@@ -133,7 +133,7 @@
             keep_instances,
             directory,
             process.own,
-            on_list=process.take_instances,
+            on_list=process.apply_instances,
             on_first_try=process.state_sync.record_listed,
             is_needed=lambda: process.state_sync.watches_store,
             is_first_start=settings.is_first_start,
@@ -142,12 +142,12 @@
     )
 
 
-async def _until_stopped(process: FrontProcess, path: Path) -> None:
+async def _wait_for_stop(process: FrontProcess, path: Path) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as signals:
-        await _next_stop(signals, process, path)
+        await _handle_signals(signals, process, path)
 
 
-async def _next_stop(
+async def _handle_signals(
     signals: AsyncIterator[int], process: FrontProcess, path: Path
 ) -> None:
     async for number in signals:
@@ -158,12 +158,12 @@
 
 async def _watch_settings(process: FrontProcess, path: Path, clock: Clock) -> None:
     """Read the settings again when their file has changed without a signal."""
-    seen = _modified_ns(path)
+    last_modified_ns = _modified_ns(path)
     while True:
         await clock.sleep_ms(_SETTINGS_POLL_MS)
-        found = _modified_ns(path)
-        if found is not None and found != seen:
-            seen = found
+        modified_ns = _modified_ns(path)
+        if modified_ns is not None and modified_ns != last_modified_ns:
+            last_modified_ns = modified_ns
             _reload(process, path)
 
 
--- a/ibisfront/front/early_start.py
+++ b/ibisfront/front/early_start.py
@@ -21,11 +21,11 @@
 from ibisfront.http1.listening import listening_socket
 from ibisfront.platform.settings import read_platform_settings, settings_path
 
-__all__ = ["EarlyStart", "is_anyone_up", "start_early"]
+__all__ = ["EarlyStart", "is_any_listening", "start_early"]
 
 _EXIT_BAD_SETTINGS = 2
 
-_CONNECT_WAIT_MS = 10
+_CONNECT_TIMEOUT_MS = 10
 """How long another instance has to accept a connection: five times the way between
 zones and back."""
 
@@ -62,40 +62,40 @@
         raise SystemExit(_EXIT_BAD_SETTINGS) from error
     others = [seed for seed in settings.seeds if seed != settings.peers_address]
     callers = None
-    if not is_anyone_up(others):
+    if not is_any_listening(others):
         callers = listening_socket(settings.callers_address)
     return EarlyStart(path, settings, callers)
 
 
-def is_anyone_up(addresses: list[Address]) -> bool:
+def is_any_listening(addresses: list[Address]) -> bool:
     """Return whether a connection to any of some addresses is accepted at once."""
-    sockets = [_connecting(address) for address in addresses]
+    sockets = [_start_connecting(address) for address in addresses]
     try:
-        return _is_one_connected(sockets)
+        return _is_any_connected(sockets)
     finally:
         for sock in sockets:
             sock.close()
 
 
-def _is_one_connected(sockets: list[socket.socket]) -> bool:
+def _is_any_connected(sockets: list[socket.socket]) -> bool:
     """Wait until a connection is accepted, all have failed, or time is up."""
-    waiting = {sock.fileno(): sock for sock in sockets}
+    pending = {sock.fileno(): sock for sock in sockets}
     poll = select.poll()
-    for number in waiting:
+    for number in pending:
         poll.register(number, select.POLLOUT)
-    while waiting:
-        events = poll.poll(_CONNECT_WAIT_MS)
+    while pending:
+        events = poll.poll(_CONNECT_TIMEOUT_MS)
         if not events:
             return False
         for number, _ in events:
-            sock = waiting.pop(number)
+            sock = pending.pop(number)
             poll.unregister(number)
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 return True
     return False
 
 
-def _connecting(address: Address) -> socket.socket:
+def _start_connecting(address: Address) -> socket.socket:
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
--- a/ibisfront/front/garbage_collection.py
+++ b/ibisfront/front/garbage_collection.py
@@ -16,16 +16,16 @@
 
 __all__ = ["collect_garbage"]
 
-_YOUNG_MS = 500.0
+_COLLECTION_INTERVAL_MS = 500.0
 """Pause between two collections of young objects: at twenty queries a second their
 cycles take a megabyte or two meanwhile."""
 
-_LEAST_OBJECTS = 2_000
+_MIN_NEW_OBJECTS = 2_000
 """Objects that were made since, and live, for which a collection pays: most instances
 of many gather nothing."""
 
 _YOUNG_GENERATION = 1
-_WHOLE_EVERY = 20
+_FULL_COLLECTION_EVERY = 20
 """Every so many collections is one of all objects."""
 
 
@@ -35,11 +35,11 @@
     try:
         rounds = 0
         while True:
-            await clock.sleep_ms(_YOUNG_MS)
-            if gc.get_count()[0] < _LEAST_OBJECTS:
+            await clock.sleep_ms(_COLLECTION_INTERVAL_MS)
+            if gc.get_count()[0] < _MIN_NEW_OBJECTS:
                 continue
             rounds += 1
-            if rounds % _WHOLE_EVERY:
+            if rounds % _FULL_COLLECTION_EVERY:
                 gc.collect(_YOUNG_GENERATION)
             else:
                 gc.collect()
--- a/ibisfront/front/lean_imports.py
+++ b/ibisfront/front/lean_imports.py
@@ -5,10 +5,10 @@
 import sys
 from types import ModuleType
 
-__all__ = ["leave_out_tls"]
+__all__ = ["stub_out_tls"]
 
 
-def leave_out_tls() -> None:
+def stub_out_tls() -> None:
     """Keep OpenSSL from being loaded; to be called before anything imports trio.
 
     The daemon speaks plain HTTP. trio imports ``ssl`` for its TLS streams and
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -59,7 +59,7 @@
 """What an instance adds to a caller's headers: four short ones, and a bit for
 each service."""
 
-_UPKEEP_MS = 100.0
+_MAINTENANCE_INTERVAL_MS = 100.0
 """How often stale entries and servers out of reach are looked at."""
 
 
@@ -106,7 +106,7 @@
     __slots__ = (
         "_clock",
         "_event_log",
-        "_was_ready",
+        "_reported_ready",
         "budgets",
         "connections",
         "coordinators",
@@ -156,7 +156,7 @@
         paths = ZonePaths(zone)
         self.registry = ServerRegistry(
             clock=clock,
-            make_pool=self.connections.server_pool,
+            make_pool=self.connections.create_server_pool,
             zone=zone,
             paths=paths,
             event_log=self._event_log,
@@ -164,7 +164,7 @@
         )
         self.peers = ServerRegistry(
             clock=clock,
-            make_pool=self.connections.peer_pool,
+            make_pool=self.connections.create_peer_pool,
             zone=zone,
             paths=paths,
             event_log=self._event_log,
@@ -182,8 +182,8 @@
             topology=self.topology,
             connect=HttpStateClient,
             watch=partial(watch_store, self, clock=clock),
-            take=self.take_state,
-            on_cut_off=self._record_cut_off,
+            take=self.apply_state,
+            on_cut_off=self._record_partition,
             on_lost=self._record_peer_lost,
             known_version=lambda: self._version if self.gateway.is_informed else 0,
             seeds=settings.seeds,
@@ -214,26 +214,26 @@
             ),
         )
         self.is_stopping = False
-        self._was_ready = False
+        self._reported_ready = False
 
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send callers here."""
         return self.gateway.is_ready and not self.is_stopping
 
-    def tell_readiness(self) -> bool:
+    def report_readiness(self) -> bool:
         """Return what the balancer is told, and note when that changes."""
         is_ready = self.gateway.tell_readiness() and not self.is_stopping
-        if is_ready is not self._was_ready:
-            self._was_ready = is_ready
-            word = "ready" if is_ready else "not ready"
+        if is_ready is not self._reported_ready:
+            self._reported_ready = is_ready
+            readiness = "ready" if is_ready else "not ready"
             fields = {
                 "version": self._version,
                 "stopping": self.is_stopping,
                 "found_cut_off": self.gateway.is_cut_off,
                 "told_cut_off": self.gateway.is_reported_cut_off,
             }
-            _BALANCER_LOG.info("The balancer is told %s.", word, extra=fields)
+            _BALANCER_LOG.info("The balancer is told %s.", readiness, extra=fields)
         return is_ready
 
     def limits(self) -> CallerLimits:
@@ -255,7 +255,7 @@
 
     async def answer_ready(self, request: InboundRequest) -> CallerReply:
         """Answer the balancer."""
-        return CallerReply(200 if self.tell_readiness() else 503, [], b"", "ready")
+        return CallerReply(200 if self.report_readiness() else 503, [], b"", "ready")
 
     async def answer_peer(self, request: InboundRequest) -> CallerReply:
         """Answer another instance."""
@@ -281,7 +281,7 @@
         self.settings = settings
         self.budgets.use(settings.bounds, self._clock.now_ms())
 
-    def take_instances(self, listed: Sequence[InstanceEntry]) -> None:
+    def apply_instances(self, listed: Sequence[InstanceEntry]) -> None:
         """Take in the list of instances."""
         before = (self.budgets.instances, self.coordinators.is_coordinator)
         is_first = not self.topology.is_known
@@ -292,14 +292,14 @@
         )
         self.topology.update(listed)
         self.coordinators.update(listed, self.gateway.table)
-        self._share_allowances()
+        self._update_coordinator_count()
         after = (self.budgets.instances, self.coordinators.is_coordinator)
         if is_first or after != before:
-            self.connections.share(self.registry)
+            self.connections.update_limits(self.registry)
             self.connections.warm_up(self.registry)
         self.source.record_change()
 
-    def _record_cut_off(self, name: str, is_cut_off: bool) -> None:
+    def _record_partition(self, name: str, is_cut_off: bool) -> None:
         """Take in whether another instance of the zone is cut off.
 
         One that gathers nothing asks no servers, and does not know that the cut goes
@@ -317,16 +317,16 @@
             if peer.entry.server_id == name:
                 peer.record_unreachable(self._clock.now_ms())
 
-    def take_state(self, state: RelayedState) -> None:
+    def apply_state(self, state: RelayedState) -> None:
         """Take in the store's state as another instance passed it on."""
         if state.instances:
-            self.take_instances(state.instances)
+            self.apply_instances(state.instances)
         if state.configuration is not None:
-            self.use_configuration(state.configuration)
+            self.apply_configuration(state.configuration)
         if state.configuration_change is not None:
-            self._change_configuration(state.configuration_change)
+            self._apply_configuration_change(state.configuration_change)
         if state.evacuated is not None:
-            self.use_evacuations(frozenset(state.evacuated))
+            self.apply_evacuations(frozenset(state.evacuated))
         if state.is_whole:
             self.replace_servers(state.servers, after_outage=state.may_lack_servers)
         else:
@@ -337,7 +337,7 @@
         self.connections.warm_up(self.registry)
         self.source.record_change()
 
-    def _change_configuration(self, change: ConfigurationChange) -> None:
+    def _apply_configuration_change(self, change: ConfigurationChange) -> None:
         """Put what a change leads to in force, if it applies here.
 
         The store may have brought another version since the change was asked
@@ -347,7 +347,7 @@
         if table is None or table.configuration.version != change.before:
             self.observer.counters.add(CounterKind.TABLE_CHANGES, "not_applicable")
             return
-        self.use_configuration(changed_configuration(table.configuration, change))
+        self.apply_configuration(changed_configuration(table.configuration, change))
 
     @property
     def _version(self) -> int:
@@ -379,10 +379,10 @@
             evacuated=self.registry.evacuated,
         )
 
-    async def keep_up(self) -> None:
+    async def run_maintenance(self) -> None:
         """Look after what is known of servers, until cancelled."""
         while True:
-            await self._clock.sleep_ms(_UPKEEP_MS)
+            await self._clock.sleep_ms(_MAINTENANCE_INTERVAL_MS)
             if self.registry.remove_stale():
                 self.source.record_change()
             self._event_log.tell()
@@ -401,7 +401,7 @@
         self.connections.warm_up(self.registry)
         self.gateway.record_learnt()
 
-    def use_evacuations(self, zones: frozenset[str]) -> None:
+    def apply_evacuations(self, zones: frozenset[str]) -> None:
         """Send nothing more to the servers of these zones."""
         if zones == self.registry.evacuated:
             return
@@ -414,7 +414,7 @@
         self.connections.warm_up(self.registry)
         self.gateway.record_learnt()
 
-    def use_configuration(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Put a configuration in force if it is newer than the one that is."""
         counters = self.observer.counters
         known = self.gateway.table
@@ -430,11 +430,11 @@
         fields = {"version": version, "before": before}
         _TABLE_LOG.info("Configuration %d is in force.", version, extra=fields)
         self.coordinators.update(self.coordinators.instances, self.gateway.table)
-        self._share_allowances()
-        self.connections.share(self.registry)
+        self._update_coordinator_count()
+        self.connections.update_limits(self.registry)
         self.connections.warm_up(self.registry)
 
-    def _share_allowances(self) -> None:
+    def _update_coordinator_count(self) -> None:
         """Have those that gather share the allowances of gathered services."""
         table = self.gateway.table
         services: frozenset[str] = frozenset()
--- a/ibisfront/front/stopping.py
+++ b/ibisfront/front/stopping.py
@@ -12,7 +12,7 @@
     from ibisfront.front.process import FrontProcess
     from ibisfront.http1.caller_listener import CallerListener
 
-__all__ = ["stop_in_order"]
+__all__ = ["stop_gracefully"]
 
 _LOG = part_logger(LogPart.STOP)
 
@@ -20,14 +20,14 @@
 """How long the balancer may go on sending new callers; a connection may be on its
 way when it notices."""
 
-_END_MARGIN_MS = 500.0
+_GRACE_MARGIN_MS = 500.0
 """How long before the end of the grace the process ends by itself."""
 
 _POLL_MS = 50.0
 """How often a stop looks whether the last connection has ended."""
 
 
-async def stop_in_order(
+async def stop_gracefully(
     process: FrontProcess, callers: CallerListener, *, clock: Clock
 ) -> None:
     """Stop serving without cutting off a request.
@@ -40,9 +40,9 @@
     process.is_stopping = True
     callers.is_stopping = True
     started_ms = clock.now_ms()
-    latest_ms = started_ms + process.settings.bounds.stop_grace_ms - _END_MARGIN_MS
+    deadline_ms = started_ms + process.settings.bounds.stop_grace_ms - _GRACE_MARGIN_MS
     _LOG.info("The stop begins with %d connections.", callers.connections)
-    while clock.now_ms() < latest_ms:
+    while clock.now_ms() < deadline_ms:
         await clock.sleep_ms(_POLL_MS)
         if clock.now_ms() - started_ms < _OUT_OF_ROTATION_MS:
             continue
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -28,7 +28,7 @@
 _TABLE_LOG = part_logger(LogPart.TABLE)
 _BACKEND_LOG = part_logger(LogPart.BACKEND)
 
-_REPORTED_KEPT = 1_000
+_MAX_REPORTED_ENTRIES = 1_000
 """Entries that name no server whose report is remembered, so that each is
 logged once a change; a thousand names take 0.1 MB."""
 
@@ -57,7 +57,7 @@
     """Return what takes in the backend servers' entries."""
     reported: dict[str, int] = {}
 
-    def read(item: StoredObject) -> ServerEntry | None:
+    def decode_entry(item: StoredObject) -> ServerEntry | None:
         """Return a server's entry; None if it names no server.
 
         One odd entry must not keep the others from being taken in. It is
@@ -75,7 +75,7 @@
             return None
 
     def replace(listing: Listing, after_outage: bool) -> None:
-        entries = {item.name: read(item) for item in listing.objects}
+        entries = {item.name: decode_entry(item) for item in listing.objects}
         process.replace_servers(
             [entry for entry in entries.values() if entry is not None],
             after_outage=after_outage,
@@ -84,7 +84,7 @@
 
     def change(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
-            entry = None if item.is_removed else read(item.object)
+            entry = None if item.is_removed else decode_entry(item.object)
             if entry is not None:
                 process.registry.put(entry)
             else:
@@ -111,7 +111,7 @@
         zones.clear()
         for item in listing.objects:
             add(item)
-        process.use_evacuations(frozenset(zones))
+        process.apply_evacuations(frozenset(zones))
 
     def change(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
@@ -119,7 +119,7 @@
                 zones.discard(item.object.name)
             else:
                 add(item.object)
-        process.use_evacuations(frozenset(zones))
+        process.apply_evacuations(frozenset(zones))
 
     return _target(process, "evacuations", replace, change)
 
@@ -128,7 +128,7 @@
     """Note that an entry was reported; the oldest notes are dropped."""
     reported.pop(item.name, None)
     reported[item.name] = item.revision
-    if len(reported) > _REPORTED_KEPT:
+    if len(reported) > _MAX_REPORTED_ENTRIES:
         del reported[next(iter(reported))]
 
 
@@ -141,12 +141,12 @@
     """Return a target that also tells the other instances of changes."""
     process.state_sync.away.add(name)
 
-    def replace_and_tell(listing: Listing, after_outage: bool) -> None:
+    def replace_and_notify(listing: Listing, after_outage: bool) -> None:
         process.state_sync.away.discard(name)
         replace(listing, after_outage)
         process.source.record_change()
 
-    def change_and_tell(changes: Sequence[ObjectChange]) -> None:
+    def change_and_notify(changes: Sequence[ObjectChange]) -> None:
         change(changes)
         process.source.record_change()
 
@@ -154,7 +154,7 @@
         process.state_sync.away.add(name)
         process.source.wake_askers()
 
-    return WatchTarget(name, replace_and_tell, change_and_tell, away)
+    return WatchTarget(name, replace_and_notify, change_and_notify, away)
 
 
 def _put_configuration(process: FrontProcess, cache: RouteCache, spec: bytes) -> None:
@@ -165,4 +165,4 @@
         counters.add(CounterKind.TABLE_CHANGES, "unreadable")
         _TABLE_LOG.error("The configuration cannot be read: %s.", error)
         return
-    process.use_configuration(configuration)
+    process.apply_configuration(configuration)
--- a/ibisfront/http1/backend_connection.py
+++ b/ibisfront/http1/backend_connection.py
@@ -46,11 +46,11 @@
 
 _KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES = 2
-_IDLE_SHARE = 0.8
+_IDLE_TIMEOUT_FRACTION = 0.8
 """Share of the server's idle timeout for which a connection is used again;
 later, a request could cross the server's close."""
 
-_RESET = struct.pack("ii", 1, 0)
+_LINGER_RESET = struct.pack("ii", 1, 0)
 """Value of ``SO_LINGER`` that makes a close a reset."""
 
 DecodeReply: TypeAlias = "Callable[[RawMessage], BackendReply]"
@@ -148,7 +148,9 @@
                 # A plain close leaves unsent bytes to the kernel, which
                 # delivers them when a cut link heals: the server would run a
                 # request that was given up seconds before. A reset drops them.
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                self._sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
+                )
             self._sock.close()
             if self._exchange is not None:
                 exchange, self._exchange = self._exchange, None
@@ -183,7 +185,7 @@
             self._fail(ExchangeErrorKind.BAD_REPLY, str(error))
             return
         self._deliver()
-        if self._reader.is_inside and self._exchange is None:
+        if self._reader.is_mid_message and self._exchange is None:
             self._is_dirty = True
 
     def _end_of_stream(self) -> bool:
@@ -198,7 +200,7 @@
         while messages:
             reply = self._decode_reply(messages.pop(0))
             exchange = self._exchange
-            if exchange is None or not _belongs(reply, exchange):
+            if exchange is None or not _matches(reply, exchange):
                 # A reply sent twice, or late, to a request that has ended. It
                 # must not pass for the reply to another; the id tells it, and
                 # the connection is not used again.
@@ -216,8 +218,8 @@
         if reply.closes:
             self._is_dirty = True
         if reply.idle_timeout_ms is not None:
-            kept_ms = reply.idle_timeout_ms * _IDLE_SHARE
-            self.expires_at_ms = self._clock.now_ms() + kept_ms
+            usable_ms = reply.idle_timeout_ms * _IDLE_TIMEOUT_FRACTION
+            self.expires_at_ms = self._clock.now_ms() + usable_ms
 
     def _fail(self, kind: ExchangeErrorKind, detail: str) -> None:
         exchange, self._exchange = self._exchange, None
@@ -241,7 +243,7 @@
         self._is_sending = False
 
 
-def _belongs(reply: BackendReply, exchange: Exchange) -> bool:
+def _matches(reply: BackendReply, exchange: Exchange) -> bool:
     return reply.request_id is None or reply.request_id == exchange.request_id
 
 
--- a/ibisfront/http1/caller_connection.py
+++ b/ibisfront/http1/caller_connection.py
@@ -27,10 +27,10 @@
 _READ_BYTES = 65_536
 """Bytes read at once: a large body in a few reads."""
 
-_MAXIMUM_QUEUED = 8
+_MAX_QUEUED_REQUESTS = 8
 """Requests of one connection that are read ahead of their turn."""
 
-_QUEUE_PAUSE_MS = 1.0
+_QUEUE_POLL_MS = 1.0
 """Pause before another look at a queue that is full."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -45,7 +45,7 @@
 
 _RTT_OFFSET = 68
 _MICROSECONDS_PER_MILLISECOND = 1_000.0
-_UNKNOWN_RTT_MS = 5.0
+_DEFAULT_RTT_MS = 5.0
 """Assumed where the kernel does not tell."""
 
 
@@ -68,7 +68,7 @@
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Answer a request."""
 
-    def forget(self, connection: CallerConnection) -> None:
+    def remove_connection(self, connection: CallerConnection) -> None:
         """Note that a connection has ended."""
 
 
@@ -91,7 +91,7 @@
     __slots__ = (
         "_answer_scope",
         "_answered",
-        "_ends_when_idle",
+        "_closes_when_idle",
         "_host",
         "_is_closing",
         "_is_first",
@@ -102,7 +102,7 @@
         "_scope",
         "_sock",
         "_wait_scope",
-        "_waits_since_ms",
+        "_waiting_since_ms",
     )
 
     def __init__(
@@ -120,11 +120,11 @@
         self._answered = trio.Event()
         self._scope = trio.CancelScope()
         self._wait_scope: trio.CancelScope | None = None
-        self._ends_when_idle = False
+        self._closes_when_idle = False
         self._is_closing = False
         self._is_first = True
         self._rtt_ms = _round_trip_ms(sock)
-        self._waits_since_ms = host.clock.now_ms()
+        self._waiting_since_ms = host.clock.now_ms()
 
     @property
     def is_busy(self) -> bool:
@@ -132,7 +132,7 @@
         return (
             self._answer_scope is not None
             or bool(self._queue)
-            or self._reader.is_inside
+            or self._reader.is_mid_message
         )
 
     def close(self) -> None:
@@ -147,7 +147,7 @@
         it after it was passed on.
         """
         if not self.is_busy:
-            self._ends_when_idle = True
+            self._closes_when_idle = True
             if self._wait_scope is not None:
                 self._wait_scope.cancel()
 
@@ -157,7 +157,7 @@
             with self._scope:
                 await self._read_all()
         finally:
-            self._host.forget(self)
+            self._host.remove_connection(self)
             if self._answer_scope is not None:
                 self._answer_scope.cancel()
             trio.lowlevel.notify_closing(self._sock)
@@ -171,13 +171,13 @@
                 await trio.lowlevel.wait_readable(self._sock)
             timed_out = self._wait_scope.cancelled_caught
             self._wait_scope = None
-            if timed_out and not self._ends_when_idle:
-                if await self._timed_out():
+            if timed_out and not self._closes_when_idle:
+                if await self._handle_timeout():
                     return
                 continue
             if not await self._read_some():
                 return
-            if self._ends_when_idle and not self.is_busy:
+            if self._closes_when_idle and not self.is_busy:
                 self._is_closing = True
                 self._shut_down()
         await self._linger()
@@ -199,26 +199,26 @@
             return False
         if not data:
             return False
-        was_inside = self._reader.is_inside
+        was_inside = self._reader.is_mid_message
         try:
             self._reader.feed(data)
         except MalformedMessageError as error:
             # Whole requests may stand before the bytes that are none.
-            self._take_requests()
+            self._queue_requests()
             await self._refuse(error.status, str(error))
             return False
-        if self._reader.is_inside and not was_inside:
-            self._waits_since_ms = self._host.clock.now_ms()
-        self._take_requests()
-        if self._reader.wants_continue and self._reader.is_inside:
+        if self._reader.is_mid_message and not was_inside:
+            self._waiting_since_ms = self._host.clock.now_ms()
+        self._queue_requests()
+        if self._reader.wants_continue and self._reader.is_mid_message:
             self._reader.wants_continue = False
             await self._send_bytes(_CONTINUE)
         # More than a few requests ahead are read only once answered.
-        while len(self._queue) > _MAXIMUM_QUEUED:
-            await self._host.clock.sleep_ms(_QUEUE_PAUSE_MS)
+        while len(self._queue) > _MAX_QUEUED_REQUESTS:
+            await self._host.clock.sleep_ms(_QUEUE_POLL_MS)
         return True
 
-    def _take_requests(self) -> None:
+    def _queue_requests(self) -> None:
         host = self._host
         messages = self._reader.messages
         while messages:
@@ -243,7 +243,7 @@
         finally:
             self._answer_scope = None
             self._answered.set()
-            self._waits_since_ms = self._host.clock.now_ms()
+            self._waiting_since_ms = self._host.clock.now_ms()
 
     async def _send(self, reply: CallerReply, *, closes: bool) -> None:
         keeps_open = not (closes or self._host.is_stopping)
@@ -252,7 +252,7 @@
             if not keeps_open:
                 self._is_closing = True
                 self._sock.shutdown(socket.SHUT_WR)
-                self._nursery.start_soon(self._close_later)
+                self._nursery.start_soon(self._close_after_linger)
         except (OSError, trio.ClosedResourceError):
             self.close()
 
@@ -264,7 +264,7 @@
             except BlockingIOError:
                 await trio.lowlevel.wait_writable(self._sock)
 
-    async def _close_later(self) -> None:
+    async def _close_after_linger(self) -> None:
         await self._host.clock.sleep_ms(_LINGER_MS)
         self.close()
 
@@ -285,17 +285,17 @@
         if self._answer_scope is not None:
             return math.inf
         limits = self._host.limits()
-        if self._reader.is_inside and not self._reader.head_complete:
-            return self._waits_since_ms + limits.header_timeout_ms
-        return self._waits_since_ms + limits.idle_timeout_ms
+        if self._reader.is_mid_message and not self._reader.head_complete:
+            return self._waiting_since_ms + limits.header_timeout_ms
+        return self._waiting_since_ms + limits.idle_timeout_ms
 
-    async def _timed_out(self) -> bool:
+    async def _handle_timeout(self) -> bool:
         """Act on a caller that is slow or idle; return whether to close."""
         if self._answer_scope is not None:
             return False
         if self._host.clock.now_ms() < self._deadline_ms():
             return False
-        if self._reader.is_inside:
+        if self._reader.is_mid_message:
             await self._refuse(408, "the request did not come whole in time")
         return True
 
@@ -315,7 +315,7 @@
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
         round_trip_us = struct.unpack_from("I", info, _RTT_OFFSET)[0]
     except (OSError, struct.error):
-        return _UNKNOWN_RTT_MS
+        return _DEFAULT_RTT_MS
     if not round_trip_us:
-        return _UNKNOWN_RTT_MS
+        return _DEFAULT_RTT_MS
     return float(round_trip_us) / _MICROSECONDS_PER_MILLISECOND
--- a/ibisfront/http1/caller_listener.py
+++ b/ibisfront/http1/caller_listener.py
@@ -164,6 +164,6 @@
         """The tier's clock."""
         return self._clock
 
-    def forget(self, connection: CallerConnection) -> None:
+    def remove_connection(self, connection: CallerConnection) -> None:
         """Note that a connection has ended."""
         self._connections.discard(connection)
--- a/ibisfront/http1/client.py
+++ b/ibisfront/http1/client.py
@@ -23,11 +23,11 @@
 """How long connecting may take; a healthy server takes a few milliseconds."""
 
 
-_SILENCE_MS = 1_000.0
+_REPLY_PAUSE_TIMEOUT_MS = 1_000.0
 """How long a reply that has begun may pause. A packet that is lost costs 0.2 to
 0.4 s; a machine without power or behind a cut sends nothing for longer."""
 
-_LONGEST_REPLY_MS = 8_000.0
+_MAX_REPLY_MS = 8_000.0
 """How long a whole reply may take. A megabyte, the most that the platform's store
 holds as one value, takes 1.2 s on a link of 7 Mbit/s, and several times that on
 one that is shared with queries."""
@@ -83,20 +83,20 @@
         try:
             with trio.move_on_after(timeout_ms / 1000.0) as scope:
                 return await self._exchange(head.encode() + body, scope)
-            raise self._overdue(timeout_ms)
+            raise self._timeout_error(timeout_ms)
         except BaseException:
             self.close()
             raise
 
-    def _overdue(self, timeout_ms: float) -> TimeoutError:
+    def _timeout_error(self, timeout_ms: float) -> TimeoutError:
         """Return the error of a reply that is not whole in time.
 
         A server that is silent or gone and a link that is too slow for a large
         reply need different cures; what has come tells them apart.
         """
-        came = self._reader.body_bytes
+        received = self._reader.body_bytes
         return TimeoutError(
-            f"no reply within {timeout_ms:.0f} ms, or not whole: {came} bytes came"
+            f"no reply within {timeout_ms:.0f} ms, or not whole: {received} bytes came"
         )
 
     def close(self) -> None:
@@ -108,7 +108,7 @@
             self._reader = ReplyReader(self._maximum_body_bytes)
 
     async def _exchange(self, data: bytes, scope: trio.CancelScope) -> RawMessage:
-        latest_s = trio.current_time() + _LONGEST_REPLY_MS / 1000.0
+        reply_deadline_s = trio.current_time() + _MAX_REPLY_MS / 1000.0
         if self._sock is None:
             self._sock = await open_socket(
                 self._address, timeout_ms=_CONNECT_TIMEOUT_MS
@@ -117,10 +117,14 @@
         reader = self._reader
         while not reader.messages:
             if await self._read_some(self._sock, reader):
-                goes_on_until_s = trio.current_time() + _SILENCE_MS / 1000.0
-                scope.deadline = max(scope.deadline, min(goes_on_until_s, latest_s))
+                next_read_deadline_s = (
+                    trio.current_time() + _REPLY_PAUSE_TIMEOUT_MS / 1000.0
+                )
+                scope.deadline = max(
+                    scope.deadline, min(next_read_deadline_s, reply_deadline_s)
+                )
         message = reader.messages.pop()
-        if not message.keeps_open or reader.messages or reader.is_inside:
+        if not message.keeps_open or reader.messages or reader.is_mid_message:
             self.close()
         return message
 
--- a/ibisfront/http1/fields.py
+++ b/ibisfront/http1/fields.py
@@ -11,16 +11,16 @@
     from ibisfront.gateway.messages import CallerReply, Header
 
 __all__ = [
-    "OF_ONE_CONNECTION",
+    "HOP_BY_HOP_FIELDS",
+    "connection_options",
     "encode_reply",
     "idle_timeout_ms",
-    "named_by_connection",
-    "number",
+    "parse_non_negative",
 ]
 
 _MILLISECONDS_PER_SECOND = 1000.0
 
-OF_ONE_CONNECTION = frozenset(
+HOP_BY_HOP_FIELDS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -63,7 +63,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + reply.body
 
 
-def named_by_connection(headers: Sequence[Header]) -> frozenset[bytes]:
+def connection_options(headers: Sequence[Header]) -> frozenset[bytes]:
     """Return the headers that a message says are of its connection only."""
     names: set[bytes] = set()
     for name, value in headers:
@@ -77,12 +77,12 @@
     for item in value.split(b","):
         key, _, text = item.strip().partition(b"=")
         if key.lower() == b"timeout":
-            seconds = number(text)
+            seconds = parse_non_negative(text)
             return None if seconds is None else seconds * _MILLISECONDS_PER_SECOND
     return None
 
 
-def number(value: bytes) -> float | None:
+def parse_non_negative(value: bytes) -> float | None:
     """Return a time; None for text that is none.
 
     "nan" and "inf" are numbers to Python; a deadline of that kind would never
--- a/ibisfront/http1/parser.py
+++ b/ibisfront/http1/parser.py
@@ -7,7 +7,7 @@
 
 __all__ = ["MalformedMessageError", "RawMessage", "ReplyReader", "RequestReader"]
 
-_FINAL = 200
+_FIRST_FINAL_STATUS = 200
 """Statuses below are interim: the reply itself follows."""
 
 
@@ -61,7 +61,7 @@
     ----------
     messages : list of RawMessage
         The whole messages that were read and not taken yet.
-    is_inside : bool
+    is_mid_message : bool
         Whether a message has begun and is not whole.
     """
 
@@ -71,7 +71,7 @@
         "_headers",
         "_start",
         "head_complete",
-        "is_inside",
+        "is_mid_message",
         "maximum_body_bytes",
         "messages",
     )
@@ -79,7 +79,7 @@
     def __init__(self, maximum_body_bytes: int) -> None:
         self.maximum_body_bytes = maximum_body_bytes
         self.messages: list[RawMessage] = []
-        self.is_inside = False
+        self.is_mid_message = False
         self.head_complete = False
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
@@ -88,7 +88,7 @@
 
     def on_message_begin(self) -> None:
         """Start over for a new message."""
-        self.is_inside = True
+        self.is_mid_message = True
         self.head_complete = False
         self._headers = []
         self._body = []
@@ -109,7 +109,7 @@
     @property
     def body_bytes(self) -> int:
         """How much of the body of the message under way has come."""
-        return self._body_bytes if self.is_inside else 0
+        return self._body_bytes if self.is_mid_message else 0
 
     def _take_body(self) -> bytes:
         return self._body[0] if len(self._body) == 1 else b"".join(self._body)
@@ -152,7 +152,7 @@
         except httptools.HttpParserUpgrade as error:
             raise MalformedMessageError(400, "an upgrade nobody asked for") from error
         except httptools.HttpParserError as error:
-            raise _cause(error) from error
+            raise _malformed_message_error(error) from error
 
     def on_headers_complete(self) -> None:
         """Note whether the reply has a length of its own."""
@@ -162,17 +162,17 @@
             name.lower() in (b"content-length", b"transfer-encoding")
             for name, _ in self._headers
         )
-        if not self.expects_body and status >= _FINAL:
-            self.is_inside = False
+        if not self.expects_body and status >= _FIRST_FINAL_STATUS:
+            self.is_mid_message = False
             self._append(False)
 
     def on_message_complete(self) -> None:
         """Keep the whole reply; interim replies are passed over."""
-        if not self.is_inside:
+        if not self.is_mid_message:
             return
-        self.is_inside = False
+        self.is_mid_message = False
         status = self._parser.get_status_code()
-        if status < _FINAL:
+        if status < _FIRST_FINAL_STATUS:
             return
         self._append(self._parser.should_keep_alive())
 
@@ -185,10 +185,10 @@
             Whether it ended between messages. A reply without a length is
             whole only now; any other that has begun was cut short.
         """
-        if not self.is_inside:
+        if not self.is_mid_message:
             return True
         if self.head_complete and self._ends_with_stream:
-            self.is_inside = False
+            self.is_mid_message = False
             self._append(False)
             return True
         return False
@@ -242,11 +242,11 @@
         except httptools.HttpParserUpgrade as error:
             raise MalformedMessageError(400, "upgrades are not offered") from error
         except httptools.HttpParserError as error:
-            raise _cause(error) from error
+            raise _malformed_message_error(error) from error
         # A head that never ends is not seen by the callback of a header.
-        if self.is_inside and not self.head_complete:
+        if self.is_mid_message and not self.head_complete:
             self._head_bytes += len(data)
-            self._check_head()
+            self._check_head_size()
 
     def on_url(self, url: bytes) -> None:
         """Keep the target, which may come in pieces."""
@@ -271,11 +271,11 @@
         if lengths > 1:
             raise MalformedMessageError(400, "the body has two lengths")
         self._head_bytes = size
-        self._check_head()
+        self._check_head_size()
 
     def on_message_complete(self) -> None:
         """Keep the whole request."""
-        self.is_inside = False
+        self.is_mid_message = False
         self.wants_continue = False
         self._head_bytes = 0
         self.messages.append(
@@ -289,12 +289,12 @@
             )
         )
 
-    def _check_head(self) -> None:
+    def _check_head_size(self) -> None:
         if self._head_bytes > self.maximum_header_bytes:
             raise MalformedMessageError(431, "the head is too large")
 
 
-def _cause(error: httptools.HttpParserError) -> MalformedMessageError:
+def _malformed_message_error(error: httptools.HttpParserError) -> MalformedMessageError:
     """Return our own error from within a callback, or that of the parser."""
     inner = error.__context__
     if isinstance(inner, MalformedMessageError):
--- a/ibisfront/platform/documents.py
+++ b/ibisfront/platform/documents.py
@@ -82,15 +82,17 @@
 
 _MILLISECONDS_PER_SECOND = 1000.0
 
-_Readable = Annotated[str, msgspec.Meta(pattern=f"^[^{UNREADABLE}]*$", max_length=256)]
-_Text = Annotated[_Readable, msgspec.Meta(min_length=1)]
+_ReadableText = Annotated[
+    str, msgspec.Meta(pattern=f"^[^{UNREADABLE}]*$", max_length=256)
+]
+_NonEmptyText = Annotated[_ReadableText, msgspec.Meta(min_length=1)]
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
-_MOST_SLOTS = 100_000
+_MAX_SLOTS = 100_000
 """Slots beyond which an entry is not believed: three orders of magnitude above
 the servers of today."""
 
-_LONGEST_WARM_UP_MS = 600_000.0
+_MAX_WARM_UP_MS = 600_000.0
 """The same for what is left of a cold start, which takes seconds."""
 
 _Address = Annotated[
@@ -105,14 +107,14 @@
     cannot be, names no server.
     """
 
-    service: _Text
+    service: _NonEmptyText
     addr: _Address
-    zone: _Text
+    zone: _NonEmptyText
     # The version of the server's software; nothing depends on it.
-    version: _Readable
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    version: _ReadableText
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
-    warmup_left_ms: Annotated[float, msgspec.Meta(ge=0.0, le=_LONGEST_WARM_UP_MS)]
+    warmup_left_ms: Annotated[float, msgspec.Meta(ge=0.0, le=_MAX_WARM_UP_MS)]
     # Rises with each write of one incarnation; nothing depends on it.
     seq: _Count
     # When this incarnation started; entries written by older software lack it.
--- a/ibisfront/platform/headers.py
+++ b/ibisfront/platform/headers.py
@@ -9,11 +9,11 @@
 from ibisfront.gateway.messages import BackendReply, InboundRequest
 from ibisfront.gateway.wire import EncodeFor, WireCodec
 from ibisfront.http1.fields import (
-    OF_ONE_CONNECTION,
+    HOP_BY_HOP_FIELDS,
+    connection_options,
     encode_reply,
     idle_timeout_ms,
-    named_by_connection,
-    number,
+    parse_non_negative,
 )
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 _RETRY_AFTER = b"retry-after"
 _LOAD = b"x-backend-load"
 
-_SET_HERE = frozenset((_DEADLINE, _EXPECTED_SERVER))
+_OVERWRITTEN = frozenset((_DEADLINE, _EXPECTED_SERVER))
 _MISDIRECTED = 421
 _MILLISECONDS_PER_SECOND = 1000.0
 
@@ -43,8 +43,8 @@
     host = ""
     request_id = ""
     deadline_ms: float | None = None
-    dropped = named_by_connection(raw.headers)
-    passed_on: list[Header] = []
+    dropped = connection_options(raw.headers)
+    forwarded: list[Header] = []
     for name, value in raw.headers:
         lower = name.lower()
         if lower == b"host":
@@ -52,17 +52,17 @@
         elif lower == _REQUEST_ID:
             request_id = value.decode("latin-1")
         elif lower == _DEADLINE:
-            deadline_ms = number(value)
-        if lower in OF_ONE_CONNECTION or lower in _SET_HERE or lower in dropped:
+            deadline_ms = parse_non_negative(value)
+        if lower in HOP_BY_HOP_FIELDS or lower in _OVERWRITTEN or lower in dropped:
             continue
-        passed_on.append((name, value))
+        forwarded.append((name, value))
     return InboundRequest(
         method=raw.method,
         target=raw.start,
         host=host,
         request_id=request_id,
         deadline_ms=deadline_ms,
-        headers=passed_on,
+        headers=forwarded,
         body=raw.body,
         arrived_at_ms=now_ms,
         network_ms=network_ms,
@@ -96,12 +96,12 @@
         read_field = _REPLY_FIELDS.get(lower)
         if read_field is not None:
             read_field(reply, value)
-        if lower not in OF_ONE_CONNECTION:
+        if lower not in HOP_BY_HOP_FIELDS:
             reply.headers.append((name, value))
     return reply
 
 
-def _kept_as(field: str) -> Callable[[BackendReply, bytes], None]:
+def _store_as(field: str) -> Callable[[BackendReply, bytes], None]:
     return lambda reply, value: setattr(reply, field, value)
 
 
@@ -110,7 +110,7 @@
 
 
 def _read_retry_after(reply: BackendReply, value: bytes) -> None:
-    seconds = number(value)
+    seconds = parse_non_negative(value)
     if seconds is not None:
         reply.retry_after_ms = seconds * _MILLISECONDS_PER_SECOND
 
@@ -130,8 +130,8 @@
 
 
 _REPLY_FIELDS: dict[bytes, Callable[[BackendReply, bytes], None]] = {
-    _SIGNATURE: _kept_as("signature"),
-    _REQUEST_ID: _kept_as("request_id"),
+    _SIGNATURE: _store_as("signature"),
+    _REQUEST_ID: _store_as("request_id"),
     _NOT_RUN: _read_not_run,
     _RETRY_AFTER: _read_retry_after,
     b"content-encoding": _read_encoding,
--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -63,7 +63,7 @@
 _CONFLICT = 409
 _GONE = 410
 
-_T = TypeVar("_T")
+_Decoded = TypeVar("_Decoded")
 
 
 class _Meta(msgspec.Struct, rename="camel"):
@@ -109,14 +109,14 @@
     name: str
 
 
-class _Written(msgspec.Struct):
+class _WrittenObject(msgspec.Struct):
     """An object as it is written."""
 
     meta: _WrittenMeta
     spec: InstanceEntry
 
 
-class _Calls:
+class _KindCalls:
     """Calls of the store about one kind, on one connection."""
 
     __slots__ = ("_client", "_kind")
@@ -150,7 +150,7 @@
         message = await self.call("GET", suffix, timeout_ms=timeout_ms)
         if message.status == _OK:
             return message.body
-        raise _refused(self._kind, message)
+        raise _refusal(self._kind, message)
 
     async def list_all(self, options: str = "") -> Listing:
         """Return all objects of the kind; raises ``StoreError``."""
@@ -158,8 +158,10 @@
         revision: int | None = None
         query = options
         while True:
-            page = _decoded_page(await self.get(f"?{query}" if query else ""), _Page)
-            objects += [_stored(item) for item in page.items]
+            page = _decode_leniently(
+                await self.get(f"?{query}" if query else ""), _Page
+            )
+            objects += [_stored_object(item) for item in page.items]
             # Changes between two pages are seen again by the watch only if it
             # begins at the first page's revision.
             revision = page.current_rev if revision is None else revision
@@ -181,23 +183,23 @@
     __slots__ = ("_calls",)
 
     def __init__(self, address: Address) -> None:
-        self._calls = _Calls(address, _INSTANCES_KIND)
+        self._calls = _KindCalls(address, _INSTANCES_KIND)
 
     async def register(self, entry: InstanceEntry) -> None:
         """Write an instance's entry, over one from before a restart."""
-        body = msgspec.json.encode(_Written(_WrittenMeta(entry.name), entry))
+        body = msgspec.json.encode(_WrittenObject(_WrittenMeta(entry.name), entry))
         message = await self._calls.call("POST", "", body)
         if message.status == _CONFLICT:
             # There from before a restart; the address may be another now.
             name = quote(entry.name, safe="")
             message = await self._calls.call("PUT", f"/{name}", body)
         if not _OK <= message.status < _MULTIPLE_CHOICES:
-            raise _refused(_INSTANCES_KIND, message)
+            raise _refusal(_INSTANCES_KIND, message)
 
     async def instances(self) -> Sequence[InstanceEntry]:
         """Return all entries; they may be some seconds old."""
         listing = await self._calls.list_all("allowStale=1")
-        return [_decoded(item.spec, InstanceEntry) for item in listing.objects]
+        return [_decode(item.spec, InstanceEntry) for item in listing.objects]
 
     def close(self) -> None:
         """Close the connection."""
@@ -221,7 +223,7 @@
 
     def __init__(self, address: Address, kind: str, *, watch_wait_ms: float) -> None:
         self._watch_wait_ms = int(watch_wait_ms)
-        self._calls = _Calls(address, kind)
+        self._calls = _KindCalls(address, kind)
 
     async def list_all(self) -> Listing:
         """Return all objects of the kind.
@@ -245,9 +247,10 @@
             f"?watch={revision}&waitMs={self._watch_wait_ms}",
             timeout_ms=self._watch_wait_ms + _WATCH_SLACK_MS,
         )
-        answer = _decoded_page(raw, _Events)
+        answer = _decode_leniently(raw, _Events)
         changes = [
-            ObjectChange(_stored(item.object), item.deleted) for item in answer.events
+            ObjectChange(_stored_object(item.object), item.deleted)
+            for item in answer.events
         ]
         return Changes(changes, answer.current_rev)
 
@@ -256,21 +259,21 @@
         self._calls.close()
 
 
-def _refused(kind: str, message: RawMessage) -> StoreError:
+def _refusal(kind: str, message: RawMessage) -> StoreError:
     error = StoreErrorKind.REFUSED
     if message.status == _GONE:
         error = StoreErrorKind.HISTORY_GONE
     return StoreError(error, f"{kind}: status {message.status}")
 
 
-def _decoded(raw: bytes, kind: type[_T]) -> _T:
+def _decode(raw: bytes, kind: type[_Decoded]) -> _Decoded:
     try:
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
         raise StoreError(StoreErrorKind.BAD_ANSWER, str(error)) from error
 
 
-def _decoded_page(raw: bytes, kind: type[_T]) -> _T:
+def _decode_leniently(raw: bytes, kind: type[_Decoded]) -> _Decoded:
     """Decode an answer that holds what others have written.
 
     One object with content that is no proper JSON makes the whole answer none:
@@ -280,8 +283,8 @@
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
         _LOG.warning("An answer of the store is no proper JSON: %s.", error)
-    return _decoded(made_proper(raw), kind)
+    return _decode(made_proper(raw), kind)
 
 
-def _stored(item: _Object) -> StoredObject:
+def _stored_object(item: _Object) -> StoredObject:
     return StoredObject(item.meta.name, item.meta.rev, bytes(item.spec))
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -27,11 +27,11 @@
 from ibisfront.testing.large_configuration import configuration_spec
 from ibisfront.testing.network_link import NetworkLink, transfer
 
-STRONG_LINK = 70e6 / 8
-WEAK_LINK = 7e6 / 8
+FAST_LINK_BYTES_PER_S = 70e6 / 8
+SLOW_LINK_BYTES_PER_S = 7e6 / 8
 """Links of 70 and 7 Mbit/s, in bytes a second."""
 
-STRONG_INSTANCES = 2
+FAST_INSTANCES = 2
 SERVERS = 675
 CALL_TIMEOUT_S = 1.2
 WATCH_SLACK_S = 0.6
@@ -45,9 +45,11 @@
 
     def __init__(self, zone, number, nursery):
         self.zone = zone
-        self.is_strong = number < STRONG_INSTANCES
+        self.has_fast_link = number < FAST_INSTANCES
         self.is_cut_off = False
-        self.link = NetworkLink(STRONG_LINK if self.is_strong else WEAK_LINK)
+        self.link = NetworkLink(
+            FAST_LINK_BYTES_PER_S if self.has_fast_link else SLOW_LINK_BYTES_PER_S
+        )
         self.received_bytes = 0
         settings = GatewaySettings(
             instance=f"i{number}",
@@ -58,10 +60,10 @@
             peers_address=f"i{number}",
             bounds=BOUNDS,
             zones=frozenset(("z0", "z1")),
-            capacity=2.0 if self.is_strong else 0.5,
+            capacity=2.0 if self.has_fast_link else 0.5,
         )
         self.process = FrontProcess(settings, clock=zone.clock, nursery=nursery)
-        self.process.state_sync._connect = functools.partial(Client, self)
+        self.process.state_sync._connect = functools.partial(FakeStateClient, self)
         self.process.state_sync._watch = self.watch
 
     @property
@@ -69,7 +71,7 @@
         table = self.process.gateway.table
         return 0 if table is None else table.configuration.version
 
-    async def drop_stale(self):
+    async def remove_stale_servers(self):
         """Drop stale servers as the upkeep does; it would connect to others too."""
         while True:
             await self.zone.clock.sleep_ms(100.0)
@@ -88,10 +90,10 @@
             ("servers", servers_target(self.process)),
             ("evacuations", evacuations_target(self.process)),
         ):
-            nursery.start_soon(run, Feed(self, kind), target)
+            nursery.start_soon(run, FakeKindClient(self, kind), target)
 
 
-class Client:
+class FakeStateClient:
     """Asks another instance; the time allowed is for the whole answer."""
 
     def __init__(self, asker, address):
@@ -114,7 +116,7 @@
         pass
 
 
-class Feed:
+class FakeKindClient:
     """One kind in the store; the time allowed is for the whole answer."""
 
     def __init__(self, front, kind):
@@ -216,7 +218,7 @@
         gone = self._servers.pop()
         removed = StoredObject(gone.name, self.revisions["servers"], gone.spec)
         self._removed.append(removed)
-        self._wake()
+        self._notify_watchers()
         return gone.name
 
     def evacuate(self, zone):
@@ -224,7 +226,7 @@
         self.evacuated.append(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), False))
 
-    def take_back(self, zone):
+    def end_evacuation(self, zone):
         """Have a zone's servers used again."""
         self.evacuated.remove(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), True))
@@ -232,9 +234,9 @@
     def _change_evacuations(self, change):
         self.revisions["evacuations"] += 1
         self._evacuation_change = change
-        self._wake()
+        self._notify_watchers()
 
-    def may_ask(self, server_id):
+    def instances_using(self, server_id):
         """Return the numbers of the instances that would ask a server."""
         return [
             number
@@ -246,10 +248,10 @@
     def start(self, nursery):
         listed = [item.process.own for item in self.fronts]
         for front in self.fronts:
-            front.process.take_instances(listed)
+            front.process.apply_instances(listed)
             front.process.state_sync.record_listed()
             nursery.start_soon(front.process.state_sync.run)
-            nursery.start_soon(front.drop_stale)
+            nursery.start_soon(front.remove_stale_servers)
 
     def add_routes(self, count):
         """Put a version with more routes in force."""
@@ -257,9 +259,9 @@
         self.routes += count
         self.spec = configuration_spec(self.version, self.routes)
         self.revisions["config"] += 1
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self):
+    def _notify_watchers(self):
         self.changed.set()
         self.changed = trio.Event()
 
@@ -272,7 +274,7 @@
                 break
         return trio.current_time() - started_s
 
-    def take_received_bytes(self):
+    def pop_received_bytes(self):
         """Return what each instance was sent by others since the last time."""
         sizes = [front.received_bytes for front in self.fronts]
         for front in self.fronts:
--- a/ibisfront/tests/test_exports.py
+++ b/ibisfront/tests/test_exports.py
@@ -44,8 +44,8 @@
         """
         code = """
 import sys
-from ibisfront.front.lean_imports import leave_out_tls
-leave_out_tls()
+from ibisfront.front.lean_imports import stub_out_tls
+stub_out_tls()
 import trio, hashlib, ibisfront.front.daemon
 async def main():
     async with trio.open_nursery() as nursery:
--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -26,17 +26,17 @@
 from ibisfront.tests import trio_test
 
 _INSTANCES = 195
-_ACCEPTED = 120
+_MAX_CONNECTIONS = 120
 
 
 class KeptConnectionsTest(unittest.TestCase):
     """A server that accepts fewer connections than there are instances."""
 
-    async def open_after_a_request_of_each(self):
+    async def pool_sizes_after_one_request_each(self):
         """Return how many connections are open, after all have sent a request."""
         clock = Clock()
         route = gather_route(1)
-        services = {"part-0": RoutedService("part-0", _ACCEPTED)}
+        services = {"part-0": RoutedService("part-0", _MAX_CONNECTIONS)}
         table = RouteTable(Configuration(1, (route,), services, CallerLimits()))
         listed = [
             InstanceEntry(f"i{number}", f"z{number % 5}", f"i{number}", 200.0 - number)
@@ -48,7 +48,7 @@
         async def open_connection(address):
             return connect_to(stand_in)
 
-        open_now = []
+        pools = []
         async with trio.open_nursery() as nursery:
             for own in listed:
                 coordinators = Coordinators(own)
@@ -64,11 +64,11 @@
                 )
                 connections._open_connection = open_connection
                 server = Server(entry, now_ms=clock.now_ms(), is_near=True)
-                server.pool = connections.server_pool(server)
+                server.pool = connections.create_server_pool(server)
                 server.pool.submit(_exchange(server, clock))
-                open_now.append((coordinators.is_coordinator, server.pool))
+                pools.append((coordinators.is_coordinator, server.pool))
             await trio.sleep(0.5)
-            sizes = [(gathers, pool.size) for gathers, pool in open_now]
+            sizes = [(is_coordinator, pool.size) for is_coordinator, pool in pools]
             nursery.cancel_scope.cancel()
         return sizes
 
@@ -80,9 +80,9 @@
         connections, and kept its connection. Those of the instances that gather
         are reset as soon as they are opened.
         """
-        sizes = await self.open_after_a_request_of_each()
-        self.assertLess(sum(size for _, size in sizes), _ACCEPTED)
-        self.assertTrue(all(size for gathers, size in sizes if gathers))
+        sizes = await self.pool_sizes_after_one_request_each()
+        self.assertLess(sum(size for _, size in sizes), _MAX_CONNECTIONS)
+        self.assertTrue(all(size for is_coordinator, size in sizes if is_coordinator))
 
 
 def _exchange(server, clock):
--- a/ibisfront/tests/test_front_evacuations.py
+++ b/ibisfront/tests/test_front_evacuations.py
@@ -13,15 +13,15 @@
 from ibisfront.tests.front_zone import BOUNDS, FrontZone, two_zones_spec
 
 _SERVERS = 12
-_LOOK_S = 0.01
-_BOUND_S = BOUNDS.evacuation_ms / 1000.0
+_POLL_INTERVAL_S = 0.01
+_EVACUATION_BOUND_S = BOUNDS.evacuation_ms / 1000.0
 
 
 def _zone(nursery, instances):
     return FrontZone(nursery, instances, servers=_SERVERS, spec=two_zones_spec)
 
 
-def _asked_zones(front):
+def _zones_in_use(front):
     """Return the zones in which an instance would ask servers."""
     servers = front.process.registry.servers()
     return {server.entry.zone for server in servers if server.is_usable}
@@ -30,10 +30,10 @@
 async def _until(condition, *, at_most_s):
     """Wait until a condition holds; return how long that took."""
     started_s = trio.current_time()
-    for _ in range(int(at_most_s / _LOOK_S)):
+    for _ in range(int(at_most_s / _POLL_INTERVAL_S)):
         if condition():
             break
-        await trio.sleep(_LOOK_S)
+        await trio.sleep(_POLL_INTERVAL_S)
     return trio.current_time() - started_s
 
 
@@ -47,16 +47,20 @@
             await trio.sleep(4.0)
             zone.evacuate("z1")
 
-            def is_heeded():
-                return all(_asked_zones(front) == {"z0"} for front in zone.fronts)
+            def is_evacuated():
+                return all(_zones_in_use(front) == {"z0"} for front in zone.fronts)
 
-            self.assertLess(await _until(is_heeded, at_most_s=10.0), _BOUND_S)
-            zone.take_back("z1")
+            self.assertLess(
+                await _until(is_evacuated, at_most_s=10.0), _EVACUATION_BOUND_S
+            )
+            zone.end_evacuation("z1")
 
-            def is_over():
-                return all(_asked_zones(front) == {"z0", "z1"} for front in zone.fronts)
+            def is_ended():
+                return all(
+                    _zones_in_use(front) == {"z0", "z1"} for front in zone.fronts
+                )
 
-            self.assertLess(await _until(is_over, at_most_s=10.0), _BOUND_S)
+            self.assertLess(await _until(is_ended, at_most_s=10.0), _EVACUATION_BOUND_S)
             nursery.cancel_scope.cancel()
 
     @trio_test
@@ -77,15 +81,15 @@
             zone.start(nursery)
             await trio.sleep(4.0)
             zone.evacuate("z1")
-            await trio.sleep(_BOUND_S)
+            await trio.sleep(_EVACUATION_BOUND_S)
             for front in zone.fronts:
                 front.is_cut_off = True
             await trio.sleep(10.0)
-            self.assertEqual([_asked_zones(f) for f in zone.fronts], [{"z0"}] * 3)
+            self.assertEqual([_zones_in_use(f) for f in zone.fronts], [{"z0"}] * 3)
             for front in zone.fronts:
                 front.is_cut_off = False
             await trio.sleep(5.0)
-            self.assertEqual([_asked_zones(f) for f in zone.fronts], [{"z0"}] * 3)
+            self.assertEqual([_zones_in_use(f) for f in zone.fronts], [{"z0"}] * 3)
             nursery.cancel_scope.cancel()
 
     @trio_test
@@ -94,7 +98,7 @@
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             process = zone.fronts[0].process
-            process.take_instances([process.own])
+            process.apply_instances([process.own])
             objects, revision = zone.objects("config")
             configuration_target(process).replace(Listing(objects, revision), False)
             self.assertFalse(process.is_ready)
@@ -103,7 +107,7 @@
             self.assertEqual((reply.status, reply.reason), (503, "no_configuration"))
             process.replace_servers([], after_outage=False)
             self.assertFalse(process.gateway.is_informed)
-            process.use_evacuations(frozenset())
+            process.apply_evacuations(frozenset())
             self.assertTrue(process.gateway.is_informed)
             nursery.cancel_scope.cancel()
 
@@ -119,6 +123,6 @@
                 await trio.sleep(1.0)
             self.assertIn("z9", logs.output[0])
             zone.evacuate("z1")
-            await trio.sleep(_BOUND_S)
-            self.assertEqual(_asked_zones(zone.fronts[0]), {"z0"})
+            await trio.sleep(_EVACUATION_BOUND_S)
+            self.assertEqual(_zones_in_use(zone.fronts[0]), {"z0"})
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_front_garbage_collection.py
+++ b/ibisfront/tests/test_front_garbage_collection.py
@@ -30,12 +30,12 @@
             nursery.start_soon(collect_garbage, Clock())
             await trio.sleep(0.1)
             self.assertFalse(gc.isenabled())
-            left = weakref.ref(Cycle())
+            first_cycle = weakref.ref(Cycle())
             await trio.sleep(1.0)
-            self.assertIsNotNone(left(), "few objects are left alone")
-            kept = [Cycle() for _ in range(5_000)]
+            self.assertIsNotNone(first_cycle(), "few objects are left alone")
+            live_objects = [Cycle() for _ in range(5_000)]
             await trio.sleep(1.0)
-            self.assertIsNone(left())
-            kept.clear()
+            self.assertIsNone(first_cycle())
+            live_objects.clear()
             nursery.cancel_scope.cancel()
         self.assertTrue(gc.isenabled())
--- a/ibisfront/tests/test_front_large_configuration.py
+++ b/ibisfront/tests/test_front_large_configuration.py
@@ -10,10 +10,10 @@
 from ibisfront.tests import trio_test
 from ibisfront.tests.front_zone import FrontZone
 
-IN_FORCE_S = 4.0
+MAX_PROPAGATION_S = 4.0
 """How soon a change is in force everywhere: the aim at the full size."""
 
-CONTROL_BYTES = 15_000
+MAX_CONTROL_BYTES_PER_S = 15_000
 """What an instance may receive for control in a second: the aim."""
 
 ROUTES = 1400
@@ -28,7 +28,7 @@
             zone = FrontZone(nursery)
             zone.start(nursery)
             await trio.sleep(10.0)
-            zone.take_received_bytes()
+            zone.pop_received_bytes()
             await test(self, zone)
             nursery.cancel_scope.cancel()
 
@@ -56,7 +56,7 @@
                 zone.add_routes(added)
                 took_s.append(await zone.in_force_after_s(at_most_s=30.0))
             await trio.sleep(20.0)
-        self.assertLess(max(took_s), IN_FORCE_S, took_s)
+        self.assertLess(max(took_s), MAX_PROPAGATION_S, took_s)
 
     @in_front_zone
     async def test_one_route_more_sends_little(self, zone):
@@ -68,7 +68,7 @@
         zone.add_routes(3 * ROUTES)
         await zone.in_force_after_s(at_most_s=30.0)
         await trio.sleep(20.0)
-        zone.take_received_bytes()
+        zone.pop_received_bytes()
         zone.add_routes(1)
         await zone.in_force_after_s(at_most_s=30.0)
-        self.assertLess(max(zone.take_received_bytes()), CONTROL_BYTES)
+        self.assertLess(max(zone.pop_received_bytes()), MAX_CONTROL_BYTES_PER_S)
--- a/ibisfront/tests/test_front_readiness.py
+++ b/ibisfront/tests/test_front_readiness.py
@@ -21,7 +21,7 @@
 from ibisfront.tests import trio_test
 
 
-def follower(nursery):
+def non_coordinator_process(nursery):
     """Return the last instance of a zone of 30, and who may be followed."""
     listed = [
         InstanceEntry(f"i{number}", "z0", f"10.0.0.{number}:1", 100.0 - number)
@@ -44,16 +44,16 @@
         entry = ServerEntry(f"{name}.0", name, "10.0.1.1:1", "z0")
         process.registry._make_pool = lambda server: None
         process.registry.put(entry)
-    process.use_configuration(Configuration(1, (route,), services, CallerLimits()))
+    process.apply_configuration(Configuration(1, (route,), services, CallerLimits()))
     process.peers._make_pool = lambda server: None
-    process.take_instances(listed)
+    process.apply_instances(listed)
     return process, [item.name for item in process.topology.sources]
 
 
 class ReadinessTest(unittest.TestCase):
     """An instance of a zone that is cut off."""
 
-    def tell(self, process, name, *, is_cut_off):
+    def apply_reported_partition(self, process, name, *, is_cut_off):
         state = RelayedState(1, False, is_cut_off=is_cut_off)
         process.state_sync._heed(name, state, is_near=True)
 
@@ -66,18 +66,18 @@
         and the balancer uses a zone as long as one of its instances is.
         """
         async with trio.open_nursery() as nursery:
-            process, sources = follower(nursery)
+            process, sources = non_coordinator_process(nursery)
             coordinators = process.coordinators.of_zone("z0")
             self.assertEqual((len(sources), len(coordinators)), (3, 2))
-            self.assertTrue(process.tell_readiness())
+            self.assertTrue(process.report_readiness())
             for _ in range(4):
-                self.tell(process, sources[0], is_cut_off=True)
-                self.tell(process, sources[1], is_cut_off=True)
-                self.tell(process, sources[2], is_cut_off=False)
-                self.assertFalse(process.tell_readiness())
+                self.apply_reported_partition(process, sources[0], is_cut_off=True)
+                self.apply_reported_partition(process, sources[1], is_cut_off=True)
+                self.apply_reported_partition(process, sources[2], is_cut_off=False)
+                self.assertFalse(process.report_readiness())
                 # Until the next look in an outage.
                 await trio.sleep(2.0)
-                self.assertFalse(process.tell_readiness())
-            self.tell(process, sources[0], is_cut_off=False)
-            self.assertTrue(process.tell_readiness())
+                self.assertFalse(process.report_readiness())
+            self.apply_reported_partition(process, sources[0], is_cut_off=False)
+            self.assertTrue(process.report_readiness())
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_front_removed_servers.py
+++ b/ibisfront/tests/test_front_removed_servers.py
@@ -9,7 +9,7 @@
 from ibisfront.tests import trio_test
 from ibisfront.tests.front_zone import BOUNDS, FrontZone
 
-_CUT_S = 10.0
+_PARTITION_S = 10.0
 _REMOVED_BEFORE_END_S = 2.6
 """How long before the end of the cut the entry is removed."""
 
@@ -31,19 +31,21 @@
             zone = FrontZone(nursery)
             zone.start(nursery)
             await trio.sleep(5.0)
-            followed = next(f for f in zone.fronts if f.process.state_sync.is_fresh)
-            number = zone.fronts.index(followed)
-            followed.is_cut_off = True
-            await trio.sleep(_CUT_S - _REMOVED_BEFORE_END_S)
+            state_source = next(f for f in zone.fronts if f.process.state_sync.is_fresh)
+            number = zone.fronts.index(state_source)
+            state_source.is_cut_off = True
+            await trio.sleep(_PARTITION_S - _REMOVED_BEFORE_END_S)
             name = zone.remove_server()
             removed_at_s = trio.current_time()
             await trio.sleep(_REMOVED_BEFORE_END_S)
-            self.assertEqual(zone.may_ask(name), [number])
-            followed.is_cut_off = False
+            self.assertEqual(zone.instances_using(name), [number])
+            state_source.is_cut_off = False
             while trio.current_time() < removed_at_s + 2 * BOUNDS.change_ms / 1000.0:
                 await trio.sleep(0.1)
-                late = set(zone.may_ask(name)) - {number}
-                self.assertEqual(late, set(), "taken back from the one that was cut")
-            self.assertEqual(zone.may_ask(name), [])
-            self.assertTrue(followed.process.state_sync.is_fresh)
+                late_users = set(zone.instances_using(name)) - {number}
+                self.assertEqual(
+                    late_users, set(), "taken back from the one that was cut"
+                )
+            self.assertEqual(zone.instances_using(name), [])
+            self.assertTrue(state_source.process.state_sync.is_fresh)
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_front_start.py
+++ b/ibisfront/tests/test_front_start.py
@@ -8,7 +8,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.front.early_start import is_anyone_up
+from ibisfront.front.early_start import is_any_listening
 from ibisfront.front.process import FrontProcess
 from ibisfront.gateway.messages import InboundRequest
 from ibisfront.gateway.settings import GatewaySettings
@@ -33,13 +33,13 @@
     """
 
     def test_nobody_is_up_if_all_refuse(self):
-        self.assertFalse(is_anyone_up([free_address(), free_address()]))
-        self.assertFalse(is_anyone_up([]))
+        self.assertFalse(is_any_listening([free_address(), free_address()]))
+        self.assertFalse(is_any_listening([]))
 
     def test_one_that_listens_is_up(self):
         address = free_address()
         with listening_socket(address):
-            self.assertTrue(is_anyone_up([free_address(), address]))
+            self.assertTrue(is_any_listening([free_address(), address]))
 
     def test_silence_is_not_waited_for(self):
         """A machine without power answers nothing; the start goes on.
@@ -50,19 +50,21 @@
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             host, port = full.getsockname()
-            keeping = [socket.socket() for _ in range(3)]
-            for sock in keeping:
+            pending = [socket.socket() for _ in range(3)]
+            for sock in pending:
                 sock.setblocking(False)
                 sock.connect_ex((host, port))
-            self.assertFalse(is_anyone_up([f"{host}:{port}"]))
-            for sock in keeping:
+            self.assertFalse(is_any_listening([f"{host}:{port}"]))
+            for sock in pending:
                 sock.close()
 
 
 class EarlyRequestTest(unittest.TestCase):
     """Requests that come before what they need is known."""
 
-    async def _answered_after_s(self, *, informed_after_s, deadline_ms, asked_at_s=0.0):
+    async def _reason_and_latency_s(
+        self, *, configured_after_s, deadline_ms, sent_at_s=0.0
+    ):
         """Return the status of a request, and how long it took."""
         async with trio.open_nursery() as nursery:
             settings = GatewaySettings(
@@ -74,30 +76,30 @@
             )
             process = FrontProcess(settings, clock=Clock(), nursery=nursery)
 
-            async def inform():
-                await trio.sleep(informed_after_s)
+            async def configure():
+                await trio.sleep(configured_after_s)
                 services = {"archive": RoutedService("archive", 25)}
-                process.use_configuration(
+                process.apply_configuration(
                     Configuration(1, (forward_route(),), services, CallerLimits())
                 )
                 process.replace_servers([], after_outage=False)
 
-            nursery.start_soon(inform)
-            await trio.sleep(asked_at_s)
-            asked_s = trio.current_time()
+            nursery.start_soon(configure)
+            await trio.sleep(sent_at_s)
+            started_s = trio.current_time()
             request = InboundRequest(
                 b"GET", b"/fetch/a", HOST, "r", deadline_ms, [], b"", 0.0
             )
             reply = await process.gateway.answer(request)
-            took_s = trio.current_time() - asked_s
+            took_s = trio.current_time() - started_s
             nursery.cancel_scope.cancel()
         return reply.reason, took_s
 
     @trio_test
     async def test_request_waits_a_moment_for_the_configuration(self):
         """Guards against refusing all callers of a restart who come too early."""
-        reason, took_s = await self._answered_after_s(
-            informed_after_s=0.04, deadline_ms=400.0
+        reason, took_s = await self._reason_and_latency_s(
+            configured_after_s=0.04, deadline_ms=400.0
         )
         self.assertEqual(reason, "out_of_reach")
         self.assertLess(took_s, 0.05)
@@ -105,9 +107,9 @@
     @trio_test
     async def test_request_does_not_wait_for_a_store_that_is_away(self):
         """Guards against holding callers for an outage."""
-        for asked_at_s, most_s in ((0.0, 0.1), (1.0, 0.0)):
-            reason, took_s = await self._answered_after_s(
-                informed_after_s=9.0, deadline_ms=400.0, asked_at_s=asked_at_s
+        for sent_at_s, max_wait_s in ((0.0, 0.1), (1.0, 0.0)):
+            reason, took_s = await self._reason_and_latency_s(
+                configured_after_s=9.0, deadline_ms=400.0, sent_at_s=sent_at_s
             )
             self.assertEqual(reason, "no_configuration")
-            self.assertLessEqual(took_s, most_s + 1e-6)
+            self.assertLessEqual(took_s, max_wait_s + 1e-6)
--- a/ibisfront/tests/test_gateway_cold_start_limit.py
+++ b/ibisfront/tests/test_gateway_cold_start_limit.py
@@ -58,7 +58,7 @@
 
         connections._open_connection = open_connection
         self.registry = ServerRegistry(
-            clock=clock, make_pool=connections.server_pool, zone="z0"
+            clock=clock, make_pool=connections.create_server_pool, zone="z0"
         )
         self.registry.put(_ENTRY)
 
--- a/ibisfront/tests/test_http1_caller_listener.py
+++ b/ibisfront/tests/test_http1_caller_listener.py
@@ -25,13 +25,13 @@
 )
 
 
-class Served:
+class ListenerFixture:
     """A listener, and what it was asked."""
 
     def __init__(self):
         self.requests = []
         self.cancelled = 0
-        self.hold = None
+        self.release = None
         self.sock = listening_socket("127.0.0.1:0")
         self.address = self.sock.getsockname()
         self.listener = CallerListener(
@@ -44,9 +44,9 @@
 
     async def answer(self, request):
         self.requests.append(request)
-        if self.hold is not None:
+        if self.release is not None:
             try:
-                await self.hold.wait()
+                await self.release.wait()
             except trio.Cancelled:
                 self.cancelled += 1
                 raise
@@ -63,7 +63,7 @@
 async def served():
     """Run a listener for the length of the block."""
     async with trio.open_nursery() as nursery:
-        listener = Served()
+        listener = ListenerFixture()
         nursery.start_soon(listener.listener.run)
         yield listener
         nursery.cancel_scope.cancel()
@@ -164,7 +164,7 @@
     @trio_test_real_clock
     async def test_caller_that_leaves_cancels_its_request(self):
         async with served() as server:
-            server.hold = trio.Event()
+            server.release = trio.Event()
             stream = await trio.open_tcp_stream(*server.address)
             await stream.send_all(REQUEST)
             await until(lambda: server.requests)
@@ -179,13 +179,13 @@
         still come; the connection ends after it.
         """
         async with served() as server:
-            server.hold = trio.Event()
+            server.release = trio.Event()
             stream = await trio.open_tcp_stream(*server.address)
             await stream.send_all(REQUEST)
             await until(lambda: server.requests)
             await stream.send_all(b"nonsense\r\n\r\n")
             await trio.sleep(0.05)
-            server.hold.set()
+            server.release.set()
             data = await read_reply(stream)
             await stream.aclose()
         self.assertIn(b" 200 ", data.split(b"\r\n")[0])
--- a/ibisfront/tests/test_http1_client.py
+++ b/ibisfront/tests/test_http1_client.py
@@ -11,7 +11,7 @@
 
 from ibisfront.http1.client import HttpClient
 
-LONGEST_REPLY_S = 8.0
+MAX_REPLY_S = 8.0
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"
 PIECE = b"x" * 1000
 
@@ -95,7 +95,7 @@
         nursery.start_soon(partial(server.send_pieces, HEAD, *[b"x"] * 60, pause_s=0.4))
         with self.assertRaises(TimeoutError):
             await client.call("GET", "/", timeout_ms=1_000.0)
-        self.assertAlmostEqual(trio.current_time(), LONGEST_REPLY_S, delta=0.5)
+        self.assertAlmostEqual(trio.current_time(), MAX_REPLY_S, delta=0.5)
 
 
 async def send_slowly(server, pieces):
--- a/ibisfront/tests/test_platform_boundary.py
+++ b/ibisfront/tests/test_platform_boundary.py
@@ -12,8 +12,8 @@
     r"|pathPrefix|timeoutMs|sloMs|minCoverage|topK|currentRev|allowStale"
     r"|waitMs|warmupLeftMs|maxConns|nodeName|peerPorts|retryAllowance|graceS"
 )
-MOST_LINES = 800
-INSIDE = {"platform", "tests", "testing"}
+MAX_LINES = 800
+EXEMPT_FOLDERS = {"platform", "tests", "testing"}
 
 
 class BoundaryTest(unittest.TestCase):
@@ -21,7 +21,7 @@
 
     def test_wire_names_stand_nowhere_else(self):
         for path in PACKAGE.rglob("*.py"):
-            if path.relative_to(PACKAGE).parts[0] in INSIDE:
+            if path.relative_to(PACKAGE).parts[0] in EXEMPT_FOLDERS:
                 continue
             with self.subTest(path=path.name):
                 self.assertIsNone(WIRE_NAMES.search(path.read_text()))
@@ -31,4 +31,4 @@
             len(path.read_text().splitlines())
             for path in (PACKAGE / "platform").glob("*.py")
         )
-        self.assertLess(lines, MOST_LINES)
+        self.assertLess(lines, MAX_LINES)
--- a/ibisfront/tests/test_platform_documents.py
+++ b/ibisfront/tests/test_platform_documents.py
@@ -111,8 +111,8 @@
     def test_one_that_cannot_be_read_leaves_the_next(self):
         cache = RouteCache()
         configuration_from(configuration_of(1, route_of("a")), cache)
-        for odd in (b"", b"{}", configuration_of(2, route_of("a", kind="odd"))):
-            with self.subTest(odd[:20]), self.assertRaises(ValueError):
-                configuration_from(odd, cache)
+        for invalid in (b"", b"{}", configuration_of(2, route_of("a", kind="odd"))):
+            with self.subTest(invalid[:20]), self.assertRaises(ValueError):
+                configuration_from(invalid, cache)
         after = configuration_from(configuration_of(3, route_of("a")), cache)
         self.assertEqual((after.version, len(after.routes)), (3, 1))
--- a/ibisfront/tests/test_platform_store.py
+++ b/ibisfront/tests/test_platform_store.py
@@ -22,7 +22,7 @@
     return PlatformKindClient(store.address, kind, watch_wait_ms=wait_ms)
 
 
-class Follower:
+class RecordingTarget:
     """What a watch told of a kind."""
 
     def __init__(self):
@@ -73,8 +73,8 @@
             store.remove("servers", "a")
             answer = await client.watch(listing.revision)
             idle = await client.watch(answer.revision)
-        told = [(item.object.name, item.is_removed) for item in answer.changes]
-        self.assertEqual(told, [("b", False), ("a", True)])
+        received = [(item.object.name, item.is_removed) for item in answer.changes]
+        self.assertEqual(received, [("b", False), ("a", True)])
         self.assertEqual(idle.changes, [])
 
     @trio_test_real_clock
@@ -129,39 +129,39 @@
         history is dropped and the watch is cut. A new list must show it, and
         counts as one from a store that was well all the while.
         """
-        store, follower = StandInStore(), Follower()
+        store, recorder = StandInStore(), RecordingTarget()
         store.put("servers", "a", 1)
         store.put("servers", "b", 1)
         async with store.running(), trio.open_nursery() as nursery:
             client = client_of(store)
             nursery.start_soon(
-                lambda: watch_kind(client, follower.target(), clock=Clock())
+                lambda: watch_kind(client, recorder.target(), clock=Clock())
             )
-            await follower.until({"a", "b"})
+            await recorder.until({"a", "b"})
             store._objects["servers"].pop("b")
             store._revision += 1
             store.forget_history()
-            await follower.until({"a"})
+            await recorder.until({"a"})
             nursery.cancel_scope.cancel()
-        self.assertEqual(follower.lists, [False, False])
+        self.assertEqual(recorder.lists, [False, False])
 
     @trio_test_real_clock
     async def test_list_after_an_outage_says_so(self):
-        store, follower = StandInStore(), Follower()
+        store, recorder = StandInStore(), RecordingTarget()
         store.put("servers", "a", 1)
         async with store.running(), trio.open_nursery() as nursery:
             client = client_of(store)
             nursery.start_soon(
-                lambda: watch_kind(client, follower.target(), clock=Clock())
+                lambda: watch_kind(client, recorder.target(), clock=Clock())
             )
-            await follower.until({"a"})
+            await recorder.until({"a"})
             store.refuses_with = 503
             await trio.sleep(0.5)
             store.put("servers", "b", 1)
             store.refuses_with = 0
-            await follower.until({"a", "b"})
+            await recorder.until({"a", "b"})
             nursery.cancel_scope.cancel()
-        self.assertEqual(follower.lists, [False, True])
+        self.assertEqual(recorder.lists, [False, True])
 
 
 class DirectoryTest(unittest.TestCase):
--- a/properties/test_state_properties.py
+++ b/properties/test_state_properties.py
@@ -85,7 +85,7 @@
         return StateRequest(self.revision, 0 if known is None else known.version)
 
     def take(self, state):
-        self.process.take_state(state)
+        self.process.apply_state(state)
         self.revision = state.revision
 
 
@@ -191,13 +191,13 @@
                 self.assertGreaterEqual(follower.configuration.version, before.version)
         elif kind == "elsewhere":
             # From one that may be a version behind.
-            follower.process.use_configuration(play.versions[-how:][0])
+            follower.process.apply_configuration(play.versions[-how:][0])
         elif kind == "race":
             # A version from elsewhere overtakes the change to the one after it.
             play.put_version("abc", 1)
             play.put_version("abd", 1)
             state = await play.ask(follower)
-            follower.process.use_configuration(play.versions[-2])
+            follower.process.apply_configuration(play.versions[-2])
             follower.take(state)
         elif kind == "turn":
             follower.revision = 0
