--- a/ibisfront/front/__init__.py
+++ b/ibisfront/front/__init__.py
@@ -1,1 +1,1 @@
-"""The front daemon: the gateway on the users' platform, in one process."""
+"""The front daemon, which runs the gateway on the users' platform in one process."""
--- a/ibisfront/front/__main__.py
+++ b/ibisfront/front/__main__.py
@@ -6,11 +6,10 @@
 
 
 def _run() -> None:
-    """Start in the order in which callers wait least."""
-    # Nothing that is imported becomes garbage, and callers find nobody during the
-    # imports. Without collections, and with the options of deploy/system.toml and
-    # the lean imports, they take 155 ms of processor time in place of 188 (medians
-    # of 31 runs, benchmarks/start_cost).
+    """Start in the order that keeps callers waiting least."""
+    # Imports produce no garbage, and callers are not served while they run. Without
+    # collections, with the options of deploy/system.toml and without OpenSSL, they
+    # take 155 ms of processor time instead of 188 ms.
     gc.disable()
     from ibisfront.front.early_start import start_early
     from ibisfront.front.lean_imports import stub_out_tls
--- a/ibisfront/front/compiled.py
+++ b/ibisfront/front/compiled.py
@@ -1,8 +1,8 @@
-"""Compiles what the front daemon imports: ``python3 -m ibisfront.front.compiled``.
+"""Compiles the front daemon's imports: ``python3 -m ibisfront.front.compiled``.
 
-Run by the build with the daemon's own options, it leaves the byte code where the
-daemon looks for it. Without byte code a start takes 0.8 s of processor time in
-place of 0.2 s.
+The build runs it with the daemon's own options, so that the byte code is written
+where the daemon looks for it. Without byte code a start takes 0.8 s of processor
+time instead of 0.2 s.
 """
 
 from __future__ import annotations
--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -1,4 +1,4 @@
-"""How much of each server this instance may use: connections, and cold requests."""
+"""An instance's share of each server: connections, and requests while cold."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 
 _MAX_PEER_CONNECTIONS = 16
 """Connections to another instance, each with one delegated query at a time: at
-a hundred queries a second of a tenth of a second each, ten are under way."""
+100 queries/s of 0.1 s each, ten are in flight."""
 
 _INSTANCE_LIST_TIMEOUT_MS = 3_000.0
-"""After how long without a list of instances this one acts as if alone: the
-list is read within a tenth of a second if the store answers."""
+"""Time without a list of instances after which this one acts as if alone; the
+list is read within 0.1 s if the store answers."""
 
 
 class Connections:
-    """Shares out the connections that servers accept.
+    """Divides the connections that servers accept among instances.
 
     Parameters
     ----------
     coordinators : Coordinators
-        Which instances gather.
+        The instances that coordinate queries.
     budgets : RetryBudgets
-        Knows how many instances there are.
+        Holds the number of instances.
     find_table : callable
-        Returns the configuration in force, if one is known.
+        Returns the configuration in force, or None.
     find_bounds : callable
         Returns the bounds of the deployment.
     nursery : trio.Nursery
@@ -91,7 +91,7 @@
         )
 
     def create_server_pool(self, server: Server) -> ServerPool:
-        """Return the connections of a new backend server."""
+        """Return the connection pool of a new backend server."""
         service = server.entry.service
         pool = self._pool(server, self._connection_limit(service))
         pool.keeps_idle = self._keeps_idle(service)
@@ -99,11 +99,11 @@
         return pool
 
     def create_peer_pool(self, peer: Server) -> ServerPool:
-        """Return the connections of another instance."""
+        """Return the connection pool of another instance."""
         return self._pool(peer, _MAX_PEER_CONNECTIONS)
 
     def update_limits(self, registry: ServerRegistry) -> None:
-        """Share out what servers accept, and give back what is not ours."""
+        """Update all pools to this instance's share; close excess idle connections."""
         for server in registry.servers():
             pool = server.pool
             if pool is None:
@@ -116,7 +116,7 @@
                 pool.close_idle()
 
     def warm_up(self, registry: ServerRegistry) -> None:
-        """Open a first connection to the servers that requests may reach.
+        """Open a first connection to each server that requests may use.
 
         The first query of an instance, and the first after a repartition,
         would otherwise wait for a connection to each of its servers.
@@ -134,9 +134,9 @@
 
     @property
     def _has_instance_list(self) -> bool:
-        """Whether the list of instances was read, or should have been.
+        """Whether the list of instances was read, or its timeout has passed.
 
-        Without it every instance of many would open connections to all
+        Without the list, each of many instances would open connections to all
         servers at its start, more than they accept.
         """
         if len(self._coordinators.instances) > 1:
@@ -146,9 +146,9 @@
     def _keeps_idle(self, service: str) -> bool:
         """Return whether connections to a service are kept open while idle.
 
-        A server accepts fewer connections than there are instances. Kept by each
-        that forwards a request now and then, they use up what it accepts; those of
-        the instances that gather are reset, and their parts are missing.
+        A server may accept fewer connections than there are instances. If each
+        instance that forwards an occasional request kept one, the limit would be
+        used up: coordinators' connections are reset, and their parts are missing.
         """
         table = self._find_table()
         if table is None or self._coordinators.is_coordinator:
@@ -156,7 +156,7 @@
         return service not in table.gathered_services
 
     def _connection_limit(self, service: str) -> int:
-        """Return this instance's share of what a server accepts."""
+        """Return this instance's share of the connections a server accepts."""
         table = self._find_table()
         routed = None if table is None else table.configuration.services.get(service)
         if table is None or routed is None:
@@ -168,7 +168,7 @@
         return max(int(shared / instances), 1)
 
     def _limit_cold_requests(self, server: Server) -> None:
-        """Give this instance its share of what a cold server bears."""
+        """Set this instance's share of the requests a cold server accepts."""
         table = self._find_table()
         service = server.entry.service
         routed = None if table is None else table.configuration.services.get(service)
--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -40,7 +40,7 @@
 _LOG = part_logger(LogPart.INSTANCE)
 _STDOUT = 1
 _SETTINGS_POLL_MS = 2_000.0
-"""How often the settings file is looked at; it may change without a signal."""
+"""Interval at which the settings file is polled; it may change without a signal."""
 
 
 def main(start: EarlyStart) -> None:
@@ -64,7 +64,7 @@
 async def run_front(
     start: EarlyStart, handler: BoundedLogHandler, clock: Clock
 ) -> None:
-    """Serve until SIGTERM, and stop in order."""
+    """Serve until SIGTERM, then stop gracefully."""
     settings, path = start.settings, start.path
     async with AsyncExitStack() as stack:
         nursery = await stack.enter_async_context(trio.open_nursery())
@@ -125,7 +125,7 @@
     stack: AsyncExitStack,
     clock: Clock,
 ) -> None:
-    """Register this instance and keep up with the others."""
+    """Register this instance and track the others."""
     directory = PlatformDirectory(settings.store_address)
     stack.callback(directory.close)
     nursery.start_soon(
@@ -157,7 +157,7 @@
 
 
 async def _watch_settings(process: FrontProcess, path: Path, clock: Clock) -> None:
-    """Read the settings again when their file has changed without a signal."""
+    """Reload the settings when their file changes without a signal."""
     last_modified_ns = _modified_ns(path)
     while True:
         await clock.sleep_ms(_SETTINGS_POLL_MS)
@@ -171,17 +171,17 @@
     try:
         return path.stat().st_mtime_ns
     except OSError as error:
-        _LOG.warning("The settings file cannot be looked at: %s.", error)
+        _LOG.warning("The settings file cannot be read: %s.", error)
         return None
 
 
 def _reload(process: FrontProcess, path: Path) -> None:
-    """Take in changed settings; wrong ones are logged and left aside."""
+    """Apply changed settings; invalid ones are logged and ignored."""
     try:
         settings = read_platform_settings(path)
     except IbisfrontError as error:
-        _LOG.error("The settings stay as they are: %s.", error.detail)
+        _LOG.error("The settings are invalid and stay unchanged: %s.", error.detail)
         return
     changed = settings != process.settings
     process.apply_settings(settings)
-    _LOG.info("The settings were read again; changed: %s.", changed)
+    _LOG.info("The settings were reloaded; changed: %s.", changed)
--- a/ibisfront/front/early_start.py
+++ b/ibisfront/front/early_start.py
@@ -1,9 +1,9 @@
-"""What a front process does before its longer imports.
+"""What a front process does before its slow imports.
 
 Load pattern: all machines lose power and come back. Callers whose connection was
-lost try once more, at the moment when the machines are up and no process listens
-yet; refused connections are their last try. A process that listens first keeps them
-for the fifth of a second of its imports, and serves them.
+lost retry once, when the machines are up but no process listens yet, and fail if
+that connection is refused. A process that listens first holds their connections for
+the 0.2 s of its imports, then serves them.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 _EXIT_BAD_SETTINGS = 2
 
 _CONNECT_TIMEOUT_MS = 10
-"""How long another instance has to accept a connection: five times the way between
-zones and back."""
+"""How long another instance has to accept a connection: five round trips between
+zones."""
 
 
 class EarlyStart(msgspec.Struct):
-    """What is known and open when the imports begin.
+    """Settings and listening socket at the start of the slow imports.
 
     Attributes
     ----------
     path : Path
         The settings file.
     settings : GatewaySettings
-        What it holds.
+        Its content.
     callers : socket.socket or None
-        Listens for callers already, if no other instance seems to be up.
+        Already listens for callers, if no other instance accepts connections.
     """
 
     path: Path
@@ -49,10 +49,10 @@
 
 
 def start_early() -> EarlyStart:
-    """Read the settings, and listen for callers if nobody else does.
+    """Read the settings, and listen for callers if no other instance does.
 
     While others serve, a refused connection is better for a caller: its next one
-    reaches one of them at once.
+    is accepted by one of them at once.
     """
     try:
         path = settings_path()
@@ -68,7 +68,7 @@
 
 
 def is_any_listening(addresses: list[Address]) -> bool:
-    """Return whether a connection to any of some addresses is accepted at once."""
+    """Return whether any of the addresses accepts a connection at once."""
     sockets = [_start_connecting(address) for address in addresses]
     try:
         return _is_any_connected(sockets)
@@ -78,7 +78,7 @@
 
 
 def _is_any_connected(sockets: list[socket.socket]) -> bool:
-    """Wait until a connection is accepted, all have failed, or time is up."""
+    """Wait until a connection is accepted, all have failed, or the timeout passes."""
     pending = {sock.fileno(): sock for sock in sockets}
     poll = select.poll()
     for number in pending:
--- a/ibisfront/front/garbage_collection.py
+++ b/ibisfront/front/garbage_collection.py
@@ -1,9 +1,9 @@
-"""Collecting reference cycles beside the requests.
+"""Collection of reference cycles at fixed intervals, independent of requests.
 
-Load pattern: a query over a hundred services makes some thousand objects at once, which
-live until its answer. The interpreter's own collections come every few hundred objects,
-in the middle of queries, and find nothing; what a query leaves is found as well a
-moment later, when few objects live.
+Load pattern: a query over a hundred services allocates some thousand objects at once,
+which live until its answer. The interpreter would collect every few hundred
+allocations, during queries, and free nothing. The cycles that a query leaves can be
+collected a moment later, when few objects are live.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 __all__ = ["collect_garbage"]
 
 _COLLECTION_INTERVAL_MS = 500.0
-"""Pause between two collections of young objects: at twenty queries a second their
-cycles take a megabyte or two meanwhile."""
+"""Pause between two collections of young objects: at 20 queries/s, uncollected
+cycles take 1 to 2 MB in that time."""
 
 _MIN_NEW_OBJECTS = 2_000
-"""Objects that were made since, and live, for which a collection pays: most instances
-of many gather nothing."""
+"""Live objects allocated since the last collection below which none is run: most
+instances of a large deployment coordinate no queries."""
 
 _YOUNG_GENERATION = 1
 _FULL_COLLECTION_EVERY = 20
-"""Every so many collections is one of all objects."""
+"""Number of collections of which one covers all generations."""
 
 
 async def collect_garbage(clock: Clock) -> None:
-    """Collect cycles at a steady pace, in place of the interpreter, until cancelled."""
+    """Collect cycles at a fixed interval until cancelled; replaces automatic ones."""
     gc.disable()
     try:
         rounds = 0
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -1,4 +1,4 @@
-"""The parts of one front process, put together."""
+"""Assembles the components of one front process."""
 
 from __future__ import annotations
 
@@ -56,15 +56,15 @@
 _BALANCER_LOG = part_logger(LogPart.INSTANCE)
 
 _PEER_HEADER_BYTES = 1_024
-"""What an instance adds to a caller's headers: four short ones, and a bit for
-each service."""
+"""Size of what an instance adds to a caller's headers: four short ones, and one
+bit per service."""
 
 _MAINTENANCE_INTERVAL_MS = 100.0
-"""How often stale entries and servers out of reach are looked at."""
+"""Interval at which stale entries and unreachable servers are processed."""
 
 
 class FrontProcess:
-    """One front process: its parts, and what feeds them.
+    """One front process: its components, and the updates that they receive.
 
     Parameters
     ----------
@@ -82,23 +82,23 @@
     registry, peers : ServerRegistry
         The backend servers and the other instances.
     budgets : RetryBudgets
-        The budgets of extra sub-requests.
+        The budgets of extra attempts.
     connections : Connections
-        How many connections there are to whom.
+        Connection limits of servers and instances.
     observer : Observer
         Counters and latencies.
     own : InstanceEntry
-        What this instance says of itself.
+        The entry under which this instance registers.
     coordinators : Coordinators
-        Which instances gather for the others.
+        Which instances coordinate queries for the others.
     source : StateSource
-        Passes the store's state on to other instances.
+        Relays the store's state to other instances.
     topology : RelayTopology
         Which instances watch the store for the others.
     state_sync : StateSync
         Keeps the store's state up to date.
     zone_path_monitor : ZonePathMonitor
-        Finds out which other zones are cut off.
+        Detects which other zones are partitioned.
     is_stopping : bool
         Whether a planned stop has begun.
     """
@@ -222,7 +222,7 @@
         return self.gateway.is_ready and not self.is_stopping
 
     def report_readiness(self) -> bool:
-        """Return what the balancer is told, and note when that changes."""
+        """Return what is reported to the balancer, and log changes of it."""
         is_ready = self.gateway.tell_readiness() and not self.is_stopping
         if is_ready is not self._reported_ready:
             self._reported_ready = is_ready
@@ -237,15 +237,15 @@
         return is_ready
 
     def limits(self) -> CallerLimits:
-        """Return what callers may send."""
+        """Return the limits of callers' requests."""
         table = self.gateway.table
         return CallerLimits() if table is None else table.configuration.limits
 
     def peer_limits(self) -> CallerLimits:
-        """Return what other instances may send: callers' requests, and a little.
+        """Return the limits of other instances' requests, with room for extra headers.
 
-        A caller's request that is just within its limit would be refused by
-        the other instance for the headers that go along with it.
+        Otherwise a caller's request just within its limit would be refused by
+        the other instance because of the headers added to it.
         """
         limits = self.limits()
         return msgspec.structs.replace(
@@ -277,12 +277,12 @@
         return CallerReply(200, headers, text.encode(), "metrics")
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Put changed settings in force, as far as that needs no restart."""
+        """Apply changed settings, except for those that need a restart."""
         self.settings = settings
         self.budgets.use(settings.bounds, self._clock.now_ms())
 
     def apply_instances(self, listed: Sequence[InstanceEntry]) -> None:
-        """Take in the list of instances."""
+        """Apply a new list of instances."""
         before = (self.budgets.instances, self.coordinators.is_coordinator)
         is_first = not self.topology.is_known
         self.budgets.instances = max(len(listed), 1)
@@ -300,11 +300,11 @@
         self.source.record_change()
 
     def _record_partition(self, name: str, is_cut_off: bool) -> None:
-        """Take in whether another instance of the zone is cut off.
+        """Record whether another instance of the zone reports a partition.
 
-        One that gathers nothing asks no servers, and does not know that the cut goes
-        on. Taken at its word, an instance would be in rotation again, and with it the
-        whole zone: the balancer uses all of a zone as long as any of it is ready.
+        An instance that coordinates nothing sends no requests to servers and cannot
+        detect that a partition lasts. If its report counted, this instance would be
+        ready again, and the balancer uses a whole zone while any of it is ready.
         """
         if self.coordinators.is_coordinator:
             return
@@ -312,13 +312,13 @@
             self.gateway.record_cut_off(is_cut_off)
 
     def _record_peer_lost(self, name: str) -> None:
-        """Take in that another instance does not answer any more."""
+        """Record that another instance no longer answers."""
         for peer in self.peers.servers():
             if peer.entry.server_id == name:
                 peer.record_unreachable(self._clock.now_ms())
 
     def apply_state(self, state: RelayedState) -> None:
-        """Take in the store's state as another instance passed it on."""
+        """Apply the store's state as relayed by another instance."""
         if state.instances:
             self.apply_instances(state.instances)
         if state.configuration is not None:
@@ -338,10 +338,10 @@
         self.source.record_change()
 
     def _apply_configuration_change(self, change: ConfigurationChange) -> None:
-        """Put what a change leads to in force, if it applies here.
+        """Apply a configuration change if it starts from the version in force.
 
-        The store may have brought another version since the change was asked
-        for; the next question says which.
+        The store may have delivered another version since the change was
+        requested; the next request states which.
         """
         table = self.gateway.table
         if table is None or table.configuration.version != change.before:
@@ -351,16 +351,16 @@
 
     @property
     def _version(self) -> int:
-        """The version in force; 0 for none."""
+        """The configuration version in force; 0 for none."""
         table = self.gateway.table
         return 0 if table is None else table.configuration.version
 
     def _state(self) -> LocalState:
-        """Return what may be passed on.
+        """Return the state that may be relayed to other instances.
 
-        A server that is kept although its entry is missing is this instance's
-        guess. Passed on as listed, it would be used again by those that know that
-        it has gone, for as long as it is kept here.
+        A server kept although its entry is missing is only assumed to exist. If it
+        were relayed as listed, instances that have seen its removal would use it
+        again, for as long as it is kept here.
         """
         table = self.gateway.table
         stale = self.registry.stale()
@@ -380,7 +380,7 @@
         )
 
     async def run_maintenance(self) -> None:
-        """Look after what is known of servers, until cancelled."""
+        """Remove stale servers and probe unreachable ones, until cancelled."""
         while True:
             await self._clock.sleep_ms(_MAINTENANCE_INTERVAL_MS)
             if self.registry.remove_stale():
@@ -396,13 +396,13 @@
         after_outage: bool,
         unreadable: Collection[str] = (),
     ) -> None:
-        """Take in a full list of servers; see ``ServerRegistry.replace``."""
+        """Apply a full list of servers; see ``ServerRegistry.replace``."""
         self.registry.replace(entries, after_outage=after_outage, unreadable=unreadable)
         self.connections.warm_up(self.registry)
         self.gateway.record_learnt()
 
     def apply_evacuations(self, zones: frozenset[str]) -> None:
-        """Send nothing more to the servers of these zones."""
+        """Stop sending to the servers of these zones, and only these."""
         if zones == self.registry.evacuated:
             return
         counters = self.observer.counters
@@ -415,13 +415,13 @@
         self.gateway.record_learnt()
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force if it is newer than the one that is."""
+        """Apply a configuration if it is newer than the one in force."""
         counters = self.observer.counters
         known = self.gateway.table
         version = configuration.version
         if known is not None and known.configuration.version >= version:
             # A read after a reconnection may be older than what a watch
-            # brought; versions never fall within a process.
+            # delivered; versions never decrease within a process.
             counters.add(CounterKind.TABLE_CHANGES, "not_newer")
             return
         before = None if known is None else known.configuration.version
@@ -435,7 +435,7 @@
         self.connections.warm_up(self.registry)
 
     def _update_coordinator_count(self) -> None:
-        """Have those that gather share the allowances of gathered services."""
+        """Divide the retry budgets of gathered services among coordinators only."""
         table = self.gateway.table
         services: frozenset[str] = frozenset()
         if table is not None and self.coordinators.uses_coordinators:
--- a/ibisfront/front/stopping.py
+++ b/ibisfront/front/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: out of rotation, the last requests, the end."""
+"""A planned stop: leave the rotation, finish open requests, exit."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 _LOG = part_logger(LogPart.STOP)
 
 _OUT_OF_ROTATION_MS = NOTICED_AFTER_MS + 600.0
-"""How long the balancer may go on sending new callers; a connection may be on its
-way when it notices."""
+"""How long the balancer may still send new callers; a connection may be in flight
+when it notices."""
 
 _GRACE_MARGIN_MS = 500.0
-"""How long before the end of the grace the process ends by itself."""
+"""How long before the end of the grace period the process exits by itself."""
 
 _POLL_MS = 50.0
-"""How often a stop looks whether the last connection has ended."""
+"""Interval at which a stop checks whether the last connection has ended."""
 
 
 async def stop_gracefully(
     process: FrontProcess, callers: CallerListener, *, clock: Clock
 ) -> None:
-    """Stop serving without cutting off a request.
+    """Stop serving without interrupting a request.
 
-    At once the process is not ready, and each answer tells its caller to
-    close the connection. Once the balancer must have noticed, connections
-    without a request are closed; the process ends with the last connection,
-    or shortly before the platform kills it.
+    The process reports not ready at once, and each answer asks its caller to
+    close the connection. Once the balancer must have noticed, idle connections
+    are closed. The process exits with the last connection, or shortly before
+    the platform kills it.
     """
     process.is_stopping = True
     callers.is_stopping = True
@@ -49,13 +49,13 @@
         callers.close_idle()
         if not callers.connections:
             callers.stop_accepting()
-            # Those that the kernel had accepted are served before the end.
+            # Connections that the kernel had accepted are served first.
             await clock.sleep_ms(_POLL_MS)
             if not callers.connections:
                 break
     callers.stop_accepting()
     _LOG.info(
-        "The stop ends after %.0f ms with %d requests under way.",
+        "The stop ends after %.0f ms with %d requests in flight.",
         clock.now_ms() - started_ms,
         callers.busy,
     )
--- a/ibisfront/front/store_watches.py
+++ b/ibisfront/front/store_watches.py
@@ -1,4 +1,4 @@
-"""Watching the platform's store for one front process."""
+"""Watches the platform's store for one front process."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     *,
     clock: Clock,
 ) -> None:
-    """Keep up with what the store holds while the nursery runs."""
+    """Apply the store's content and its changes while the nursery runs."""
     bounds = process.settings.bounds
     wait_ms = bounds.watch_wait_ms
     if process.topology.is_source:
@@ -48,7 +48,7 @@
         (SERVERS_KIND, servers_target(process), wait_ms),
     ]
     if bounds.evacuation_ms is not None:
-        # That the store serves an instance no more shows by the other watches.
+        # The other watches detect that the store no longer serves this instance.
         target = evacuations_target(process)
         watched.append((EVACUATIONS_KIND, target, bounds.watch_wait_ms))
     outage = StoreOutage(options.after_outage_ms)
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -1,4 +1,4 @@
-"""Taking in what the platform's store lists: configuration, servers, evacuations."""
+"""Applies what the platform's store lists: configuration, servers, evacuations."""
 
 from __future__ import annotations
 
@@ -29,39 +29,39 @@
 _BACKEND_LOG = part_logger(LogPart.BACKEND)
 
 _MAX_REPORTED_ENTRIES = 1_000
-"""Entries that name no server whose report is remembered, so that each is
-logged once a change; a thousand names take 0.1 MB."""
+"""Invalid entries whose last report is kept, so that each is logged once per
+change; a thousand names take 0.1 MB."""
 
 
 def configuration_target(process: FrontProcess) -> WatchTarget:
-    """Return what takes in the configuration."""
+    """Return the target that applies the configuration."""
     cache = RouteCache()
 
-    def take(item: StoredObject) -> None:
+    def apply(item: StoredObject) -> None:
         if item.name == CONFIGURATION_NAME:
             _put_configuration(process, cache, item.spec)
 
     def replace(listing: Listing, after_outage: bool) -> None:
         for item in listing.objects:
-            take(item)
+            apply(item)
 
     def change(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
             if not item.is_removed:
-                take(item.object)
+                apply(item.object)
 
     return _target(process, "configuration", replace, change)
 
 
 def servers_target(process: FrontProcess) -> WatchTarget:
-    """Return what takes in the backend servers' entries."""
+    """Return the target that applies the backend servers' entries."""
     reported: dict[str, int] = {}
 
     def decode_entry(item: StoredObject) -> ServerEntry | None:
-        """Return a server's entry; None if it names no server.
+        """Return a server's entry; None if it is invalid.
 
-        One odd entry must not keep the others from being taken in. It is
-        logged once a change: a list repeats it.
+        One invalid entry must not prevent the others from being applied. It is
+        logged once per change, as each list repeats it.
         """
         try:
             return server_entry_from(item.name, item.spec)
@@ -95,9 +95,9 @@
 
 
 def evacuations_target(process: FrontProcess) -> WatchTarget:
-    """Return what takes in which zones are evacuated.
+    """Return the target that applies which zones are evacuated.
 
-    An object's name is the zone, and its being there is all that it says.
+    An object's name is the zone; its content has no meaning.
     """
     zones: set[str] = set()
 
@@ -125,7 +125,7 @@
 
 
 def _record_reported(reported: dict[str, int], item: StoredObject) -> None:
-    """Note that an entry was reported; the oldest notes are dropped."""
+    """Record that an entry was reported; the oldest records are dropped."""
     reported.pop(item.name, None)
     reported[item.name] = item.revision
     if len(reported) > _MAX_REPORTED_ENTRIES:
@@ -138,7 +138,7 @@
     replace: Callable[[Listing, bool], None],
     change: Callable[[Sequence[ObjectChange]], None],
 ) -> WatchTarget:
-    """Return a target that also tells the other instances of changes."""
+    """Return a target that also notifies other instances of changes."""
     process.state_sync.away.add(name)
 
     def replace_and_notify(listing: Listing, after_outage: bool) -> None:
@@ -150,11 +150,11 @@
         change(changes)
         process.source.record_change()
 
-    def away() -> None:
+    def mark_unavailable() -> None:
         process.state_sync.away.add(name)
         process.source.wake_askers()
 
-    return WatchTarget(name, replace_and_notify, change_and_notify, away)
+    return WatchTarget(name, replace_and_notify, change_and_notify, mark_unavailable)
 
 
 def _put_configuration(process: FrontProcess, cache: RouteCache, spec: bytes) -> None:
