--- a/ibisfront/http1/backend_connection.py
+++ b/ibisfront/http1/backend_connection.py
@@ -28,33 +28,33 @@
 _LOG = part_logger(LogPart.BACKEND)
 
 _READ_BYTES = 65_536
-"""Bytes read at once: any usual reply in one read."""
+"""Bytes per read; a typical reply fits in one."""
 
 _MAXIMUM_REPLY_BYTES = 8 * 1024 * 1024
-"""A larger reply is refused: some of them at once would not fit in memory."""
+"""A larger reply is rejected: several at once would not fit in memory."""
 
 _CONNECT_TIMEOUT_MS = 700.0
-"""How long connecting may take. A healthy server takes a few milliseconds;
-one without power never answers. Within the second that callers allow."""
+"""Connect timeout. A healthy server takes a few milliseconds; one without power
+never answers. It must be below the second that callers allow."""
 
 _USER_TIMEOUT_MS = 3_000
-"""After how long of unacknowledged bytes the kernel ends a connection."""
+"""How long bytes may stay unacknowledged before the kernel ends a connection."""
 
 _KEEP_ALIVE_IDLE_S = 3
-"""Seconds of silence after which the kernel asks an idle connection, and between
-its questions, and how many go unanswered: a dead one is closed in five seconds."""
+"""Idle time before the first TCP keep-alive probe; with the interval and the number
+of probes below, a dead connection is closed after five seconds."""
 
 _KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES = 2
 _IDLE_TIMEOUT_FRACTION = 0.8
-"""Share of the server's idle timeout for which a connection is used again;
-later, a request could cross the server's close."""
+"""Fraction of the server's idle timeout for which a connection is reused; later,
+a request could cross the server's close."""
 
 _LINGER_RESET = struct.pack("ii", 1, 0)
 """Value of ``SO_LINGER`` that makes a close a reset."""
 
 DecodeReply: TypeAlias = "Callable[[RawMessage], BackendReply]"
-"""Makes a typed reply of a message."""
+"""Decodes a message into a typed reply."""
 
 
 class BackendConnection:
@@ -63,13 +63,13 @@
     Parameters
     ----------
     sock : trio.socket.SocketType
-        The connected socket, owned from now on.
+        The connected socket; this object takes ownership.
     decode_reply : callable
-        Makes a typed reply of a message.
+        Decodes a message into a typed reply.
     clock : Clock
         The tier's clock.
     nursery : trio.Nursery
-        Runs the rest of a send that did not fit in one go.
+        Runs the remainder of a partial send.
     """
 
     __slots__ = (
@@ -108,7 +108,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it can take an exchange."""
+        """Whether the connection can carry another exchange."""
         return self._exchange is None and not self._is_closed and not self._is_dirty
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
@@ -119,8 +119,8 @@
         except BlockingIOError:
             sent = 0
         except OSError:
-            # The server closed it while it was idle: nothing was sent, and the
-            # exchange goes to another connection.
+            # The server closed the idle connection: nothing was sent, and the
+            # exchange moves to another connection.
             self.close()
             return False
         exchange.sent_at_ms = now_ms
@@ -132,12 +132,12 @@
         return True
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         self._is_closed = True
         self._scope.cancel()
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
-        """Read replies until the connection ends; close it then."""
+        """Read replies until the connection ends, then close it."""
         try:
             with self._scope:
                 await self._read_all(on_idle)
@@ -145,9 +145,9 @@
             self._is_closed = True
             trio.lowlevel.notify_closing(self._sock)
             if self._exchange is not None:
-                # A plain close leaves unsent bytes to the kernel, which
-                # delivers them when a cut link heals: the server would run a
-                # request that was given up seconds before. A reset drops them.
+                # After a plain close the kernel still delivers unsent bytes when
+                # a partitioned link recovers: the server would run a request that
+                # was abandoned seconds before. A reset drops them.
                 self._sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
                 )
@@ -158,8 +158,8 @@
 
     async def _read_all(self, on_idle: Callable[[ServerConnection], None]) -> None:
         sock = self._sock
-        # A late reply to an earlier request makes the connection unfit for
-        # another; the reply that is owed may still come on it.
+        # After a late reply to an earlier request the connection is not reused,
+        # but the outstanding reply may still arrive on it.
         while not self._is_dirty or self._exchange is not None:
             await trio.lowlevel.wait_readable(sock)
             try:
@@ -179,7 +179,7 @@
         try:
             self._reader.feed(data)
         except MalformedMessageError as error:
-            # A reply may stand whole before the bytes that are none.
+            # A complete reply may precede the malformed bytes.
             self._deliver()
             self._is_dirty = True
             self._fail(ExchangeErrorKind.BAD_REPLY, str(error))
@@ -189,7 +189,7 @@
             self._is_dirty = True
 
     def _end_of_stream(self) -> bool:
-        """Take in the orderly end of the stream; return False to stop reading."""
+        """Handle the orderly end of the stream; return False to stop reading."""
         self._reader.end()
         self._deliver()
         self._is_dirty = True
@@ -201,15 +201,15 @@
             reply = self._decode_reply(messages.pop(0))
             exchange = self._exchange
             if exchange is None or not _matches(reply, exchange):
-                # A reply sent twice, or late, to a request that has ended. It
-                # must not pass for the reply to another; the id tells it, and
-                # the connection is not used again.
+                # A duplicate or late reply to a request that has ended, as its id
+                # shows. It must not be taken for the reply to another request,
+                # and the connection is not reused.
                 self._is_dirty = True
                 continue
             self._record_keep_alive(reply)
             if self._is_sending:
-                # The server replied before it had read the whole body; what
-                # it reads next must not be another request's bytes.
+                # The server replied before it had read the whole body; the bytes
+                # it reads next must not be another request's.
                 self._is_dirty = True
             self._exchange = None
             exchange.finish(reply)
@@ -248,12 +248,12 @@
 
 
 async def open_socket(address: Address, *, timeout_ms: float) -> socket.socket:
-    """Connect to an address, with options that end silent connections.
+    """Connect to an address, with socket options that end dead connections.
 
     Raises
     ------
     OSError
-        If it refuses, or does not accept in time.
+        If the connection is refused or not accepted in time.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -269,7 +269,7 @@
             if code:
                 raise OSError(code, os.strerror(code))
             return sock
-        raise TimeoutError(f"{address} does not accept")
+        raise TimeoutError(f"{address} did not accept the connection in time")
     except BaseException:
         sock.close()
         raise
@@ -288,7 +288,7 @@
 def backend_connection_opener(
     *, decode_reply: DecodeReply, clock: Clock, nursery: trio.Nursery
 ) -> OpenServerConnection:
-    """Return a function that connects to backend servers."""
+    """Return a function that opens connections to backend servers."""
 
     async def open_connection(address: Address) -> BackendConnection:
         sock = await open_socket(address, timeout_ms=_CONNECT_TIMEOUT_MS)
--- a/ibisfront/http1/caller_connection.py
+++ b/ibisfront/http1/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: one task reads, one answers."""
+"""A caller's connection, with one task that reads and one that answers."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
 _LOG = part_logger(LogPart.CALLERS)
 
 _READ_BYTES = 65_536
-"""Bytes read at once: a large body in a few reads."""
+"""Bytes per read; a large body takes a few reads."""
 
 _MAX_QUEUED_REQUESTS = 8
-"""Requests of one connection that are read ahead of their turn."""
+"""Pipelined requests of one connection that are read ahead."""
 
 _QUEUE_POLL_MS = 1.0
-"""Pause before another look at a queue that is full."""
+"""Interval at which a full queue is polled."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 _LINGER_MS = 500.0
-"""How long a connection that is closed from this end is read on, so that the
-kernel does not reset it and drop the answer on its way."""
+"""How long a connection closed from this end is still read, so that the kernel
+does not reset it and drop the answer in flight."""
 
 _TCP_INFO_BYTES = 104
-"""Size of the kernel's record of a connection, and where its smoothed round trip
-in microseconds stands (struct tcp_info)."""
+"""Size of the kernel's ``struct tcp_info``, and below, the offset of its smoothed
+round-trip time in microseconds."""
 
 _RTT_OFFSET = 68
 _MICROSECONDS_PER_MILLISECOND = 1_000.0
 _DEFAULT_RTT_MS = 5.0
-"""Assumed where the kernel does not tell."""
+"""Assumed where the kernel reports no round-trip time."""
 
 
 class ConnectionHost(Protocol):
-    """What a connection needs of its listener."""
+    """Interface of the listener that a connection uses."""
 
     is_stopping: bool
 
@@ -63,27 +63,27 @@
         """The tier's clock."""
 
     def limits(self) -> CallerLimits:
-        """Return what callers may send."""
+        """Return the limits of callers' requests."""
 
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Answer a request."""
 
     def remove_connection(self, connection: CallerConnection) -> None:
-        """Note that a connection has ended."""
+        """Remove a connection that has ended."""
 
 
 class CallerConnection:
     """One caller's connection.
 
-    The task that reads goes on reading while a request is answered, so that
-    a caller that leaves is noticed at once and its work stops.
+    Reading continues while a request is answered, so that a caller's disconnect
+    is detected at once and its work stops.
 
     Parameters
     ----------
     sock : socket.socket
-        The accepted socket, owned from now on.
+        The accepted socket; this object takes ownership.
     host : ConnectionHost
-        What serves it.
+        The listener that answers its requests.
     nursery : trio.Nursery
         Runs the task that answers.
     """
@@ -136,15 +136,15 @@
         )
 
     def close(self) -> None:
-        """Close it at once; a request under way is dropped."""
+        """Close the connection at once; a request in flight is dropped."""
         self._scope.cancel()
 
     def close_if_idle(self) -> None:
-        """Let it end if no request is under way or has come.
+        """Let the connection end if no request is in flight or has arrived.
 
-        Only the wait for bytes is cancelled. A request that arrives in the
-        same moment is read all the same; cancelling the connection would drop
-        it after it was passed on.
+        Only the wait for bytes is cancelled. A request that arrives at the same
+        moment is still read; cancelling the connection would drop it after it
+        was forwarded.
         """
         if not self.is_busy:
             self._closes_when_idle = True
@@ -183,11 +183,11 @@
         await self._linger()
 
     def _shut_down(self) -> None:
-        """Tell the caller that nothing more comes."""
+        """Shut down sending, so that the caller sees the end of the stream."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError as error:
-            _LOG.debug("A caller's connection is gone already: %s.", error)
+            _LOG.debug("A caller's connection is already closed: %s.", error)
 
     async def _read_some(self) -> bool:
         """Read once; return False at the end of the connection."""
@@ -203,7 +203,7 @@
         try:
             self._reader.feed(data)
         except MalformedMessageError as error:
-            # Whole requests may stand before the bytes that are none.
+            # Complete requests may precede the malformed bytes.
             self._queue_requests()
             await self._refuse(error.status, str(error))
             return False
@@ -213,7 +213,7 @@
         if self._reader.wants_continue and self._reader.is_mid_message:
             self._reader.wants_continue = False
             await self._send_bytes(_CONTINUE)
-        # More than a few requests ahead are read only once answered.
+        # Further requests are read only once queued ones are answered.
         while len(self._queue) > _MAX_QUEUED_REQUESTS:
             await self._host.clock.sleep_ms(_QUEUE_POLL_MS)
         return True
@@ -269,7 +269,7 @@
         self.close()
 
     async def _linger(self) -> None:
-        """Read and drop what still comes, until the caller closes too."""
+        """Read and discard bytes until the caller closes too."""
         with self._host.clock.timeout_ms(_LINGER_MS):
             while True:
                 await trio.lowlevel.wait_readable(self._sock)
@@ -290,17 +290,17 @@
         return self._waiting_since_ms + limits.idle_timeout_ms
 
     async def _handle_timeout(self) -> bool:
-        """Act on a caller that is slow or idle; return whether to close."""
+        """Handle a slow or idle caller; return whether to close."""
         if self._answer_scope is not None:
             return False
         if self._host.clock.now_ms() < self._deadline_ms():
             return False
         if self._reader.is_mid_message:
-            await self._refuse(408, "the request did not come whole in time")
+            await self._refuse(408, "the request was not complete in time")
         return True
 
     async def _refuse(self, status: int, detail: str) -> None:
-        """Answer a request that cannot be read, after those before it; close."""
+        """Answer an unreadable request after those before it, then close."""
         _LOG.warning("A request cannot be read: %s; answered %d.", detail, status)
         while self._answer_scope is not None:
             await self._answered.wait()
@@ -310,7 +310,7 @@
 
 
 def _round_trip_ms(sock: socket.socket) -> float:
-    """Return what the kernel measured as the way to the caller and back."""
+    """Return the kernel's estimate of the round-trip time to the caller."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
         round_trip_us = struct.unpack_from("I", info, _RTT_OFFSET)[0]
--- a/ibisfront/http1/caller_listener.py
+++ b/ibisfront/http1/caller_listener.py
@@ -1,4 +1,4 @@
-"""Listening for callers over HTTP/1.1."""
+"""Listener for callers over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 _LOG = part_logger(LogPart.CALLERS)
 
 _ACCEPT_PAUSE_MS = 20.0
-"""Pause after a failed accept (out of descriptors), to let others end."""
+"""Pause after a failed accept (no free descriptors), until connections end."""
 
 _INTERNAL_ERROR = 500
 
 AnswerRequest: TypeAlias = "Callable[[InboundRequest], Awaitable[CallerReply]]"
-"""Answers a caller's request; cancelled if the caller leaves."""
+"""Answers a caller's request; cancelled if the caller disconnects."""
 
 
 class CallerListener:
@@ -37,13 +37,13 @@
     Parameters
     ----------
     sock : socket.socket
-        Where to listen; owned from now on.
+        The listening socket; this object takes ownership.
     answer : callable
         Answers a request.
     wire : WireCodec
         The codec.
     limits : callable
-        Returns what callers may send.
+        Returns the limits of callers' requests.
     clock : Clock
         The tier's clock.
 
@@ -84,33 +84,33 @@
 
     @property
     def connections(self) -> int:
-        """How many callers are connected."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
     def busy(self) -> int:
-        """How many connections have a request under way."""
+        """Number of connections with a request in flight."""
         return sum(item.is_busy for item in self._connections)
 
     async def run(self) -> None:
-        """Serve until :meth:`stop_accepting` and the last connection's end."""
+        """Serve until :meth:`stop_accepting` and the end of the last connection."""
         async with trio.open_nursery() as nursery:
             with self._scope:
                 await self._accept_all(nursery)
-            # Connections that the kernel has completed would be reset, though
-            # their callers may have sent a request already.
+            # Connections in the kernel's backlog would be reset, although their
+            # callers may already have sent a request.
             while self._accept_one(nursery):
                 pass
             trio.lowlevel.notify_closing(self._sock)
             self._sock.close()
 
     def close_idle(self) -> None:
-        """Let the connections end that have no request under way."""
+        """Close the connections without a request in flight."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
     def stop_accepting(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._scope.cancel()
 
     async def _accept_all(self, nursery: trio.Nursery) -> None:
@@ -120,7 +120,7 @@
                 await self._clock.sleep_ms(_ACCEPT_PAUSE_MS)
 
     def _accept_one(self, nursery: trio.Nursery) -> bool:
-        """Accept a connection that waits; return whether there was one."""
+        """Accept a pending connection; return whether there was one."""
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
@@ -138,9 +138,9 @@
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Answer a request of one of the connections.
 
-        A fault of our own while one request is answered must not end the
-        process, and with it every other request. What it had sent is unknown,
-        so that the answer promises nothing.
+        An internal error while one request is answered must not end the process,
+        and with it every other request. Whether it had sent sub-requests is
+        unknown, so the answer makes no claim about execution.
         """
         try:
             return await self._answer(request)
@@ -151,7 +151,7 @@
             return CallerReply(_INTERNAL_ERROR, [], b"", "internal", closes=True)
 
     def limits(self) -> CallerLimits:
-        """Return what callers may send."""
+        """Return the limits of callers' requests."""
         return self._limits()
 
     @property
@@ -165,5 +165,5 @@
         return self._clock
 
     def remove_connection(self, connection: CallerConnection) -> None:
-        """Note that a connection has ended."""
+        """Remove a connection that has ended."""
         self._connections.discard(connection)
--- a/ibisfront/http1/client.py
+++ b/ibisfront/http1/client.py
@@ -1,4 +1,4 @@
-"""A client of one HTTP/1.1 server, one call at a time on a kept connection."""
+"""A client of one HTTP/1.1 server: one call at a time, on a persistent connection."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 __all__ = ["HttpClient"]
 
 _READ_BYTES = 65_536
-"""Bytes read at once."""
+"""Bytes per read."""
 
 _CONNECT_TIMEOUT_MS = 700.0
-"""How long connecting may take; a healthy server takes a few milliseconds."""
+"""Connect timeout; a healthy server takes a few milliseconds."""
 
 
 _REPLY_PAUSE_TIMEOUT_MS = 1_000.0
-"""How long a reply that has begun may pause. A packet that is lost costs 0.2 to
-0.4 s; a machine without power or behind a cut sends nothing for longer."""
+"""How long a reply that has begun may pause. A lost packet costs 0.2 to 0.4 s; a
+machine that is without power or partitioned sends nothing for longer."""
 
 _MAX_REPLY_MS = 8_000.0
-"""How long a whole reply may take. A megabyte, the most that the platform's store
-holds as one value, takes 1.2 s on a link of 7 Mbit/s, and several times that on
-one that is shared with queries."""
+"""How long a complete reply may take. A megabyte, the maximum size of a value in
+the platform's store, takes 1.2 s on a link of 7 Mbit/s, and several times that on
+a link shared with queries."""
 
 
 class HttpClient:
-    """Calls one server; not for several tasks at once.
+    """Calls one server; not for concurrent use by several tasks.
 
     Parameters
     ----------
@@ -60,21 +60,21 @@
         Parameters
         ----------
         method, target : str
-            What to call.
+            Method and target of the request.
         body : bytes
-            What to send.
+            Body of the request.
         timeout_ms : float
-            How long the reply may take to begin. The time for all of it grows
-            while it goes on coming: with one time for the whole reply, a large
-            one on a slow link would be given up each time, and asked for from
+            How long the reply may take to begin. The deadline is extended while
+            bytes arrive: with a fixed timeout for the whole reply, a large one
+            on a slow link would be abandoned each time and requested again from
             its beginning.
 
         Raises
         ------
         OSError
-            If the reply does not begin in time, or does not go on. The
-            connection is closed then, since a late reply would pass for the
-            reply to the next call.
+            If the reply does not begin in time, or stalls. The connection is
+            then closed, since a late reply would be taken for the reply to the
+            next call.
         """
         head = (
             f"{method} {target} HTTP/1.1\r\nHost: {self._address}\r\n"
@@ -89,10 +89,10 @@
             raise
 
     def _timeout_error(self, timeout_ms: float) -> TimeoutError:
-        """Return the error of a reply that is not whole in time.
+        """Return the error for a reply that is not complete in time.
 
-        A server that is silent or gone and a link that is too slow for a large
-        reply need different cures; what has come tells them apart.
+        An unresponsive server and a link too slow for a large reply need
+        different remedies; the number of bytes received distinguishes them.
         """
         received = self._reader.body_bytes
         return TimeoutError(
@@ -129,7 +129,7 @@
         return message
 
     async def _read_some(self, sock: socket.socket, reader: ReplyReader) -> bool:
-        """Read once; return whether bytes of a reply came."""
+        """Read once; return whether bytes of a reply were received."""
         await trio.lowlevel.wait_readable(sock)
         try:
             data = sock.recv(_READ_BYTES)
@@ -138,12 +138,14 @@
         if not data:
             reader.end()
             if not reader.messages:
-                raise ConnectionResetError("closed without a whole reply")
+                raise ConnectionResetError(
+                    "connection closed before the reply was complete"
+                )
             return True
         try:
             reader.feed(data)
         except MalformedMessageError as error:
-            raise ConnectionResetError(f"no reply: {error}") from error
+            raise ConnectionResetError(f"malformed reply: {error}") from error
         return True
 
 
--- a/ibisfront/http1/fields.py
+++ b/ibisfront/http1/fields.py
@@ -1,4 +1,4 @@
-"""The header fields of HTTP/1.1 that concern a connection or a message's length."""
+"""HTTP/1.1 header fields that concern a connection or a message's length."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         b"expect",
     )
 )
-"""Fields that are not passed on."""
+"""Fields that are not forwarded."""
 
 _REASONS = {
     200: b"OK",
@@ -53,7 +53,7 @@
 
 
 def encode_reply(reply: CallerReply, keeps_open: bool) -> bytes:
-    """Return the bytes of an answer to a caller."""
+    """Encode an answer to a caller."""
     reason = _REASONS.get(reply.status, b"Status")
     lines = [b"HTTP/1.1 %d %b" % (reply.status, reason)]
     lines += [name + b": " + value for name, value in reply.headers]
@@ -64,7 +64,7 @@
 
 
 def connection_options(headers: Sequence[Header]) -> frozenset[bytes]:
-    """Return the headers that a message says are of its connection only."""
+    """Return the names listed in the ``Connection`` header, in lower case."""
     names: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -73,7 +73,7 @@
 
 
 def idle_timeout_ms(value: bytes) -> float | None:
-    """Return how long ``Keep-Alive`` says that a connection may be idle."""
+    """Return the idle timeout given in a ``Keep-Alive`` header."""
     for item in value.split(b","):
         key, _, text = item.strip().partition(b"=")
         if key.lower() == b"timeout":
@@ -83,10 +83,10 @@
 
 
 def parse_non_negative(value: bytes) -> float | None:
-    """Return a time; None for text that is none.
+    """Parse a finite, non-negative number; return None for other text.
 
-    "nan" and "inf" are numbers to Python; a deadline of that kind would never
-    come, and the request would be held for ever.
+    Python also parses "nan" and "inf"; such a deadline would never pass, and the
+    request would be held forever.
     """
     try:
         number = float(value)
--- a/ibisfront/http1/listening.py
+++ b/ibisfront/http1/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets; imports nothing that takes long."""
+"""Listening sockets; this module has no slow imports."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 __all__ = ["listening_socket"]
 
 _BACKLOG = 1_024
-"""Connections that the kernel keeps until they are accepted: a second's worth of
-callers who all come again at once."""
+"""Connections that the kernel queues until they are accepted: one second of all
+callers reconnecting at once."""
 
 
 def listening_socket(address: Address) -> socket.socket:
-    """Return a socket that listens on an address."""
+    """Return a non-blocking socket that listens on an address."""
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/ibisfront/http1/parser.py
+++ b/ibisfront/http1/parser.py
@@ -1,4 +1,4 @@
-"""Reading whole HTTP/1.1 messages off a byte stream, by ``httptools``."""
+"""Reads complete HTTP/1.1 messages from a byte stream with ``httptools``."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 __all__ = ["MalformedMessageError", "RawMessage", "ReplyReader", "RequestReader"]
 
 _FIRST_FINAL_STATUS = 200
-"""Statuses below are interim: the reply itself follows."""
+"""Statuses below this are interim; the final reply follows."""
 
 
 class MalformedMessageError(Exception):
-    """The bytes are no HTTP/1.1 message, or break a limit.
+    """The bytes are not an HTTP/1.1 message, or exceed a limit.
 
     Parameters
     ----------
     status : int
-        The status that a caller is told: 400, 413 or 431.
+        Status of the answer to a caller: 400, 413 or 431.
     detail : str
-        What was wrong.
+        Description of the error.
     """
 
     def __init__(self, status: int, detail: str) -> None:
@@ -28,7 +28,7 @@
 
 
 class RawMessage(msgspec.Struct):
-    """A message as it was read.
+    """A message as received.
 
     Attributes
     ----------
@@ -39,11 +39,11 @@
     status : int
         The status of a reply; 0 for a request.
     headers : list of tuple of bytes
-        Names as sent, and values.
+        Names as received, and values.
     body : bytes
-        The whole body.
+        The complete body.
     keeps_open : bool
-        Whether the sender keeps the connection open after it.
+        Whether the sender keeps the connection open after the message.
     """
 
     start: bytes
@@ -55,14 +55,14 @@
 
 
 class _MessageReader:
-    """What request and reply readers share: the callbacks of ``httptools``.
+    """Common base of request and reply readers: callbacks of ``httptools``.
 
     Attributes
     ----------
     messages : list of RawMessage
-        The whole messages that were read and not taken yet.
+        Complete messages that the caller of ``feed`` has not removed yet.
     is_mid_message : bool
-        Whether a message has begun and is not whole.
+        Whether a message has begun and is incomplete.
     """
 
     __slots__ = (
@@ -87,7 +87,7 @@
         self._start = b""
 
     def on_message_begin(self) -> None:
-        """Start over for a new message."""
+        """Reset the state for a new message."""
         self.is_mid_message = True
         self.head_complete = False
         self._headers = []
@@ -96,11 +96,11 @@
         self._start = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Append a piece of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self.maximum_body_bytes:
             raise MalformedMessageError(413, "the body is too large")
@@ -108,7 +108,7 @@
 
     @property
     def body_bytes(self) -> int:
-        """How much of the body of the message under way has come."""
+        """Bytes received of the body of an incomplete message."""
         return self._body_bytes if self.is_mid_message else 0
 
     def _take_body(self) -> bytes:
@@ -121,14 +121,14 @@
     Parameters
     ----------
     maximum_body_bytes : int
-        A larger reply counts as malformed; it would not fit in memory.
+        A larger reply is malformed; it would not fit in memory.
 
     Attributes
     ----------
     expects_body : bool
-        False while the reply to a HEAD request is due: it tells a length and
-        has no body, so that it is whole with its head. The parser cannot be
-        told; nothing more is read with it.
+        False while the reply to a HEAD request is outstanding: it states a
+        length but has no body, so it is complete after its head. ``httptools``
+        cannot be configured for that, so it parses nothing after such a reply.
     """
 
     __slots__ = ("_ends_with_stream", "_parser", "expects_body")
@@ -140,22 +140,22 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; whole replies are appended to ``messages``.
+        """Parse bytes; append complete replies to ``messages``.
 
         Raises
         ------
         MalformedMessageError
-            If they are no reply.
+            If they are not a reply.
         """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            raise MalformedMessageError(400, "an upgrade nobody asked for") from error
+            raise MalformedMessageError(400, "unrequested protocol upgrade") from error
         except httptools.HttpParserError as error:
             raise _malformed_message_error(error) from error
 
     def on_headers_complete(self) -> None:
-        """Note whether the reply has a length of its own."""
+        """Determine whether the reply states its length."""
         self.head_complete = True
         status = self._parser.get_status_code()
         self._ends_with_stream = status not in (204, 304) and not any(
@@ -167,7 +167,7 @@
             self._append(False)
 
     def on_message_complete(self) -> None:
-        """Keep the whole reply; interim replies are passed over."""
+        """Append the complete reply; skip interim replies."""
         if not self.is_mid_message:
             return
         self.is_mid_message = False
@@ -177,13 +177,13 @@
         self._append(self._parser.should_keep_alive())
 
     def end(self) -> bool:
-        """Take in the orderly end of the stream.
+        """Handle the orderly end of the stream.
 
         Returns
         -------
         bool
             Whether it ended between messages. A reply without a length is
-            whole only now; any other that has begun was cut short.
+            complete only now; any other that has begun was truncated.
         """
         if not self.is_mid_message:
             return True
@@ -212,12 +212,12 @@
     Parameters
     ----------
     maximum_header_bytes, maximum_body_bytes : int
-        What a caller may send.
+        Limits of a caller's request.
 
     Attributes
     ----------
     wants_continue : bool
-        Whether the caller waits to be told to send the body.
+        Whether the caller waits for ``100 Continue`` to send the body.
     """
 
     __slots__ = ("_head_bytes", "_parser", "maximum_header_bytes", "wants_continue")
@@ -230,34 +230,36 @@
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; whole requests are appended to ``messages``.
+        """Parse bytes; append complete requests to ``messages``.
 
         Raises
         ------
         MalformedMessageError
-            If they are no request, or one that breaks a limit.
+            If they are not a request, or exceed a limit.
         """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            raise MalformedMessageError(400, "upgrades are not offered") from error
+            raise MalformedMessageError(
+                400, "protocol upgrades are not supported"
+            ) from error
         except httptools.HttpParserError as error:
             raise _malformed_message_error(error) from error
-        # A head that never ends is not seen by the callback of a header.
+        # The callbacks see a header only once it is complete.
         if self.is_mid_message and not self.head_complete:
             self._head_bytes += len(data)
             self._check_head_size()
 
     def on_url(self, url: bytes) -> None:
-        """Keep the target, which may come in pieces."""
+        """Append to the target, which may arrive in pieces."""
         self._start += url
 
     def on_headers_complete(self) -> None:
-        """Refuse what could be framed in two ways, and too large a head.
+        """Reject ambiguous framing and too large a head.
 
-        A request with two lengths, or with a length and chunks, may be read
-        as one request here and as two by a backend server; the second would
-        then run although no caller sent it.
+        A request with two lengths, or with a length and chunks, may be parsed
+        as one request here and as two by a backend server (request smuggling);
+        the second would then run although no caller sent it.
         """
         self.head_complete = True
         size = len(self._start)
@@ -269,12 +271,12 @@
             elif name.lower() == b"expect" and value.lower() == b"100-continue":
                 self.wants_continue = True
         if lengths > 1:
-            raise MalformedMessageError(400, "the body has two lengths")
+            raise MalformedMessageError(400, "the request states two body lengths")
         self._head_bytes = size
         self._check_head_size()
 
     def on_message_complete(self) -> None:
-        """Keep the whole request."""
+        """Append the complete request."""
         self.is_mid_message = False
         self.wants_continue = False
         self._head_bytes = 0
@@ -295,7 +297,7 @@
 
 
 def _malformed_message_error(error: httptools.HttpParserError) -> MalformedMessageError:
-    """Return our own error from within a callback, or that of the parser."""
+    """Return the error that a callback raised, or else that of the parser."""
     inner = error.__context__
     if isinstance(inner, MalformedMessageError):
         return inner
--- a/ibisfront/http1/state_client.py
+++ b/ibisfront/http1/state_client.py
@@ -1,4 +1,4 @@
-"""Asking another instance for the store's state, over HTTP."""
+"""Requests the store's state from another instance over HTTP."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def parse_state_request(request: InboundRequest) -> StateRequest | None:
-    """Return what an asker says; None if it asks something else."""
+    """Return the state request; None if it is another kind of request."""
     path, _, text = request.target.partition(b"?")
     if path != _PATH:
         return None
@@ -32,12 +32,12 @@
 
 
 class HttpStateClient:
-    """Asks one instance; see ``StateClient``.
+    """Requests state from one instance; see ``StateClient``.
 
     Parameters
     ----------
     address : Address
-        Where it serves other instances.
+        Address at which the instance serves others.
     """
 
     __slots__ = ("_client",)
@@ -50,7 +50,7 @@
         target = f"{_PATH.decode()}?{asked.known_revision}&{asked.known_version}"
         message = await self._client.call("GET", target, timeout_ms=timeout_ms)
         if message.status != _OK:
-            raise ConnectionError(f"status {message.status}")
+            raise ConnectionError(f"unexpected status {message.status}")
         return message.body
 
     def close(self) -> None:
--- a/ibisfront/platform/__init__.py
+++ b/ibisfront/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls; it decides nothing."""
+"""The users' platform: its names, formats and calls, without any policy."""
--- a/ibisfront/platform/documents.py
+++ b/ibisfront/platform/documents.py
@@ -33,7 +33,7 @@
 
 
 class _Route(msgspec.Struct, rename="camel"):
-    """A route as it is written."""
+    """A route as stored."""
 
     name: str
     host: str
@@ -52,18 +52,18 @@
 
 
 class _Service(msgspec.Struct, rename="camel"):
-    """A service as it is written."""
+    """A service as stored."""
 
     name: str
-    # The bound of each backend server, over all instances together.
+    # Limit of each backend server, over all instances together.
     max_conns: int
-    # How long a server is cold, and the requests that it bears meanwhile.
+    # How long a server is cold, and the requests that it accepts in that time.
     warmup_s: float = 0.0
     warmup_per_s: float = 0.0
 
 
 class _Limits(msgspec.Struct, rename="camel"):
-    """What callers may send."""
+    """Limits of callers' requests."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -72,7 +72,7 @@
 
 
 class _Configuration(msgspec.Struct):
-    """The whole configuration as it is written."""
+    """The whole configuration as stored."""
 
     version: int
     routes: list[msgspec.Raw]
@@ -89,11 +89,11 @@
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
 _MAX_SLOTS = 100_000
-"""Slots beyond which an entry is not believed: three orders of magnitude above
-the servers of today."""
+"""Slots above which an entry is invalid: three orders of magnitude above those of
+real servers."""
 
 _MAX_WARM_UP_MS = 600_000.0
-"""The same for what is left of a cold start, which takes seconds."""
+"""The same for the rest of a warm-up, which takes seconds."""
 
 _Address = Annotated[
     str, msgspec.Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[1-9][0-9]{0,4}$")
@@ -103,31 +103,31 @@
 class _Server(msgspec.Struct, rename="camel"):
     """A server's entry; its id is the name of the object.
 
-    Anybody may have written it: an entry that lacks a field, or holds one that
-    cannot be, names no server.
+    Any writer may have produced it; an entry with a missing field or an
+    impossible value is invalid.
     """
 
     service: _NonEmptyText
     addr: _Address
     zone: _NonEmptyText
-    # The version of the server's software; nothing depends on it.
+    # Version of the server's software; validated but unused.
     version: _ReadableText
     slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
     warmup_left_ms: Annotated[float, msgspec.Meta(ge=0.0, le=_MAX_WARM_UP_MS)]
-    # Rises with each write of one incarnation; nothing depends on it.
+    # Rises with each write of one incarnation; validated but unused.
     seq: _Count
     # When this incarnation started; entries written by older software lack it.
     born: _Count = 0
 
 
 def configuration_from(spec: bytes, cache: RouteCache) -> Configuration:
-    """Decode a configuration; ``cache`` holds the routes of the one before.
+    """Decode a configuration; ``cache`` holds the routes of the previous one.
 
     Raises
     ------
     msgspec.DecodeError, ValueError
-        If it is none.
+        If it is invalid.
     """
     raw = msgspec.json.decode(spec, type=_Configuration)
     return Configuration(
@@ -181,7 +181,7 @@
     Raises
     ------
     msgspec.DecodeError
-        If it is none.
+        If it is invalid.
     """
     raw = msgspec.json.decode(spec, type=_Server)
     return ServerEntry(
--- a/ibisfront/platform/headers.py
+++ b/ibisfront/platform/headers.py
@@ -89,7 +89,7 @@
 
 def _decode_reply(raw: RawMessage) -> BackendReply:
     reply = BackendReply(raw.status, [], raw.body, closes=not raw.keeps_open)
-    # Another server has the address: it says so by the status alone.
+    # Another server has the address; the status alone indicates that.
     reply.is_other_server = reply.not_run = raw.status == _MISDIRECTED
     for name, value in raw.headers:
         lower = name.lower()
@@ -124,7 +124,7 @@
 
 
 def _read_load(reply: BackendReply, value: bytes) -> None:
-    # Running, waiting, slots, and at times how long work takes, in percent.
+    # Running, waiting, slots, and optionally the work factor in percent.
     reply.load = parse_reported_load(value.split(b","))
     reply.has_unreadable_load = reply.load is None
 
@@ -141,8 +141,8 @@
 
 
 def _gathered_headers(signatures: Sequence[bytes], missing: int) -> list[Header]:
-    # The wire calls a part's signature a stamp and a service of the index a
-    # shard; the second header counts the services left out.
+    # On the wire, a part's signature is a stamp and a service of the index a
+    # shard; the second header counts the missing services.
     headers = [(b"X-Shard-Stamps", b", ".join(signatures))]
     if missing:
         headers.append((b"X-Shards-Missing", b"%d" % missing))
--- a/ibisfront/platform/settings.py
+++ b/ibisfront/platform/settings.py
@@ -18,13 +18,13 @@
 """The environment variable that holds the path of the settings file."""
 
 _METRICS_PORT = 9464
-"""Where metrics are served; the deploy file names the same port."""
+"""Port that serves metrics; the deploy file names the same one."""
 
 _MILLISECONDS_PER_SECOND = 1000.0
 
 
 class _Listen(msgspec.Struct, rename="camel"):
-    """Addresses by what is served there; each may be missing."""
+    """Addresses by what they serve; each may be missing."""
 
     front: str = ""
     ready: str = ""
@@ -34,39 +34,39 @@
 class _Limits(msgspec.Struct, rename="camel"):
     """What one process may use."""
 
-    # A share of one core, which runs ``cpus`` times as fast.
+    # Share of one core, which is ``cpus`` times as fast.
     cpu_share: float = 1.0
     cpus: float = 1.0
 
 
 class _Bounds(msgspec.Struct, rename="camel"):
-    """The bounds used here; the file holds more."""
+    """The bounds in use; the file holds more."""
 
     grace_s: float
     contact_ms: float
     config_apply_ms: float
-    # How long a leaving server may still be sent requests, not how long it
-    # takes to leave.
+    # How long requests may still be sent to a draining server, not how long it
+    # takes to drain.
     drain_ms: float
     retry_ratio: float
     retry_window_s: float
-    # Extra sub-requests that are free in a window, not a count of retries.
+    # Extra attempts that are always allowed in a window, not a count of retries.
     retry_allowance: float
     # Missing where zones are never evacuated.
     evacuate_ms: float | None = None
-    # Of the requests to a server that is cold, not of the length of its warm-up.
+    # Of the requests to a cold server, not of the length of its warm-up.
     warmup_excess: float = 1.0
     warmup_slack: float = 0.0
 
 
 class _Store(msgspec.Struct):
-    """Where the platform's store is."""
+    """Address of the platform's store."""
 
     addr: str
 
 
 class _SettingsFile(msgspec.Struct, rename="camel"):
-    """The file, as far as it is used."""
+    """The part of the file that is used."""
 
     node_name: str
     zone: str
@@ -74,7 +74,7 @@
     listen: _Listen
     limits: _Limits
     bounds: _Bounds
-    # The table of the platform's store, not of the whole platform.
+    # Section of the platform's store, not of the whole platform.
     platform: _Store
     seeds: tuple[str, ...] = ()
     # Each zone and its region.
@@ -84,7 +84,7 @@
 
 
 def settings_path(environment: Mapping[str, str] = os.environ) -> Path:
-    """Return where the settings file is.
+    """Return the path of the settings file.
 
     Raises
     ------
@@ -107,13 +107,13 @@
     Raises
     ------
     IbisfrontError
-        ``bad_settings`` if it cannot be read, or lacks what is needed.
+        ``bad_settings`` if it cannot be read or lacks a required setting.
     """
     try:
         file = msgspec.convert(tomllib.loads(path.read_text()), _SettingsFile)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise IbisfrontError(
-            ErrorKind.BAD_SETTINGS, f"{path}: {error}: mend the settings file"
+            ErrorKind.BAD_SETTINGS, f"{path}: {error}: correct the settings file"
         ) from error
     bounds = file.bounds
     return GatewaySettings(
--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -43,45 +43,45 @@
 """The kind in which backend servers register."""
 
 EVACUATIONS_KIND = "evacuations"
-"""The kind in which an object stands for each zone that is evacuated."""
+"""The kind that holds an object for each evacuated zone."""
 
 _INSTANCES_KIND = "ibisfront-instances"
-"""A kind of our own: an object for each instance, under its name."""
+"""This tier's own kind: an object for each instance, under its name."""
 
 _CALL_TIMEOUT_MS = 1_200.0
-"""How long an answer may take: the store answers in milliseconds, and in a
-quarter of a second when it is slow."""
+"""How long an answer may take: the store answers in milliseconds, or in 0.25 s
+when it is slow."""
 
 _WATCH_SLACK_MS = 600.0
-"""What the answer to a watch may take beyond the wait that it was given."""
+"""How long the answer to a watch may take beyond the requested wait."""
 
 _MAXIMUM_BODY_BYTES = 8 * 1024 * 1024
-"""A larger answer is an error: a list comes in pages of a megabyte."""
+"""A larger answer is an error: lists are paged by the megabyte."""
 
 _OK = 200
 _MULTIPLE_CHOICES = 300
 _CONFLICT = 409
 _GONE = 410
 
-_Decoded = TypeVar("_Decoded")
+_T = TypeVar("_T")
 
 
 class _Meta(msgspec.Struct, rename="camel"):
-    """What the store says of an object."""
+    """An object's metadata in the store."""
 
     name: str
     rev: int = 0
 
 
 class _Object(msgspec.Struct):
-    """One object; ``spec`` is its writer's."""
+    """One object; ``spec`` is the writer's content."""
 
     meta: _Meta
     spec: msgspec.Raw = msgspec.Raw(b"null")
 
 
 class _Page(msgspec.Struct, rename="camel"):
-    """A part of a list; ``more`` says that another follows."""
+    """A page of a list; ``more`` is set if another follows."""
 
     items: list[_Object]
     # The revision of the whole store, not of one of the items.
@@ -90,34 +90,34 @@
 
 
 class _Event(msgspec.Struct):
-    """A change; the object is as it was last if it is ``deleted``."""
+    """A change; a ``deleted`` object is in its last state."""
 
     object: _Object
     deleted: bool = False
 
 
 class _Events(msgspec.Struct, rename="camel"):
-    """What a watch returns."""
+    """Response to a watch."""
 
     events: list[_Event]
     current_rev: int
 
 
 class _WrittenMeta(msgspec.Struct):
-    """The name alone: a revision would make the write a conditional one."""
+    """The name alone; a revision would make the write conditional."""
 
     name: str
 
 
 class _WrittenObject(msgspec.Struct):
-    """An object as it is written."""
+    """An object to be written."""
 
     meta: _WrittenMeta
     spec: InstanceEntry
 
 
 class _KindCalls:
-    """Calls of the store about one kind, on one connection."""
+    """Calls of the store for one kind, on one connection."""
 
     __slots__ = ("_client", "_kind")
 
@@ -162,8 +162,8 @@
                 await self.get(f"?{query}" if query else ""), _Page
             )
             objects += [_stored_object(item) for item in page.items]
-            # Changes between two pages are seen again by the watch only if it
-            # begins at the first page's revision.
+            # The watch returns changes made between two pages only if it starts
+            # at the first page's revision.
             revision = page.current_rev if revision is None else revision
             if not page.more or not page.items:
                 return Listing(objects, revision)
@@ -186,18 +186,18 @@
         self._calls = _KindCalls(address, _INSTANCES_KIND)
 
     async def register(self, entry: InstanceEntry) -> None:
-        """Write an instance's entry, over one from before a restart."""
+        """Write an instance's entry, replacing one from before a restart."""
         body = msgspec.json.encode(_WrittenObject(_WrittenMeta(entry.name), entry))
         message = await self._calls.call("POST", "", body)
         if message.status == _CONFLICT:
-            # There from before a restart; the address may be another now.
+            # Exists from before a restart; the address may have changed.
             name = quote(entry.name, safe="")
             message = await self._calls.call("PUT", f"/{name}", body)
         if not _OK <= message.status < _MULTIPLE_CHOICES:
             raise _refusal(_INSTANCES_KIND, message)
 
     async def instances(self) -> Sequence[InstanceEntry]:
-        """Return all entries; they may be some seconds old."""
+        """Return all entries; they may be a few seconds old."""
         listing = await self._calls.list_all("allowStale=1")
         return [_decode(item.spec, InstanceEntry) for item in listing.objects]
 
@@ -231,17 +231,17 @@
         Raises
         ------
         StoreError
-            If the store does not answer, or refuses.
+            If the store does not answer or rejects the request.
         """
         return await self._calls.list_all()
 
     async def watch(self, revision: int) -> Changes:
-        """Return the changes since a revision, waiting a while for one.
+        """Return the changes since a revision, waiting for one if there is none.
 
         Raises
         ------
         StoreError
-            ``history_gone`` if the revision is too old; else as a list.
+            ``history_gone`` if the revision is too old; otherwise as ``list_all``.
         """
         raw = await self._calls.get(
             f"?watch={revision}&waitMs={self._watch_wait_ms}",
@@ -266,23 +266,23 @@
     return StoreError(error, f"{kind}: status {message.status}")
 
 
-def _decode(raw: bytes, kind: type[_Decoded]) -> _Decoded:
+def _decode(raw: bytes, kind: type[_T]) -> _T:
     try:
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
         raise StoreError(StoreErrorKind.BAD_ANSWER, str(error)) from error
 
 
-def _decode_leniently(raw: bytes, kind: type[_Decoded]) -> _Decoded:
-    """Decode an answer that holds what others have written.
+def _decode_leniently(raw: bytes, kind: type[_T]) -> _T:
+    """Decode an answer with content of other writers.
 
-    One object with content that is no proper JSON makes the whole answer none:
-    no server would be known any more. Read leniently, that object alone is odd.
+    One object that is not valid JSON invalidates the whole answer, and with it
+    the list of all servers. Lenient decoding limits the damage to that object.
     """
     try:
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
-        _LOG.warning("An answer of the store is no proper JSON: %s.", error)
+        _LOG.warning("An answer of the store is not valid JSON: %s.", error)
     return _decode(made_proper(raw), kind)
 
 
