--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -76,7 +76,7 @@
             settings.callers_address,
             process.gateway.answer,
             limits,
-            sock=start.callers,
+            sock=start.callers_socket,
         )
         if settings.metrics_address is not None:
             listen(settings.metrics_address, process.answer_metrics, limits)
@@ -91,7 +91,7 @@
         nursery.start_soon(handler.run)
         nursery.start_soon(collect_garbage, clock)
         nursery.start_soon(_watch_settings, process, path, clock)
-        fields = {"zone": settings.zone, "early": start.callers is not None}
+        fields = {"zone": settings.zone, "early": start.callers_socket is not None}
         _LOG.info("%s starts.", settings.instance, extra=fields)
         await _wait_for_stop(process, path)
         await stop_gracefully(process, callers, clock=clock)
--- a/ibisfront/front/early_start.py
+++ b/ibisfront/front/early_start.py
@@ -39,13 +39,13 @@
         The settings file.
     settings : GatewaySettings
         Its content.
-    callers : socket.socket or None
+    callers_socket : socket.socket or None
         Already listens for callers, if no other instance accepts connections.
     """
 
     path: Path
     settings: GatewaySettings
-    callers: socket.socket | None
+    callers_socket: socket.socket | None
 
 
 def start_early() -> EarlyStart:
@@ -61,10 +61,10 @@
         sys.stderr.write(f"ibisfront: {error.detail}\n")
         raise SystemExit(_EXIT_BAD_SETTINGS) from error
     others = [seed for seed in settings.seeds if seed != settings.peers_address]
-    callers = None
+    callers_socket = None
     if not is_any_listening(others):
-        callers = listening_socket(settings.callers_address)
-    return EarlyStart(path, settings, callers)
+        callers_socket = listening_socket(settings.callers_address)
+    return EarlyStart(path, settings, callers_socket)
 
 
 def is_any_listening(addresses: list[Address]) -> bool:
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -184,7 +184,7 @@
             watch=partial(watch_store, self, clock=clock),
             take=self.apply_state,
             on_cut_off=self._record_partition,
-            on_lost=self._record_peer_lost,
+            on_lost=self._record_peer_unreachable,
             known_version=lambda: self._version if self.gateway.is_informed else 0,
             seeds=settings.seeds,
             clock=clock,
@@ -259,9 +259,9 @@
 
     async def answer_peer(self, request: InboundRequest) -> CallerReply:
         """Answer another instance."""
-        asked = parse_state_request(request)
-        if asked is not None:
-            state = await self.source.answer(asked)
+        state_request = parse_state_request(request)
+        if state_request is not None:
+            state = await self.source.answer(state_request)
             counters = self.observer.counters
             counters.add(CounterKind.PEER_BYTES, "state_sent", len(state))
             return CallerReply(200, [], state, "state")
@@ -311,7 +311,7 @@
         if is_cut_off or name in self.coordinators.of_zone(self.own.zone):
             self.gateway.record_cut_off(is_cut_off)
 
-    def _record_peer_lost(self, name: str) -> None:
+    def _record_peer_unreachable(self, name: str) -> None:
         """Record that another instance no longer answers."""
         for peer in self.peers.servers():
             if peer.entry.server_id == name:
@@ -448,7 +448,7 @@
     def _gauges(self) -> list[Gauge]:
         servers = list(self.registry.servers())
         now_ms = self._clock.now_ms()
-        lost = sum(not server.is_reachable(now_ms) for server in servers)
+        unreachable = sum(not server.is_reachable(now_ms) for server in servers)
         return [
             Gauge(
                 "ready", "Whether the balancer may send callers here.", self.is_ready
@@ -460,6 +460,6 @@
                 "Zones whose servers get nothing.",
                 len(self.registry.evacuated or ()),
             ),
-            Gauge("servers_out_of_reach", "Of these, silent or refusing.", lost),
+            Gauge("servers_out_of_reach", "Of these, silent or refusing.", unreachable),
             Gauge("instances", "Instances listed.", self.budgets.instances),
         ]
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -29,13 +29,13 @@
 
 FAST_LINK_BYTES_PER_S = 70e6 / 8
 SLOW_LINK_BYTES_PER_S = 7e6 / 8
-"""Links of 70 and 7 Mbit/s, in bytes a second."""
+"""Links of 70 and 7 Mbit/s."""
 
 FAST_INSTANCES = 2
 SERVERS = 675
 CALL_TIMEOUT_S = 1.2
 WATCH_SLACK_S = 0.6
-"""How long the store's client waits for a whole answer."""
+"""How long the store's client waits for a complete answer."""
 
 BOUNDS = Bounds(contact_ms=5000.0, change_ms=5000.0, evacuation_ms=5000.0)
 
@@ -72,7 +72,7 @@
         return 0 if table is None else table.configuration.version
 
     async def remove_stale_servers(self):
-        """Drop stale servers as the upkeep does; it would connect to others too."""
+        """Remove stale servers as ``run_maintenance`` does, without its probes."""
         while True:
             await self.zone.clock.sleep_ms(100.0)
             if self.process.registry.remove_stale():
@@ -94,7 +94,7 @@
 
 
 class FakeStateClient:
-    """Asks another instance; the time allowed is for the whole answer."""
+    """Requests state from another instance; the timeout is for the whole answer."""
 
     def __init__(self, asker, address):
         self.asker = asker
@@ -110,14 +110,14 @@
             self.asker.received_bytes += len(data)
             await transfer(len(data), self.asked.link, self.asker.link)
             return data
-        raise TimeoutError("not whole in time")
+        raise TimeoutError("incomplete answer")
 
     def close(self):
         pass
 
 
 class FakeKindClient:
-    """One kind in the store; the time allowed is for the whole answer."""
+    """One kind in the store; the timeout is for the whole answer."""
 
     def __init__(self, front, kind):
         self.front = front
@@ -149,7 +149,7 @@
                 await trio.sleep_forever()
             await transfer(size, self.front.link)
             return
-        raise StoreError(StoreErrorKind.UNREACHABLE, "not whole in time")
+        raise StoreError(StoreErrorKind.UNREACHABLE, "incomplete answer")
 
     def close(self):
         pass
@@ -169,12 +169,12 @@
 
 
 def two_zones_spec(number):
-    """Return a server's entry; every other one stands in another zone."""
+    """Return a server's entry; zones alternate."""
     return _server_spec(number, f"z{number % 2}")
 
 
 class FrontZone:
-    """Twenty front processes, two of them on strong machines, and the store."""
+    """Front processes, two of them on fast links, and the store."""
 
     def __init__(self, nursery, instances=20, *, servers=SERVERS, spec=_server_spec):
         self.clock = Clock()
@@ -193,7 +193,7 @@
         return self.fronts[int(address.removeprefix("i"))]
 
     def objects(self, kind):
-        """Return the objects of a kind, and the revision."""
+        """Return the objects of a kind, and its revision."""
         revision = self.revisions[kind]
         if kind == "servers":
             return self._servers, revision
@@ -202,7 +202,7 @@
         return [StoredObject("main", revision, self.spec)], revision
 
     def changes(self, kind, revision):
-        """Return what has changed since a revision, and the revision now."""
+        """Return the changes since a revision, and the current revision."""
         now = self.revisions[kind]
         if kind == "servers":
             removed = [item for item in self._removed if item.revision > revision]
@@ -222,12 +222,12 @@
         return gone.name
 
     def evacuate(self, zone):
-        """Have nothing more sent to a zone's servers."""
+        """Evacuate a zone."""
         self.evacuated.append(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), False))
 
     def end_evacuation(self, zone):
-        """Have a zone's servers used again."""
+        """End the evacuation of a zone."""
         self.evacuated.remove(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), True))
 
@@ -237,7 +237,7 @@
         self._notify_watchers()
 
     def instances_using(self, server_id):
-        """Return the numbers of the instances that would ask a server."""
+        """Return the numbers of the instances that would use a server."""
         return [
             number
             for number, front in enumerate(self.fronts)
@@ -266,7 +266,7 @@
         self.changed = trio.Event()
 
     async def in_force_after_s(self, *, at_most_s):
-        """Wait until all hold the newest version; return how long that took."""
+        """Wait until all have the newest version; return the time that took."""
         started_s = trio.current_time()
         while any(item.version != self.version for item in self.fronts):
             await trio.sleep(0.01)
@@ -275,7 +275,7 @@
         return trio.current_time() - started_s
 
     def pop_received_bytes(self):
-        """Return what each instance was sent by others since the last time."""
+        """Return and reset the bytes that each instance received from others."""
         sizes = [front.received_bytes for front in self.fronts]
         for front in self.fronts:
             front.received_bytes = 0
--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -1,4 +1,4 @@
-"""Tests of how many connections an instance keeps, in mock time."""
+"""Tests of the number of connections that an instance keeps, in mock time."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 _MAX_CONNECTIONS = 120
 
 
-class KeptConnectionsTest(unittest.TestCase):
+class IdleConnectionsTest(unittest.TestCase):
     """A server that accepts fewer connections than there are instances."""
 
     async def pool_sizes_after_one_request_each(self):
-        """Return how many connections are open, after all have sent a request."""
+        """Return each pool's size after every instance has sent one request."""
         clock = Clock()
         route = gather_route(1)
         services = {"part-0": RoutedService("part-0", _MAX_CONNECTIONS)}
@@ -73,12 +73,12 @@
         return sizes
 
     @trio_test
-    async def test_instances_that_do_not_gather_keep_none(self):
-        """Answers of all zones lack a part, again and again.
+    async def test_only_coordinators_keep_idle_connections(self):
+        """Guards against answers of all zones with a missing part.
 
-        Each of 195 instances once forwarded a request to a server that accepts 120
-        connections, and kept its connection. Those of the instances that gather
-        are reset as soon as they are opened.
+        If each of 195 instances keeps the connection of one forwarded request to a
+        server that accepts 120 connections, those of the coordinators are reset as
+        soon as they are opened.
         """
         sizes = await self.pool_sizes_after_one_request_each()
         self.assertLess(sum(size for _, size in sizes), _MAX_CONNECTIONS)
--- a/ibisfront/tests/test_front_evacuations.py
+++ b/ibisfront/tests/test_front_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of zones whose servers must get nothing, in mock time."""
+"""Tests of evacuated zones, whose servers must receive no requests, in mock time."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def _zones_in_use(front):
-    """Return the zones in which an instance would ask servers."""
+    """Return the zones whose servers an instance would use."""
     servers = front.process.registry.servers()
     return {server.entry.zone for server in servers if server.is_usable}
 
 
 async def _until(condition, *, at_most_s):
-    """Wait until a condition holds; return how long that took."""
+    """Wait until a condition holds; return the time that took."""
     started_s = trio.current_time()
     for _ in range(int(at_most_s / _POLL_INTERVAL_S)):
         if condition():
@@ -38,7 +38,7 @@
 
 
 class EvacuationTest(unittest.TestCase):
-    """An evacuated zone, at a few instances and at hundreds."""
+    """Evacuation of a zone, with a few and with hundreds of instances."""
 
     async def _check_evacuation(self, instances):
         async with trio.open_nursery() as nursery:
@@ -64,18 +64,18 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_three_instances_heed_an_evacuation(self):
-        """Guards against requests to servers of a zone that is being emptied."""
+    async def test_evacuation_with_three_instances(self):
+        """Guards against requests to servers of an evacuated zone."""
         await self._check_evacuation(3)
 
     @trio_test
-    async def test_two_hundred_instances_heed_an_evacuation(self):
-        """Guards against an evacuation that followers hear of too late."""
+    async def test_evacuation_with_two_hundred_instances(self):
+        """Guards against an evacuation that reaches subscribers too late."""
         await self._check_evacuation(200)
 
     @trio_test
-    async def test_evacuation_outlasts_an_outage_of_the_store(self):
-        """Guards against use of an evacuated zone while the store is away."""
+    async def test_evacuation_persists_during_a_store_outage(self):
+        """Guards against use of an evacuated zone while the store is unavailable."""
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             zone.start(nursery)
@@ -93,8 +93,8 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_started_instance_serves_nobody_before_it_knows(self):
-        """Guards against a restarted instance that asks an evacuated zone."""
+    async def test_started_instance_rejects_requests_until_evacuations_are_loaded(self):
+        """Guards against a restarted instance that uses an evacuated zone."""
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             process = zone.fronts[0].process
@@ -112,8 +112,8 @@
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_zone_that_is_not_known_is_left_aside(self):
-        """Guards against a misspelt zone that hides those spelt right."""
+    async def test_unknown_zone_is_ignored(self):
+        """Guards against a misspelt zone that prevents evacuation of valid ones."""
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             zone.start(nursery)
--- a/ibisfront/tests/test_front_garbage_collection.py
+++ b/ibisfront/tests/test_front_garbage_collection.py
@@ -1,4 +1,4 @@
-"""Tests of collecting reference cycles, in mock time."""
+"""Tests of garbage collection at intervals, in mock time."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class CollectTest(unittest.TestCase):
-    """What is left of requests."""
+    """Collection of cycles that requests leave."""
 
     @trio_test
-    async def test_cycles_are_collected_beside_the_requests(self):
+    async def test_cycles_are_collected_at_intervals(self):
         """Guards against memory that grows with each request."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(collect_garbage, Clock())
@@ -32,7 +32,9 @@
             self.assertFalse(gc.isenabled())
             first_cycle = weakref.ref(Cycle())
             await trio.sleep(1.0)
-            self.assertIsNotNone(first_cycle(), "few objects are left alone")
+            self.assertIsNotNone(
+                first_cycle(), "collected although few objects are live"
+            )
             live_objects = [Cycle() for _ in range(5_000)]
             await trio.sleep(1.0)
             self.assertIsNone(first_cycle())
--- a/ibisfront/tests/test_front_large_configuration.py
+++ b/ibisfront/tests/test_front_large_configuration.py
@@ -11,16 +11,16 @@
 from ibisfront.tests.front_zone import FrontZone
 
 MAX_PROPAGATION_S = 4.0
-"""How soon a change is in force everywhere: the aim at the full size."""
+"""Objective for the time until a change of a full-size configuration is in force."""
 
 MAX_CONTROL_BYTES_PER_S = 15_000
-"""What an instance may receive for control in a second: the aim."""
+"""Objective for the control traffic that an instance receives in a second."""
 
 ROUTES = 1400
 
 
 def in_front_zone(test):
-    """Run a test with a zone that has settled, and end what it started."""
+    """Run a test with a zone in a steady state, and cancel its tasks afterwards."""
 
     @functools.wraps(test)
     async def run(self):
@@ -38,14 +38,12 @@
 class LargeConfigurationTest(unittest.TestCase):
     """The configuration grows by 1,400 routes, three times.
 
-    A caller got 404 for a route that an acknowledged version had added 6.5 s
-    before. Each change was sent whole to the eighteen and more instances that
-    ask one for the store's state, 266 bytes a route: over a megabyte each. They
-    gave the answer up after 1.5 s ("front-2 does not pass on the state: no reply
-    within 1500 ms", in all of them) while that one's link was full, at 7.1 to
-    9.1 MB a second. They threw away what had come and asked the next one, and the
-    store, again for all of it. One with a weak link received 700 to 900 KB a
-    second for nine seconds, and no answer was whole in time.
+    Guards against a 404 for a route that an acknowledged version added 6.5 s
+    before. If each change sends the whole configuration, 266 bytes a route, to
+    18 or more subscribers of one source, its link is saturated at 7.1 to 9.1 MB/s.
+    Subscribers time out after 1.5 s, discard the partial answer and request all of
+    it from the next source or the store. On a slow link, at 700 to 900 KB/s, no
+    answer is complete in time for nine seconds.
     """
 
     @in_front_zone
@@ -59,11 +57,11 @@
         self.assertLess(max(took_s), MAX_PROPAGATION_S, took_s)
 
     @in_front_zone
-    async def test_one_route_more_sends_little(self, zone):
-        """Every third answer is late for two seconds when one route is added.
+    async def test_single_added_route_sends_little(self, zone):
+        """Guards against late answers when one route is added.
 
-        The whole configuration went to each follower, and the answers to
-        callers waited behind it on the links.
+        If the whole configuration is sent to each subscriber, answers to callers
+        queue behind it on the links: every third is late for two seconds.
         """
         zone.add_routes(3 * ROUTES)
         await zone.in_force_after_s(at_most_s=30.0)
--- a/ibisfront/tests/test_front_readiness.py
+++ b/ibisfront/tests/test_front_readiness.py
@@ -1,4 +1,4 @@
-"""Tests of what the balancer is told, in mock time."""
+"""Tests of the readiness reported to the balancer, in mock time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def non_coordinator_process(nursery):
-    """Return the last instance of a zone of 30, and who may be followed."""
+    """Return the last of a zone's 30 instances, and the names of state sources."""
     listed = [
         InstanceEntry(f"i{number}", "z0", f"10.0.0.{number}:1", 100.0 - number)
         for number in range(30)
@@ -51,19 +51,19 @@
 
 
 class ReadinessTest(unittest.TestCase):
-    """An instance of a zone that is cut off."""
+    """An instance of a partitioned zone."""
 
     def apply_reported_partition(self, process, name, *, is_cut_off):
         state = RelayedState(1, False, is_cut_off=is_cut_off)
         process.state_sync._heed(name, state, is_near=True)
 
     @trio_test
-    async def test_instance_that_asks_no_servers_does_not_end_a_cut(self):
-        """Callers of a zone that is cut off go on to be sent to it for its length.
+    async def test_report_of_a_non_coordinator_does_not_end_a_partition(self):
+        """Guards against sending callers to a zone throughout its partition.
 
-        Its coordinators say that it is cut off. A third instance, which may be followed
-        too and gathers nothing, says that it is not; whoever asks it is ready again,
-        and the balancer uses a zone as long as one of its instances is.
+        Its coordinators report the partition. A third state source, which coordinates
+        nothing, reports none. If its report counts, its subscribers are ready again,
+        and the balancer uses a zone as long as one of its instances is ready.
         """
         async with trio.open_nursery() as nursery:
             process, sources = non_coordinator_process(nursery)
@@ -75,7 +75,7 @@
                 self.apply_reported_partition(process, sources[1], is_cut_off=True)
                 self.apply_reported_partition(process, sources[2], is_cut_off=False)
                 self.assertFalse(process.report_readiness())
-                # Until the next look in an outage.
+                # Until the next poll during an outage.
                 await trio.sleep(2.0)
                 self.assertFalse(process.report_readiness())
             self.apply_reported_partition(process, sources[0], is_cut_off=False)
--- a/ibisfront/tests/test_front_removed_servers.py
+++ b/ibisfront/tests/test_front_removed_servers.py
@@ -1,4 +1,4 @@
-"""Tests of removed servers while instances are cut off, in mock time."""
+"""Tests of removed servers while instances are partitioned, in mock time."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 _PARTITION_S = 10.0
 _REMOVED_BEFORE_END_S = 2.6
-"""How long before the end of the cut the entry is removed."""
+"""How long before the end of the partition the entry is removed."""
 
 
 class RemovedServerTest(unittest.TestCase):
-    """Removed servers that an instance which was cut off still holds."""
+    """Removed servers that a previously partitioned instance still lists."""
 
     @trio_test
-    async def test_source_that_was_cut_off_brings_back_no_removed_server(self):
-        """A server that is leaving gets new requests seconds after its time.
-
-        The instance that a zone follows is cut off from the store and from the
-        others. Meanwhile a server's entry is removed, and all others heed it. The
-        instance is back, keeps the missing server in case its entry has only
-        lapsed, and the others follow it again: they take the server back from it,
-        and use it until it lapses there.
+    async def test_recovered_source_does_not_restore_a_removed_server(self):
+        """Guards against requests to a removed server seconds after its removal.
+
+        A zone's state source is partitioned from the store and from the others. A
+        server's entry is removed meanwhile, and all others apply that. The source
+        recovers, keeps the missing server in case its entry is only stale, and the
+        others subscribe to it again. They must not restore the server from its
+        state and use it until it expires there.
         """
         async with trio.open_nursery() as nursery:
             zone = FrontZone(nursery)
@@ -44,7 +44,9 @@
                 await trio.sleep(0.1)
                 late_users = set(zone.instances_using(name)) - {number}
                 self.assertEqual(
-                    late_users, set(), "taken back from the one that was cut"
+                    late_users,
+                    set(),
+                    "restored from the state of the partitioned source",
                 )
             self.assertEqual(zone.instances_using(name), [])
             self.assertTrue(state_source.process.state_sync.is_fresh)
--- a/ibisfront/tests/test_front_start.py
+++ b/ibisfront/tests/test_front_start.py
@@ -1,4 +1,4 @@
-"""Tests of what a front process does before its longer imports."""
+"""Tests of a front process before its slow imports and its first state."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
 
 
 class EarlyListeningTest(unittest.TestCase):
-    """Whether callers are kept while the process starts.
+    """Whether callers' connections are held while the process starts.
 
-    After a loss of power of all machines callers make their last try when the
-    machines are up and nothing listens yet: refused there, they fail. After the
+    After a power loss of all machines, callers make their last attempt when the
+    machines are up and no process listens yet, and fail if refused. After the
     loss of one machine a refused connection is better, as the next one reaches
     an instance that serves.
     """
 
-    def test_nobody_is_up_if_all_refuse(self):
+    def test_no_address_listens_if_all_refuse(self):
         self.assertFalse(is_any_listening([free_address(), free_address()]))
         self.assertFalse(is_any_listening([]))
 
-    def test_one_that_listens_is_up(self):
+    def test_listening_address_is_detected(self):
         address = free_address()
         with listening_socket(address):
             self.assertTrue(is_any_listening([free_address(), address]))
 
-    def test_silence_is_not_waited_for(self):
-        """A machine without power answers nothing; the start goes on.
+    def test_unresponsive_address_does_not_delay_the_start(self):
+        """A machine without power does not answer; the start must continue.
 
-        A full queue of new connections drops the first packet of the next.
+        It is simulated by a full backlog, which drops the next SYN packet.
         """
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
@@ -60,12 +60,12 @@
 
 
 class EarlyRequestTest(unittest.TestCase):
-    """Requests that come before what they need is known."""
+    """Requests that arrive before the state that they need."""
 
     async def _reason_and_latency_s(
         self, *, configured_after_s, deadline_ms, sent_at_s=0.0
     ):
-        """Return the status of a request, and how long it took."""
+        """Return the reason of a request's answer, and its latency."""
         async with trio.open_nursery() as nursery:
             settings = GatewaySettings(
                 instance="i0",
@@ -96,8 +96,8 @@
         return reply.reason, took_s
 
     @trio_test
-    async def test_request_waits_a_moment_for_the_configuration(self):
-        """Guards against refusing all callers of a restart who come too early."""
+    async def test_request_waits_briefly_for_the_configuration(self):
+        """Guards against rejecting all early callers after a restart."""
         reason, took_s = await self._reason_and_latency_s(
             configured_after_s=0.04, deadline_ms=400.0
         )
@@ -105,8 +105,8 @@
         self.assertLess(took_s, 0.05)
 
     @trio_test
-    async def test_request_does_not_wait_for_a_store_that_is_away(self):
-        """Guards against holding callers for an outage."""
+    async def test_request_does_not_wait_for_an_unavailable_store(self):
+        """Guards against holding callers throughout an outage."""
         for sent_at_s, max_wait_s in ((0.0, 0.1), (1.0, 0.0)):
             reason, took_s = await self._reason_and_latency_s(
                 configured_after_s=9.0, deadline_ms=400.0, sent_at_s=sent_at_s
--- a/ibisfront/tests/test_http1_backend_connection.py
+++ b/ibisfront/tests/test_http1_backend_connection.py
@@ -19,7 +19,7 @@
 
 
 class Backend:
-    """A server that writes set bytes for each request, then may close."""
+    """A server that writes fixed bytes for each request and may then close."""
 
     def __init__(self, *replies, closes=False):
         self.replies = list(replies)
@@ -40,7 +40,7 @@
 
 
 async def exchange_with(backend, count=1, method=b"GET"):
-    """Send exchanges one after the other on one connection; return them."""
+    """Send exchanges sequentially on one connection; return them."""
     ended = []
     async with trio.open_nursery() as nursery:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -79,10 +79,10 @@
 
 
 class BackendConnectionTest(unittest.TestCase):
-    """Whole replies only, each to its own request."""
+    """Only complete replies are delivered, each to its own request."""
 
     @trio_test_real_clock
-    async def test_kept_connection_carries_one_reply_after_the_other(self):
+    async def test_persistent_connection_carries_sequential_replies(self):
         first = OK + b"Content-Length: 2\r\n\r\nab"
         second = first.replace(b"r1", b"r2")
         ended, is_idle = await exchange_with(Backend(first, second), count=2)
@@ -90,11 +90,10 @@
         self.assertTrue(is_idle)
 
     @trio_test_real_clock
-    async def test_reply_cut_short_is_no_reply(self):
-        """A caller gets half of a photo as if it were whole.
+    async def test_truncated_reply_is_an_error(self):
+        """Guards against delivering a truncated body as if it were complete.
 
-        The server announces ten bytes, sends four and closes. What came must
-        not be taken for its answer.
+        The server announces ten bytes, sends four and closes.
         """
         for reply in (
             OK + b"Content-Length: 10\r\n\r\nabcd",
@@ -111,11 +110,11 @@
         self.assertFalse(is_idle)
 
     @trio_test_real_clock
-    async def test_second_reply_ends_the_connection(self):
-        """A breeder sees another's listing: a reply that was sent twice.
+    async def test_duplicate_reply_ends_the_connection(self):
+        """Guards against answering a request with another request's reply.
 
-        The second copy comes along with the first. The next request on the
-        connection would get it as its answer.
+        A duplicate arrives along with a reply. The next request on the connection
+        would get it as its answer.
         """
         reply = OK + b"Content-Length: 2\r\n\r\nab"
         ended, is_idle = await exchange_with(Backend(reply + reply))
@@ -123,7 +122,7 @@
         self.assertFalse(is_idle)
 
     @trio_test_real_clock
-    async def test_late_reply_to_an_earlier_request_is_passed_over(self):
+    async def test_late_reply_to_an_earlier_request_is_skipped(self):
         late = OK.replace(b"r1", b"r0") + b"Content-Length: 3\r\n\r\nold"
         own = OK + b"Content-Length: 3\r\n\r\nnew"
         ended, is_idle = await exchange_with(Backend(late + own))
@@ -131,11 +130,11 @@
         self.assertFalse(is_idle)
 
     @trio_test_real_clock
-    async def test_own_reply_is_waited_for_after_a_late_one(self):
-        """A printed envelope is reported as failed, and ordered once more.
+    async def test_outstanding_reply_is_read_after_a_late_one(self):
+        """Guards against reporting a completed request as failed, and a repeat of it.
 
-        A reply to an earlier request comes first, the own one a moment later.
-        The first must not end the connection while the own one is owed.
+        A late reply to an earlier request arrives first, the request's own a moment
+        later. The first must not end the connection before the second arrives.
         """
         late = OK.replace(b"r1", b"r0") + b"Content-Length: 3\r\n\r\nold"
         own = OK + b"Content-Length: 3\r\n\r\nnew"
@@ -145,10 +144,10 @@
         self.assertFalse(is_idle)
 
     @trio_test_real_clock
-    async def test_reply_without_a_body_to_head_is_whole(self):
-        """A caller that asks for the headers only waits until its time is up.
+    async def test_reply_to_head_is_complete_without_a_body(self):
+        """Guards against a HEAD request that waits until its deadline.
 
-        The reply tells the length of the body that it leaves out.
+        The reply states the length of the body that it omits.
         """
         reply = OK + b"Content-Length: 10\r\n\r\n"
         ended, is_idle = await exchange_with(Backend(reply), method=b"HEAD")
@@ -156,7 +155,7 @@
         self.assertFalse(is_idle)
 
     @trio_test_real_clock
-    async def test_bytes_that_are_no_reply_are_an_error(self):
+    async def test_malformed_reply_is_an_error(self):
         ended, _ = await exchange_with(Backend(b"\x00\x01nonsense\r\n\r\n"))
         self.assertIs(ended[0].error.kind, ExchangeErrorKind.BAD_REPLY)
         self.assertTrue(ended[0].error.may_have_run)
--- a/ibisfront/tests/test_http1_caller_listener.py
+++ b/ibisfront/tests/test_http1_caller_listener.py
@@ -26,7 +26,7 @@
 
 
 class ListenerFixture:
-    """A listener, and what it was asked."""
+    """A listener that records its requests."""
 
     def __init__(self):
         self.requests = []
@@ -54,14 +54,14 @@
 
 
 async def until(condition):
-    """Wait until something holds; polls, since sockets have no events here."""
+    """Poll until a condition holds, since no event signals a socket's state here."""
     while not condition():  # noqa: ASYNC110
         await trio.sleep(0.001)
 
 
 @asynccontextmanager
 async def served():
-    """Run a listener for the length of the block."""
+    """Run a listener for the duration of the block."""
     async with trio.open_nursery() as nursery:
         listener = ListenerFixture()
         nursery.start_soon(listener.listener.run)
@@ -70,7 +70,7 @@
 
 
 async def read_reply(stream):
-    """Return what comes until a whole reply with a length is there."""
+    """Return the bytes read up to the end of a reply with a length."""
     data = b""
     while True:
         more = await stream.receive_some(65536)
@@ -88,10 +88,10 @@
 
 
 class CallerListenerTest(unittest.TestCase):
-    """Requests are read whole, answered once, in order."""
+    """Requests are read completely and answered once, in order."""
 
     @trio_test_real_clock
-    async def test_kept_connection_answers_in_order(self):
+    async def test_persistent_connection_answers_in_order(self):
         async with served() as server:
             stream = await trio.open_tcp_stream(*server.address)
             await stream.send_all(REQUEST + REQUEST.replace(b"r1", b"r2"))
@@ -103,7 +103,7 @@
         self.assertEqual(names, ["r1", "r2"])
 
     @trio_test_real_clock
-    async def test_chunked_body_arrives_whole(self):
+    async def test_chunked_body_is_complete(self):
         async with served() as server:
             stream = await trio.open_tcp_stream(*server.address)
             head = b"POST /a HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -115,7 +115,7 @@
         self.assertEqual(server.requests[0].body, b"abcde")
 
     @trio_test_real_clock
-    async def test_caller_that_waits_to_send_its_body_is_told_to(self):
+    async def test_expect_continue_is_answered(self):
         async with served() as server:
             stream = await trio.open_tcp_stream(*server.address)
             head = b"POST /a HTTP/1.1\r\nHost: s\r\nContent-Length: 3\r\n"
@@ -129,11 +129,11 @@
         self.assertEqual(server.requests[0].body, b"abc")
 
     @trio_test_real_clock
-    async def test_two_lengths_are_refused(self):
-        """A second request hides in the body of the first.
+    async def test_two_body_lengths_are_rejected(self):
+        """Guards against request smuggling.
 
-        One length says that the body ends earlier than the other does; what
-        a backend server takes for a second request no caller has sent.
+        With two lengths, the body ends earlier by one than by the other. A backend
+        server may take the rest for a second request, which no caller has sent.
         """
         async with served() as server:
             for second in (b"Content-Length: 9", b"Transfer-Encoding: chunked"):
@@ -146,7 +146,7 @@
         self.assertEqual(server.requests, [])
 
     @trio_test_real_clock
-    async def test_limits_have_their_statuses(self):
+    async def test_exceeded_limits_have_distinct_statuses(self):
         cases = (
             (b"GET /a HTTP/1.1\r\nHost: s\r\nX: " + b"y" * 2000, b" 431 "),
             (b"POST /a HTTP/1.1\r\nContent-Length: 200\r\n\r\n" + b"y" * 200, b" 413 "),
@@ -162,7 +162,7 @@
                 await stream.aclose()
 
     @trio_test_real_clock
-    async def test_caller_that_leaves_cancels_its_request(self):
+    async def test_disconnect_cancels_the_request(self):
         async with served() as server:
             server.release = trio.Event()
             stream = await trio.open_tcp_stream(*server.address)
@@ -172,11 +172,11 @@
             await until(lambda: server.cancelled)
 
     @trio_test_real_clock
-    async def test_bad_bytes_after_a_request_do_not_cost_its_answer(self):
-        """A search that was passed on gets no answer.
+    async def test_malformed_bytes_after_a_request_do_not_prevent_its_answer(self):
+        """Guards against a forwarded request without an answer.
 
-        Its caller sends bytes that are no request behind it. The answer must
-        still come; the connection ends after it.
+        Its caller sends malformed bytes after it. The answer must still be sent
+        before the connection ends.
         """
         async with served() as server:
             server.release = trio.Event()
@@ -192,12 +192,12 @@
         self.assertEqual(server.cancelled, 0)
 
     @trio_test_real_clock
-    async def test_request_that_arrives_as_an_idle_connection_closes_is_served(self):
-        """A planned stop cuts a search that had just arrived.
+    async def test_request_arriving_while_an_idle_connection_closes_is_served(self):
+        """Guards against a planned stop that drops a request that just arrived.
 
-        The process closes its idle connections. A request reaches one of them
-        in the same moment: its bytes are there, but its task has not run yet.
-        It must be answered, not read, passed on and dropped.
+        The process closes its idle connections. A request reaches one of them at
+        the same moment: its bytes are readable, but its task has not run yet. It
+        must be answered, not read, forwarded and dropped.
         """
         async with served() as server:
             client = socket.create_connection(server.address)
--- a/ibisfront/tests/test_http1_client.py
+++ b/ibisfront/tests/test_http1_client.py
@@ -1,4 +1,4 @@
-"""Tests of calls of one HTTP server, over real sockets in mock time."""
+"""Tests of calls to one HTTP server, over real sockets in mock time."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def with_server(test):
-    """Run a test with a client and the connection that its server accepts.
+    """Run a test with a client and a server.
 
-    The clock stands still but for the jumps that the test makes, so that
-    nothing depends on how busy the machine is.
+    The clock advances only by the test's jumps, so that results do not depend
+    on the load of the machine.
     """
 
     @wraps(test)
@@ -32,7 +32,7 @@
 
 
 async def served(test, case, clock):
-    """Run a test while a server listens that accepts what it is told to."""
+    """Run a test while a server listens that accepts connections on demand."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -60,38 +60,38 @@
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 self.clock.jump(pause_s)
             await trio.testing.wait_all_tasks_blocked(0.01)
-            # Silent from now on, and not closed.
+            # Sends nothing more, without closing.
             self.clock.jump(60.0)
             await trio.sleep_forever()
 
 
 class SlowReplyTest(unittest.TestCase):
-    """Replies that take long."""
+    """Replies that take longer than the timeout."""
 
     @with_server
-    async def test_error_says_how_much_of_a_reply_came(self, client, server, nursery):
+    async def test_timeout_error_states_the_bytes_received(
+        self, client, server, nursery
+    ):
         nursery.start_soon(send_slowly, server, 2)
         with self.assertRaises(TimeoutError) as caught:
             await client.call("GET", "/", timeout_ms=1_000.0)
         self.assertIn("2000 bytes came", str(caught.exception))
 
     @with_server
-    async def test_reply_that_keeps_coming_is_read_to_its_end(
-        self, client, server, nursery
-    ):
-        """An instance never gets a new configuration, although all links are well.
+    async def test_slow_reply_is_read_completely(self, client, server, nursery):
+        """Guards against an instance that never gets a new configuration.
 
-        The time allowed was for the whole reply. A megabyte takes longer than
-        that on a link of 7 Mbit/s ("no whole reply within 1200 ms, 983040 bytes
-        came"); it was thrown away each time, and asked for from its beginning.
+        With a timeout of 1,200 ms for the whole reply, a megabyte on a link of
+        7 Mbit/s times out after 983,040 bytes, is discarded and requested again
+        from its beginning, although all links work.
         """
         nursery.start_soon(send_slowly, server, 4)
         reply = await client.call("GET", "/", timeout_ms=1_000.0)
         self.assertEqual(len(reply.body), 4000)
 
     @with_server
-    async def test_reply_that_never_ends_is_given_up(self, client, server, nursery):
-        """An instance follows a faulty source that sends a byte now and then."""
+    async def test_endless_reply_times_out(self, client, server, nursery):
+        """Guards against waiting for a faulty source that sends single bytes slowly."""
         nursery.start_soon(partial(server.send_pieces, HEAD, *[b"x"] * 60, pause_s=0.4))
         with self.assertRaises(TimeoutError):
             await client.call("GET", "/", timeout_ms=1_000.0)
@@ -99,5 +99,5 @@
 
 
 async def send_slowly(server, pieces):
-    """Send the head and some pieces, something each 0.4 s."""
+    """Send the head and some pieces, one of them every 0.4 s."""
     await server.send_pieces(HEAD, *[PIECE] * pieces, pause_s=0.4)
--- a/ibisfront/tests/test_platform_boundary.py
+++ b/ibisfront/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's wire names stay in their folder."""
+"""Tests that the platform's wire names occur only in its folder."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """What speaks to the users' platform is one small folder."""
+    """One small folder holds all code specific to the users' platform."""
 
-    def test_wire_names_stand_nowhere_else(self):
+    def test_wire_names_occur_only_in_the_platform_folder(self):
         for path in PACKAGE.rglob("*.py"):
             if path.relative_to(PACKAGE).parts[0] in EXEMPT_FOLDERS:
                 continue
--- a/ibisfront/tests/test_platform_documents.py
+++ b/ibisfront/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the entries in the platform's store, as anybody may have written them."""
+"""Tests of decoding entries in the platform's store, from arbitrary writers."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 
 
 class ServerEntryTest(unittest.TestCase):
-    """Entries of other writers name no server to use.
+    """Invalid entries of other writers are rejected.
 
-    All searches over a service fail while one odd entry is listed: it reads as
-    a server without an address, with a slot count of 2^70, or in a state that
-    nobody has heard of, and gets its share of the requests.
+    Guards against failure of all searches over a service while one such entry is
+    listed: a server without an address, with a slot count of 2^70, or in an
+    undefined state would get its share of the requests.
     """
 
-    def test_valid_entry_says_when_its_server_started(self):
+    def test_valid_entry_states_its_server_start_time(self):
         self.assertEqual(entry_of(born=1_790_000_000_123).born_ms, 1_790_000_000_123)
         self.assertEqual(entry_of().born_ms, 0)
 
-    def test_missing_field_is_refused(self):
+    def test_missing_field_is_rejected(self):
         for field in VALID:
             spec = {name: value for name, value in VALID.items() if name != field}
             with self.subTest(field), self.assertRaises(msgspec.DecodeError):
                 server_entry_from("i-1", json.dumps(spec).encode())
 
-    def test_field_of_another_type_is_refused(self):
+    def test_field_of_wrong_type_is_rejected(self):
         wrong = {
             "service": [7, None, "", ["s"]],
             "addr": [7, None, "", "nowhere", "10.0.0.1", "10.0.0.1:0", "::1", ":80"],
@@ -65,12 +65,12 @@
                 ):
                     entry_of(**{field: value})
 
-    def test_bytes_that_are_no_entry_are_refused(self):
+    def test_malformed_entry_is_rejected(self):
         for spec in (b"", b"null", b"[]", b"7", b'"x"', b"{", b"\xff\xfe", b"{}"):
             with self.subTest(spec), self.assertRaises(msgspec.DecodeError):
                 server_entry_from("i-1", spec)
 
-    def test_field_that_is_not_known_is_left_aside(self):
+    def test_unknown_field_is_ignored(self):
         self.assertEqual(entry_of(more={"a": 1}).service, "s")
 
 
@@ -82,7 +82,7 @@
 
 
 def configuration_of(version, *routes):
-    """Return the content of a version with these routes."""
+    """Return a configuration document with the given version and routes."""
     limits = ("maxHeaderBytes", "maxBodyBytes", "headerTimeoutMs", "idleTimeoutMs")
     document = {
         "version": version,
@@ -94,9 +94,9 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """One version is read after the other."""
+    """Successive versions are decoded with one cache."""
 
-    def test_routes_that_did_not_change_are_shared(self):
+    def test_unchanged_routes_are_shared(self):
         cache = RouteCache()
         before = configuration_from(
             configuration_of(1, route_of("a"), route_of("b")), cache
@@ -108,7 +108,7 @@
         self.assertIs(after.routes[2], before.routes[0])
         self.assertEqual(after.routes[1].timeout_ms, 2000.0)
 
-    def test_one_that_cannot_be_read_leaves_the_next(self):
+    def test_invalid_version_does_not_affect_the_next(self):
         cache = RouteCache()
         configuration_from(configuration_of(1, route_of("a")), cache)
         for invalid in (b"", b"{}", configuration_of(2, route_of("a", kind="odd"))):
--- a/ibisfront/tests/test_platform_headers.py
+++ b/ibisfront/tests/test_platform_headers.py
@@ -27,9 +27,9 @@
 
 
 class RequestTest(unittest.TestCase):
-    """What is passed on, and what is not."""
+    """Decoding and forwarding of requests."""
 
-    def test_request_goes_on_unchanged_but_for_its_connection(self):
+    def test_request_is_forwarded_without_connection_headers(self):
         request = request_of(
             b"Host: Search.Example:80",
             b"X-Request-Id: r1",
@@ -50,11 +50,11 @@
         self.assertNotIn(b"forged", sent)
         self.assertNotIn(b"X-Mine", sent)
 
-    def test_time_that_is_no_time_counts_as_none(self):
-        """A request hangs, since its deadline is not a number.
+    def test_invalid_deadline_is_ignored(self):
+        """Guards against a request that hangs, since its deadline is not a number.
 
-        Every comparison with such a time is false; neither the deadline nor
-        the moment to give up would ever come.
+        Every comparison with NaN is false, so that neither the deadline nor the
+        time to abandon the request would ever pass.
         """
         for value in (b"nan", b"inf", b"-5", b"soon", b""):
             with self.subTest(value=value):
@@ -63,9 +63,9 @@
 
 
 class ReplyTest(unittest.TestCase):
-    """What a reply of a server says."""
+    """Decoding of servers' replies."""
 
-    def test_refusals_have_not_run(self):
+    def test_rejected_requests_were_not_executed(self):
         shed = reply_of(503, b"X-Not-Executed: 1", b"Retry-After: 0.25")
         self.assertTrue(shed.not_run and not shed.is_other_server)
         self.assertEqual(shed.retry_after_ms, 250.0)
@@ -73,22 +73,22 @@
         self.assertTrue(other.not_run and other.is_other_server)
         self.assertFalse(reply_of(503).not_run)
 
-    def test_encoded_body_is_no_success(self):
+    def test_encoded_body_is_not_a_success(self):
         plain = reply_of(200, b"X-Backend-Stamp: s")
         encoded = reply_of(200, b"X-Backend-Stamp: s", b"Content-Encoding: gzip")
         self.assertTrue(plain.is_success)
         self.assertFalse(encoded.is_success)
 
-    def test_idle_timeout_is_read(self):
+    def test_idle_timeout_is_parsed(self):
         reply = reply_of(200, b"Keep-Alive: max=5, timeout=7")
         self.assertEqual(reply.idle_timeout_ms, 7000.0)
 
 
 class LoadTest(unittest.TestCase):
-    """What backend servers say of their load."""
+    """Load reported by backend servers."""
 
-    def test_load_is_read_with_or_without_the_time_that_work_takes(self):
-        """Guards against figures that are taken for one another."""
+    def test_load_is_parsed_with_and_without_a_work_factor(self):
+        """Guards against confusing the reported values."""
         load = reply_of(200, b"X-Backend-Load: 2,5, 4").load
         self.assertEqual((load.running, load.waiting, load.slots), (2, 5, 4))
         self.assertIsNone(load.work_factor)
@@ -96,8 +96,8 @@
             reply_of(200, b"X-Backend-Load: 1,0,2,250").load.work_factor, 2.5
         )
 
-    def test_load_that_cannot_be_is_left_aside(self):
-        """Guards against a choice of servers by nonsense."""
+    def test_invalid_load_is_ignored(self):
+        """Guards against choosing servers by invalid values."""
         for value in (b"", b"1,2", b"-1,0,2", b"1,0,0", b"a,b,c", b"1,0,2,nan"):
             with self.subTest(value=value):
                 reply = reply_of(200, b"X-Backend-Load: " + value)
--- a/ibisfront/tests/test_platform_store.py
+++ b/ibisfront/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client, and of what follows it, over real sockets."""
+"""Tests of the store's client, and of watches, over real sockets."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def client_of(store, kind="servers", wait_ms=300.0):
-    """Return a client of a stand-in."""
+    """Return a client of a fake store."""
     return PlatformKindClient(store.address, kind, watch_wait_ms=wait_ms)
 
 
 class RecordingTarget:
-    """What a watch told of a kind."""
+    """Records the updates that a watch delivers for a kind."""
 
     def __init__(self):
         self.names = set()
@@ -50,10 +50,10 @@
 
 
 class KindClientTest(unittest.TestCase):
-    """Lists, watches and what a watch may miss."""
+    """Lists and watches of one kind."""
 
     @trio_test_real_clock
-    async def test_list_is_read_over_all_its_pages(self):
+    async def test_list_reads_all_pages(self):
         store = StandInStore()
         store.page = 3
         for number in range(8):
@@ -63,7 +63,7 @@
         self.assertEqual(len({item.name for item in listing.objects}), 8)
 
     @trio_test_real_clock
-    async def test_watch_brings_changes_and_removals(self):
+    async def test_watch_returns_changes_and_removals(self):
         store = StandInStore()
         store.put("servers", "a", 1)
         async with store.running():
@@ -78,12 +78,12 @@
         self.assertEqual(idle.changes, [])
 
     @trio_test_real_clock
-    async def test_content_that_is_no_proper_json_leaves_the_others(self):
-        """No instance learns of a new server any more, until it is restarted.
+    async def test_invalid_json_does_not_affect_other_objects(self):
+        """Guards against instances that receive no new servers until a restart.
 
-        Another writer has put a lone surrogate, not-a-number and bytes in no
-        encoding into three entries. The list of all servers is read as one
-        answer, and is no JSON any more.
+        Another writer has put lone surrogates and not-a-number into three entries.
+        The list of all servers is decoded as one answer, which is then not valid
+        JSON.
         """
         store = StandInStore()
         store.put("servers", "a", {"n": 1})
@@ -105,7 +105,7 @@
         )
 
     @trio_test_real_clock
-    async def test_forgotten_history_is_its_own_error(self):
+    async def test_dropped_history_is_a_distinct_error(self):
         store = StandInStore()
         store.put("servers", "a", 1)
         async with store.running():
@@ -119,15 +119,15 @@
 
 
 class WatchKindTest(unittest.TestCase):
-    """Keeping up through what befalls the store."""
+    """Watches across failures of the store."""
 
     @trio_test_real_clock
-    async def test_changes_while_the_history_is_forgotten_are_not_missed(self):
-        """A server that left goes on getting requests.
+    async def test_changes_before_a_dropped_history_are_not_missed(self):
+        """Guards against requests to a removed server.
 
-        The watch hears nothing while the server's entry is removed; then the
-        history is dropped and the watch is cut. A new list must show it, and
-        counts as one from a store that was well all the while.
+        The watch does not report the removal of the server's entry before the
+        history is dropped and the watch fails. A new list must show it, and must
+        not be marked as following an outage.
         """
         store, recorder = StandInStore(), RecordingTarget()
         store.put("servers", "a", 1)
@@ -146,7 +146,7 @@
         self.assertEqual(recorder.lists, [False, False])
 
     @trio_test_real_clock
-    async def test_list_after_an_outage_says_so(self):
+    async def test_list_after_an_outage_is_marked(self):
         store, recorder = StandInStore(), RecordingTarget()
         store.put("servers", "a", 1)
         async with store.running(), trio.open_nursery() as nursery:
@@ -168,11 +168,11 @@
     """The list of instances."""
 
     @trio_test_real_clock
-    async def test_restarted_instance_replaces_its_entry_by_one_write(self):
-        """An instance writes to the store again and again after a restart.
+    async def test_restarted_instance_replaces_its_entry_with_one_write(self):
+        """Guards against an instance that repeats its write forever after a restart.
 
-        Its entry from before is still there. A write that carries a revision
-        is a conditional one, and is refused for ever.
+        Its previous entry still exists. A write with a revision is conditional,
+        and would be rejected each time.
         """
         store = StandInStore()
         async with store.running():
@@ -184,7 +184,7 @@
         self.assertEqual(len(store.calls), 4)
 
     @trio_test_real_clock
-    async def test_lost_answer_is_an_error_and_the_next_try_succeeds(self):
+    async def test_lost_answer_is_an_error_and_the_retry_succeeds(self):
         store = StandInStore()
         store.loses_writes = 1
         async with store.running():
@@ -197,7 +197,7 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    """What the store's documents become."""
+    """Decoding of the store's documents."""
 
     def test_route_shapes(self):
         spec = b"""{"version":7,"services":[{"name":"s","maxConns":25}],
