--- a/ibisfront/http1/caller_connection.py
+++ b/ibisfront/http1/caller_connection.py
@@ -199,7 +199,7 @@
             return False
         if not data:
             return False
-        was_inside = self._reader.is_mid_message
+        was_mid_message = self._reader.is_mid_message
         try:
             self._reader.feed(data)
         except MalformedMessageError as error:
@@ -207,7 +207,7 @@
             self._queue_requests()
             await self._refuse(error.status, str(error))
             return False
-        if self._reader.is_mid_message and not was_inside:
+        if self._reader.is_mid_message and not was_mid_message:
             self._waiting_since_ms = self._host.clock.now_ms()
         self._queue_requests()
         if self._reader.wants_continue and self._reader.is_mid_message:
--- a/ibisfront/http1/caller_listener.py
+++ b/ibisfront/http1/caller_listener.py
@@ -146,7 +146,8 @@
             return await self._answer(request)
         except Exception:
             _LOG.exception(
-                "A fault of the tier itself.", extra={"request_id": request.request_id}
+                "Unhandled error in a request.",
+                extra={"request_id": request.request_id},
             )
             return CallerReply(_INTERNAL_ERROR, [], b"", "internal", closes=True)
 
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -96,19 +96,19 @@
 class FakeStateClient:
     """Requests state from another instance; the timeout is for the whole answer."""
 
-    def __init__(self, asker, address):
-        self.asker = asker
-        self.asked = asker.zone.front(address)
+    def __init__(self, client_front, address):
+        self.client_front = client_front
+        self.source_front = client_front.zone.front(address)
 
     async def ask(self, asked, *, timeout_ms):
         with trio.move_on_after(timeout_ms / 1000.0):
-            if self.asked.is_cut_off or self.asker.is_cut_off:
+            if self.source_front.is_cut_off or self.client_front.is_cut_off:
                 await trio.sleep_forever()
-            data = await self.asked.process.source.answer(asked)
-            if self.asked.is_cut_off or self.asker.is_cut_off:
+            data = await self.source_front.process.source.answer(asked)
+            if self.source_front.is_cut_off or self.client_front.is_cut_off:
                 await trio.sleep_forever()
-            self.asker.received_bytes += len(data)
-            await transfer(len(data), self.asked.link, self.asker.link)
+            self.client_front.received_bytes += len(data)
+            await transfer(len(data), self.source_front.link, self.client_front.link)
             return data
         raise TimeoutError("incomplete answer")
 
@@ -215,11 +215,13 @@
     def remove_server(self):
         """Remove a server's entry; return the server's name."""
         self.revisions["servers"] += 1
-        gone = self._servers.pop()
-        removed = StoredObject(gone.name, self.revisions["servers"], gone.spec)
+        last_server = self._servers.pop()
+        removed = StoredObject(
+            last_server.name, self.revisions["servers"], last_server.spec
+        )
         self._removed.append(removed)
         self._notify_watchers()
-        return gone.name
+        return last_server.name
 
     def evacuate(self, zone):
         """Evacuate a zone."""
--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -43,10 +43,10 @@
             for number in range(_INSTANCES)
         ]
         entry = ServerEntry("a", "part-0", "a", "z0", 2)
-        stand_in = StandInServer(entry, latency_ms=1.0)
+        fake_server = StandInServer(entry, latency_ms=1.0)
 
         async def open_connection(address):
-            return connect_to(stand_in)
+            return connect_to(fake_server)
 
         pools = []
         async with trio.open_nursery() as nursery:
