--- a/ibisfront/core/ledger_messages.py
+++ b/ibisfront/core/ledger_messages.py
@@ -1,33 +1,33 @@
-"""What instances ask each other about attempts."""
+"""Messages between instances about the status of attempts."""
 
 from __future__ import annotations
 
 import msgspec
 
 from ibisfront.core.attempts import Attempt, AttemptState
-from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState, kept_record
+from ibisfront.core.claim import AttemptId, ClaimRecord, ClaimState, stored_record
 from ibisfront.core.peers import PeerMessage
 from ibisfront.core.types import JsonBytes
 
-__all__ = ["AttemptAnswer", "AttemptQuestion", "attempt_answer"]
+__all__ = ["AttemptStatusReply", "AttemptStatusRequest", "attempt_status"]
 
 
-class AttemptQuestion(PeerMessage, frozen=True, tag="attempt_question"):
-    """Asks the instance of an attempt what became of it."""
+class AttemptStatusRequest(PeerMessage, frozen=True, tag="attempt_question"):
+    """Asks the instance of an attempt for its status."""
 
     attempt: AttemptId
 
 
-class AttemptAnswer(PeerMessage, frozen=True, tag="attempt_answer"):
-    """The reply of the instance.
+class AttemptStatusReply(PeerMessage, frozen=True, tag="attempt_answer"):
+    """Status of an attempt, as reported by its instance.
 
     Attributes
     ----------
     state : AttemptState or None
-        Its state; None if this process does not know the attempt, which then
-        may have run.
+        Its state; None if this process does not have the attempt, which may
+        then have run.
     outcome_json : bytes
-        The ``ClaimRecord`` of what became of it; empty if it is not settled.
+        The encoded ``ClaimRecord`` of its outcome; empty if it is not settled.
     """
 
     state: AttemptState | None = None
@@ -35,7 +35,7 @@
 
     @property
     def outcome(self) -> ClaimRecord | None:
-        """What became of the attempt, if it is settled."""
+        """Outcome of the attempt, if it is settled."""
         if not self.outcome_json:
             return None
         return msgspec.json.decode(self.outcome_json, type=ClaimRecord)
@@ -49,11 +49,11 @@
         return outcome is not None and outcome.state is ClaimState.NOT_RUN
 
 
-def attempt_answer(attempt: Attempt | None) -> AttemptAnswer:
-    """Return what this process says of one of its attempts."""
+def attempt_status(attempt: Attempt | None) -> AttemptStatusReply:
+    """Return the status of an attempt of this process."""
     if attempt is None:
-        return AttemptAnswer()
+        return AttemptStatusReply()
     if attempt.outcome is None:
-        return AttemptAnswer(attempt.state)
-    kept = kept_record(attempt.outcome)
-    return AttemptAnswer(attempt.state, msgspec.json.encode(kept))
+        return AttemptStatusReply(attempt.state)
+    stored = stored_record(attempt.outcome)
+    return AttemptStatusReply(attempt.state, msgspec.json.encode(stored))
--- a/properties/test_ledger_machine.py
+++ b/properties/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""At most once, over thousands of histories of the real code."""
+"""At-most-once execution over thousands of histories of the real code."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def machine_settings(*, histories, shrink=True):
-    """Return settings under which a run is the same each time."""
+    """Return settings that make runs reproducible."""
     phases = [Phase.generate, Phase.shrink] if shrink else [Phase.generate]
     return settings(
         max_examples=histories,
@@ -32,7 +32,7 @@
 
 
 class LedgerMachineTest(unittest.TestCase):
-    """No history runs a key twice or falsifies a "not run"."""
+    """No history runs a key twice or makes a "not run" false."""
 
     def setUp(self):
         logging.disable(logging.WARNING)
@@ -45,15 +45,15 @@
 
     def test_the_machine_finds_the_fault_of_each_broken_variant(self):
         for variant in VARIANTS:
-            with self.subTest(variant.breaks.__name__):
+            with self.subTest(variant.inject.__name__):
                 self.assertRegex(_found_fault(variant), r"ran \d+ times|ran after all")
 
 
 def _found_fault(variant):
-    """Return what the machine found in a variant; empty if nothing."""
+    """Return the errors found in a variant; empty if there are none."""
     quick = machine_settings(histories=VARIANT_HISTORIES, shrink=False)
     try:
-        with variant.breaks():
+        with variant.inject():
             run_state_machine_as_test(variant.machine, settings=quick)
     except ExceptionGroup as group:
         return "; ".join(str(error) for error in group.exceptions)
