--- a/ibisfront/http1/caller_listener.py
+++ b/ibisfront/http1/caller_listener.py
@@ -146,7 +146,7 @@
             return await self._answer(request)
         except Exception:
             _LOG.exception(
-                "Unhandled error in a request.",
+                "Unhandled error in request.",
                 extra={"request_id": request.request_id},
             )
             return CallerReply(_INTERNAL_ERROR, [], b"", "internal", closes=True)
--- a/ibisfront/http1/listening.py
+++ b/ibisfront/http1/listening.py
@@ -11,8 +11,8 @@
 __all__ = ["listening_socket"]
 
 _BACKLOG = 1_024
-"""Connections that the kernel queues until they are accepted: one second of all
-callers reconnecting at once."""
+"""Connections that the kernel queues until they are accepted: those of one
+second when all callers reconnect at once."""
 
 
 def listening_socket(address: Address) -> socket.socket:
--- a/ibisfront/http1/parser.py
+++ b/ibisfront/http1/parser.py
@@ -245,7 +245,7 @@
             ) from error
         except httptools.HttpParserError as error:
             raise _malformed_message_error(error) from error
-        # The callbacks see a header only once it is complete.
+        # An endless head triggers no header callback, so its size is checked here.
         if self.is_mid_message and not self.head_complete:
             self._head_bytes += len(data)
             self._check_head_size()
