--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -185,7 +185,9 @@
             take=self.apply_state,
             on_cut_off=self._record_partition,
             on_lost=self._record_peer_unreachable,
-            known_version=lambda: self._version if self.gateway.is_informed else 0,
+            known_version=lambda: (
+                self._version if self.gateway.has_initial_state else 0
+            ),
             seeds=settings.seeds,
             clock=clock,
             is_first_start=settings.is_first_start,
@@ -194,7 +196,7 @@
             state=self._state,
             is_fresh=lambda: self.state_sync.is_fresh,
             may_become_fresh=lambda: self.state_sync.may_become_fresh,
-            is_cut_off=lambda: self.gateway.is_cut_off,
+            is_cut_off=lambda: self.gateway.is_partitioned,
             clock=clock,
         )
         self.gateway = Gateway(
@@ -223,15 +225,15 @@
 
     def report_readiness(self) -> bool:
         """Return what is reported to the balancer, and log changes of it."""
-        is_ready = self.gateway.tell_readiness() and not self.is_stopping
+        is_ready = self.gateway.report_readiness() and not self.is_stopping
         if is_ready is not self._reported_ready:
             self._reported_ready = is_ready
             readiness = "ready" if is_ready else "not ready"
             fields = {
                 "version": self._version,
                 "stopping": self.is_stopping,
-                "found_cut_off": self.gateway.is_cut_off,
-                "told_cut_off": self.gateway.is_reported_cut_off,
+                "found_cut_off": self.gateway.is_partitioned,
+                "told_cut_off": self.gateway.is_reported_partitioned,
             }
             _BALANCER_LOG.info("The balancer is told %s.", readiness, extra=fields)
         return is_ready
@@ -279,7 +281,7 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply changed settings, except for those that need a restart."""
         self.settings = settings
-        self.budgets.use(settings.bounds, self._clock.now_ms())
+        self.budgets.set_bounds(settings.bounds, self._clock.now_ms())
 
     def apply_instances(self, listed: Sequence[InstanceEntry]) -> None:
         """Apply a new list of instances."""
@@ -309,7 +311,7 @@
         if self.coordinators.is_coordinator:
             return
         if is_cut_off or name in self.coordinators.of_zone(self.own.zone):
-            self.gateway.record_cut_off(is_cut_off)
+            self.gateway.record_reported_partition(is_cut_off)
 
     def _record_peer_unreachable(self, name: str) -> None:
         """Record that another instance no longer answers."""
@@ -399,7 +401,7 @@
         """Apply a full list of servers; see ``ServerRegistry.replace``."""
         self.registry.replace(entries, after_outage=after_outage, unreadable=unreadable)
         self.connections.warm_up(self.registry)
-        self.gateway.record_learnt()
+        self.gateway.resume_waiting_requests()
 
     def apply_evacuations(self, zones: frozenset[str]) -> None:
         """Stop sending to the servers of these zones, and only these."""
@@ -412,7 +414,7 @@
         for server in released:
             server.return_cold(now_ms, warm_up_share=random.random())
         self.connections.warm_up(self.registry)
-        self.gateway.record_learnt()
+        self.gateway.resume_waiting_requests()
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Apply a configuration if it is newer than the one in force."""
