--- a/ibisfront/front/compiled.py
+++ b/ibisfront/front/compiled.py
@@ -1,21 +1,21 @@
-"""Compiles what the front daemon imports: ``python3 -m ibisfront.front.compiled``.
+"""Compiles the front daemon's imports: ``python3 -m ibisfront.front.compiled``.
 
-Run by the build with the daemon's own options, it leaves the byte code where the
-daemon looks for it. Without byte code a start takes 0.8 s of processor time in
-place of 0.2 s.
+The build runs it with the daemon's own options, so that the byte code is written
+where the daemon looks for it. Without byte code a start takes 0.8 s of processor
+time instead of 0.2 s.
 """
 
 from __future__ import annotations
 
 from importlib import import_module
 
-from ibisfront.front.lean_imports import leave_out_tls
+from ibisfront.front.lean_imports import stub_out_tls
 
 __all__: list[str] = []
 
 _MODULES = ("ibisfront.front.early_start", "ibisfront.front.daemon")
 
 if __name__ == "__main__":
-    leave_out_tls()
+    stub_out_tls()
     for name in _MODULES:
         import_module(name)
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -27,15 +27,15 @@
 from ibisfront.testing.large_configuration import configuration_spec
 from ibisfront.testing.network_link import NetworkLink, transfer
 
-STRONG_LINK = 70e6 / 8
-WEAK_LINK = 7e6 / 8
-"""Links of 70 and 7 Mbit/s, in bytes a second."""
+FAST_LINK_BYTES_PER_S = 70e6 / 8
+SLOW_LINK_BYTES_PER_S = 7e6 / 8
+"""Links of 70 and 7 Mbit/s."""
 
-STRONG_INSTANCES = 2
+FAST_INSTANCES = 2
 SERVERS = 675
 CALL_TIMEOUT_S = 1.2
 WATCH_SLACK_S = 0.6
-"""How long the store's client waits for a whole answer."""
+"""How long the store's client waits for a complete answer."""
 
 BOUNDS = Bounds(contact_ms=5000.0, change_ms=5000.0, evacuation_ms=5000.0)
 
@@ -45,9 +45,11 @@
 
     def __init__(self, zone, number, nursery):
         self.zone = zone
-        self.is_strong = number < STRONG_INSTANCES
+        self.has_fast_link = number < FAST_INSTANCES
         self.is_cut_off = False
-        self.link = NetworkLink(STRONG_LINK if self.is_strong else WEAK_LINK)
+        self.link = NetworkLink(
+            FAST_LINK_BYTES_PER_S if self.has_fast_link else SLOW_LINK_BYTES_PER_S
+        )
         self.received_bytes = 0
         settings = GatewaySettings(
             instance=f"i{number}",
@@ -58,10 +60,10 @@
             peers_address=f"i{number}",
             bounds=BOUNDS,
             zones=frozenset(("z0", "z1")),
-            capacity=2.0 if self.is_strong else 0.5,
+            capacity=2.0 if self.has_fast_link else 0.5,
         )
         self.process = FrontProcess(settings, clock=zone.clock, nursery=nursery)
-        self.process.state_sync._connect = functools.partial(Client, self)
+        self.process.state_sync._connect = functools.partial(FakeStateClient, self)
         self.process.state_sync._watch = self.watch
 
     @property
@@ -69,8 +71,8 @@
         table = self.process.gateway.table
         return 0 if table is None else table.configuration.version
 
-    async def drop_stale(self):
-        """Drop stale servers as the upkeep does; it would connect to others too."""
+    async def remove_stale_servers(self):
+        """Remove stale servers as ``run_maintenance`` does, without its probes."""
         while True:
             await self.zone.clock.sleep_ms(100.0)
             if self.process.registry.remove_stale():
@@ -88,34 +90,34 @@
             ("servers", servers_target(self.process)),
             ("evacuations", evacuations_target(self.process)),
         ):
-            nursery.start_soon(run, Feed(self, kind), target)
+            nursery.start_soon(run, FakeKindClient(self, kind), target)
 
 
-class Client:
-    """Asks another instance; the time allowed is for the whole answer."""
+class FakeStateClient:
+    """Requests state from another instance; the timeout is for the whole answer."""
 
-    def __init__(self, asker, address):
-        self.asker = asker
-        self.asked = asker.zone.front(address)
+    def __init__(self, client_front, address):
+        self.client_front = client_front
+        self.source_front = client_front.zone.front(address)
 
     async def ask(self, asked, *, timeout_ms):
         with trio.move_on_after(timeout_ms / 1000.0):
-            if self.asked.is_cut_off or self.asker.is_cut_off:
+            if self.source_front.is_cut_off or self.client_front.is_cut_off:
                 await trio.sleep_forever()
-            data = await self.asked.process.source.answer(asked)
-            if self.asked.is_cut_off or self.asker.is_cut_off:
+            data = await self.source_front.process.source.answer(asked)
+            if self.source_front.is_cut_off or self.client_front.is_cut_off:
                 await trio.sleep_forever()
-            self.asker.received_bytes += len(data)
-            await transfer(len(data), self.asked.link, self.asker.link)
+            self.client_front.received_bytes += len(data)
+            await transfer(len(data), self.source_front.link, self.client_front.link)
             return data
-        raise TimeoutError("not whole in time")
+        raise TimeoutError("incomplete answer")
 
     def close(self):
         pass
 
 
-class Feed:
-    """One kind in the store; the time allowed is for the whole answer."""
+class FakeKindClient:
+    """One kind in the store; the timeout is for the whole answer."""
 
     def __init__(self, front, kind):
         self.front = front
@@ -147,7 +149,7 @@
                 await trio.sleep_forever()
             await transfer(size, self.front.link)
             return
-        raise StoreError(StoreErrorKind.UNREACHABLE, "not whole in time")
+        raise StoreError(StoreErrorKind.UNREACHABLE, "incomplete answer")
 
     def close(self):
         pass
@@ -167,12 +169,12 @@
 
 
 def two_zones_spec(number):
-    """Return a server's entry; every other one stands in another zone."""
+    """Return a server's entry; zones alternate."""
     return _server_spec(number, f"z{number % 2}")
 
 
 class FrontZone:
-    """Twenty front processes, two of them on strong machines, and the store."""
+    """Front processes, two of them on fast links, and the store."""
 
     def __init__(self, nursery, instances=20, *, servers=SERVERS, spec=_server_spec):
         self.clock = Clock()
@@ -191,7 +193,7 @@
         return self.fronts[int(address.removeprefix("i"))]
 
     def objects(self, kind):
-        """Return the objects of a kind, and the revision."""
+        """Return the objects of a kind, and its revision."""
         revision = self.revisions[kind]
         if kind == "servers":
             return self._servers, revision
@@ -200,7 +202,7 @@
         return [StoredObject("main", revision, self.spec)], revision
 
     def changes(self, kind, revision):
-        """Return what has changed since a revision, and the revision now."""
+        """Return the changes since a revision, and the current revision."""
         now = self.revisions[kind]
         if kind == "servers":
             removed = [item for item in self._removed if item.revision > revision]
@@ -213,29 +215,31 @@
     def remove_server(self):
         """Remove a server's entry; return the server's name."""
         self.revisions["servers"] += 1
-        gone = self._servers.pop()
-        removed = StoredObject(gone.name, self.revisions["servers"], gone.spec)
+        last_server = self._servers.pop()
+        removed = StoredObject(
+            last_server.name, self.revisions["servers"], last_server.spec
+        )
         self._removed.append(removed)
-        self._wake()
-        return gone.name
+        self._notify_watchers()
+        return last_server.name
 
     def evacuate(self, zone):
-        """Have nothing more sent to a zone's servers."""
+        """Evacuate a zone."""
         self.evacuated.append(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), False))
 
-    def take_back(self, zone):
-        """Have a zone's servers used again."""
+    def end_evacuation(self, zone):
+        """End the evacuation of a zone."""
         self.evacuated.remove(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), True))
 
     def _change_evacuations(self, change):
         self.revisions["evacuations"] += 1
         self._evacuation_change = change
-        self._wake()
+        self._notify_watchers()
 
-    def may_ask(self, server_id):
-        """Return the numbers of the instances that would ask a server."""
+    def instances_using(self, server_id):
+        """Return the numbers of the instances that would use a server."""
         return [
             number
             for number, front in enumerate(self.fronts)
@@ -246,10 +250,10 @@
     def start(self, nursery):
         listed = [item.process.own for item in self.fronts]
         for front in self.fronts:
-            front.process.take_instances(listed)
+            front.process.apply_instances(listed)
             front.process.state_sync.record_listed()
             nursery.start_soon(front.process.state_sync.run)
-            nursery.start_soon(front.drop_stale)
+            nursery.start_soon(front.remove_stale_servers)
 
     def add_routes(self, count):
         """Put a version with more routes in force."""
@@ -257,14 +261,14 @@
         self.routes += count
         self.spec = configuration_spec(self.version, self.routes)
         self.revisions["config"] += 1
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self):
+    def _notify_watchers(self):
         self.changed.set()
         self.changed = trio.Event()
 
     async def in_force_after_s(self, *, at_most_s):
-        """Wait until all hold the newest version; return how long that took."""
+        """Wait until all have the newest version; return the time that took."""
         started_s = trio.current_time()
         while any(item.version != self.version for item in self.fronts):
             await trio.sleep(0.01)
@@ -272,8 +276,8 @@
                 break
         return trio.current_time() - started_s
 
-    def take_received_bytes(self):
-        """Return what each instance was sent by others since the last time."""
+    def pop_received_bytes(self):
+        """Return and reset the bytes that each instance received from others."""
         sizes = [front.received_bytes for front in self.fronts]
         for front in self.fronts:
             front.received_bytes = 0
--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -1,4 +1,4 @@
-"""Tests of how many connections an instance keeps, in mock time."""
+"""Tests of the number of connections that an instance keeps, in mock time."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 from ibisfront.tests import trio_test
 
 _INSTANCES = 195
-_ACCEPTED = 120
+_MAX_CONNECTIONS = 120
 
 
-class KeptConnectionsTest(unittest.TestCase):
+class IdleConnectionsTest(unittest.TestCase):
     """A server that accepts fewer connections than there are instances."""
 
-    async def open_after_a_request_of_each(self):
-        """Return how many connections are open, after all have sent a request."""
+    async def pool_sizes_after_one_request_each(self):
+        """Return each pool's size after every instance has sent one request."""
         clock = Clock()
         route = gather_route(1)
-        services = {"part-0": RoutedService("part-0", _ACCEPTED)}
+        services = {"part-0": RoutedService("part-0", _MAX_CONNECTIONS)}
         table = RouteTable(Configuration(1, (route,), services, CallerLimits()))
         listed = [
             InstanceEntry(f"i{number}", f"z{number % 5}", f"i{number}", 200.0 - number)
             for number in range(_INSTANCES)
         ]
         entry = ServerEntry("a", "part-0", "a", "z0", 2)
-        stand_in = StandInServer(entry, latency_ms=1.0)
+        fake_server = StandInServer(entry, latency_ms=1.0)
 
         async def open_connection(address):
-            return connect_to(stand_in)
+            return connect_to(fake_server)
 
-        open_now = []
+        pools = []
         async with trio.open_nursery() as nursery:
             for own in listed:
                 coordinators = Coordinators(own)
@@ -64,25 +64,25 @@
                 )
                 connections._open_connection = open_connection
                 server = Server(entry, now_ms=clock.now_ms(), is_near=True)
-                server.pool = connections.server_pool(server)
+                server.pool = connections.create_server_pool(server)
                 server.pool.submit(_exchange(server, clock))
-                open_now.append((coordinators.is_coordinator, server.pool))
+                pools.append((coordinators.is_coordinator, server.pool))
             await trio.sleep(0.5)
-            sizes = [(gathers, pool.size) for gathers, pool in open_now]
+            sizes = [(is_coordinator, pool.size) for is_coordinator, pool in pools]
             nursery.cancel_scope.cancel()
         return sizes
 
     @trio_test
-    async def test_instances_that_do_not_gather_keep_none(self):
-        """Answers of all zones lack a part, again and again.
+    async def test_only_coordinators_keep_idle_connections(self):
+        """Guards against answers of all zones with a missing part.
 
-        Each of 195 instances once forwarded a request to a server that accepts 120
-        connections, and kept its connection. Those of the instances that gather
-        are reset as soon as they are opened.
+        If each of 195 instances keeps the connection of one forwarded request to a
+        server that accepts 120 connections, those of the coordinators are reset as
+        soon as they are opened.
         """
-        sizes = await self.open_after_a_request_of_each()
-        self.assertLess(sum(size for _, size in sizes), _ACCEPTED)
-        self.assertTrue(all(size for gathers, size in sizes if gathers))
+        sizes = await self.pool_sizes_after_one_request_each()
+        self.assertLess(sum(size for _, size in sizes), _MAX_CONNECTIONS)
+        self.assertTrue(all(size for is_coordinator, size in sizes if is_coordinator))
 
 
 def _exchange(server, clock):
