--- a/ibisfront/tests/test_front_start.py
+++ b/ibisfront/tests/test_front_start.py
@@ -1,4 +1,4 @@
-"""Tests of what a front process does before its longer imports."""
+"""Tests of a front process before its slow imports and its first state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.front.early_start import is_anyone_up
+from ibisfront.front.early_start import is_any_listening
 from ibisfront.front.process import FrontProcess
 from ibisfront.gateway.messages import InboundRequest
 from ibisfront.gateway.settings import GatewaySettings
@@ -24,46 +24,48 @@
 
 
 class EarlyListeningTest(unittest.TestCase):
-    """Whether callers are kept while the process starts.
+    """Whether callers' connections are held while the process starts.
 
-    After a loss of power of all machines callers make their last try when the
-    machines are up and nothing listens yet: refused there, they fail. After the
+    After a power loss of all machines, callers make their last attempt when the
+    machines are up and no process listens yet, and fail if refused. After the
     loss of one machine a refused connection is better, as the next one reaches
     an instance that serves.
     """
 
-    def test_nobody_is_up_if_all_refuse(self):
-        self.assertFalse(is_anyone_up([free_address(), free_address()]))
-        self.assertFalse(is_anyone_up([]))
+    def test_no_address_listens_if_all_refuse(self):
+        self.assertFalse(is_any_listening([free_address(), free_address()]))
+        self.assertFalse(is_any_listening([]))
 
-    def test_one_that_listens_is_up(self):
+    def test_listening_address_is_detected(self):
         address = free_address()
         with listening_socket(address):
-            self.assertTrue(is_anyone_up([free_address(), address]))
+            self.assertTrue(is_any_listening([free_address(), address]))
 
-    def test_silence_is_not_waited_for(self):
-        """A machine without power answers nothing; the start goes on.
+    def test_unresponsive_address_does_not_delay_the_start(self):
+        """A machine without power does not answer; the start must continue.
 
-        A full queue of new connections drops the first packet of the next.
+        It is simulated by a full backlog, which drops the next SYN packet.
         """
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             host, port = full.getsockname()
-            keeping = [socket.socket() for _ in range(3)]
-            for sock in keeping:
+            pending = [socket.socket() for _ in range(3)]
+            for sock in pending:
                 sock.setblocking(False)
                 sock.connect_ex((host, port))
-            self.assertFalse(is_anyone_up([f"{host}:{port}"]))
-            for sock in keeping:
+            self.assertFalse(is_any_listening([f"{host}:{port}"]))
+            for sock in pending:
                 sock.close()
 
 
 class EarlyRequestTest(unittest.TestCase):
-    """Requests that come before what they need is known."""
+    """Requests that arrive before the state that they need."""
 
-    async def _answered_after_s(self, *, informed_after_s, deadline_ms, asked_at_s=0.0):
-        """Return the status of a request, and how long it took."""
+    async def _reason_and_latency_s(
+        self, *, configured_after_s, deadline_ms, sent_at_s=0.0
+    ):
+        """Return the reason of a request's answer, and its latency."""
         async with trio.open_nursery() as nursery:
             settings = GatewaySettings(
                 instance="i0",
@@ -74,40 +76,40 @@
             )
             process = FrontProcess(settings, clock=Clock(), nursery=nursery)
 
-            async def inform():
-                await trio.sleep(informed_after_s)
+            async def configure():
+                await trio.sleep(configured_after_s)
                 services = {"archive": RoutedService("archive", 25)}
-                process.use_configuration(
+                process.apply_configuration(
                     Configuration(1, (forward_route(),), services, CallerLimits())
                 )
                 process.replace_servers([], after_outage=False)
 
-            nursery.start_soon(inform)
-            await trio.sleep(asked_at_s)
-            asked_s = trio.current_time()
+            nursery.start_soon(configure)
+            await trio.sleep(sent_at_s)
+            started_s = trio.current_time()
             request = InboundRequest(
                 b"GET", b"/fetch/a", HOST, "r", deadline_ms, [], b"", 0.0
             )
             reply = await process.gateway.answer(request)
-            took_s = trio.current_time() - asked_s
+            took_s = trio.current_time() - started_s
             nursery.cancel_scope.cancel()
         return reply.reason, took_s
 
     @trio_test
-    async def test_request_waits_a_moment_for_the_configuration(self):
-        """Guards against refusing all callers of a restart who come too early."""
-        reason, took_s = await self._answered_after_s(
-            informed_after_s=0.04, deadline_ms=400.0
+    async def test_request_waits_briefly_for_the_configuration(self):
+        """Guards against rejecting all early callers after a restart."""
+        reason, took_s = await self._reason_and_latency_s(
+            configured_after_s=0.04, deadline_ms=400.0
         )
         self.assertEqual(reason, "out_of_reach")
         self.assertLess(took_s, 0.05)
 
     @trio_test
-    async def test_request_does_not_wait_for_a_store_that_is_away(self):
-        """Guards against holding callers for an outage."""
-        for asked_at_s, most_s in ((0.0, 0.1), (1.0, 0.0)):
-            reason, took_s = await self._answered_after_s(
-                informed_after_s=9.0, deadline_ms=400.0, asked_at_s=asked_at_s
+    async def test_request_does_not_wait_for_an_unavailable_store(self):
+        """Guards against holding callers throughout an outage."""
+        for sent_at_s, max_wait_s in ((0.0, 0.1), (1.0, 0.0)):
+            reason, took_s = await self._reason_and_latency_s(
+                configured_after_s=9.0, deadline_ms=400.0, sent_at_s=sent_at_s
             )
             self.assertEqual(reason, "no_configuration")
-            self.assertLessEqual(took_s, most_s + 1e-6)
+            self.assertLessEqual(took_s, max_wait_s + 1e-6)
