--- a/benchmarks/configuration_cost.py
+++ b/benchmarks/configuration_cost.py
@@ -19,8 +19,8 @@
 from ibisfront.gateway.state.configuration import RouteTable
 from ibisfront.gateway.state.configuration_change import (
     ConfigurationChange,
-    change_between,
-    changed_configuration,
+    apply_change,
+    compute_change,
 )
 from ibisfront.gateway.state.route_cache import RouteCache
 from ibisfront.gateway.state.state_codec import decode_state, encode_state
@@ -60,7 +60,7 @@
     cache = RouteCache()
     before = configuration_from(first_spec, cache)
     after = configuration_from(next_spec, cache)
-    change = change_between(before, after)
+    change = compute_change(before, after)
     if change is None:
         raise RuntimeError("one route more cannot be told as a change")
     whole = RelayedState(1, True, after, is_whole=True)
@@ -78,11 +78,11 @@
         "read from the store, one route more",
         lambda: configuration_from(next_spec, cache),
     )
-    timed("find the change", lambda: change_between(before, after))
+    timed("find the change", lambda: compute_change(before, after))
     timed("tell it whole", lambda: encode_state(whole), len(encode_state(whole)))
     timed("tell the change", lambda: encode_state(told), len(encode_state(told)))
     timed("take it whole", lambda: _decoded(encode_state(whole)))
-    timed("take the change", lambda: changed_configuration(before, change))
+    timed("take the change", lambda: apply_change(before, change))
     timed("put it in force", lambda: RouteTable(after))
     return costs
 
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -31,7 +31,7 @@
 from ibisfront.gateway.servers.server_event_log import ServerEventLog
 from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.configuration import CallerLimits, RouteTable
-from ibisfront.gateway.state.configuration_change import changed_configuration
+from ibisfront.gateway.state.configuration_change import apply_change
 from ibisfront.gateway.state.relay_topology import RelayTopology
 from ibisfront.gateway.state.state_relay import LocalState, RelayedState, StateSource
 from ibisfront.gateway.state.state_sync import StateSync
@@ -174,7 +174,7 @@
             servers=self.registry,
             peers=self.peers,
             counters=self.observer.counters,
-            on_change=lambda: self.source.wake_askers(),
+            on_change=lambda: self.source.notify_subscribers(),
             clock=clock,
         )
         self.topology = RelayTopology(own)
@@ -182,9 +182,9 @@
             topology=self.topology,
             connect=HttpStateClient,
             watch=partial(watch_store, self, clock=clock),
-            take=self.take_state,
-            on_cut_off=self._record_cut_off,
-            on_lost=self._record_peer_lost,
+            apply=self.take_state,
+            on_partitioned=self._record_cut_off,
+            on_unreachable=self._record_peer_lost,
             known_version=lambda: self._version if self.gateway.is_informed else 0,
             seeds=settings.seeds,
             clock=clock,
@@ -284,7 +284,7 @@
     def take_instances(self, listed: Sequence[InstanceEntry]) -> None:
         """Take in the list of instances."""
         before = (self.budgets.instances, self.coordinators.is_coordinator)
-        is_first = not self.topology.is_known
+        is_first = not self.topology.is_loaded
         self.budgets.instances = max(len(listed), 1)
         self.peers.replace(
             [peer_entry(item) for item in listed if item.name != self.own.name],
@@ -347,7 +347,7 @@
         if table is None or table.configuration.version != change.before:
             self.observer.counters.add(CounterKind.TABLE_CHANGES, "not_applicable")
             return
-        self.use_configuration(changed_configuration(table.configuration, change))
+        self.use_configuration(apply_change(table.configuration, change))
 
     @property
     def _version(self) -> int:
@@ -372,7 +372,7 @@
                 if not server.is_stale
             ],
             instances=list(self.coordinators.instances)
-            if self.topology.is_known
+            if self.topology.is_loaded
             else [],
             stale=stale,
             may_lack_servers=self.registry.may_lack_servers,
--- a/ibisfront/front/store_watches.py
+++ b/ibisfront/front/store_watches.py
@@ -51,7 +51,7 @@
         # That the store serves an instance no more shows by the other watches.
         target = evacuations_target(process)
         watched.append((EVACUATIONS_KIND, target, bounds.watch_wait_ms))
-    outage = StoreOutage(options.after_outage_ms)
+    outage = StoreOutage(options.resume_delay_ms)
     for kind, target, wait_ms in watched:
         client = PlatformKindClient(
             process.settings.store_address, kind, watch_wait_ms=wait_ms
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -139,10 +139,10 @@
     change: Callable[[Sequence[ObjectChange]], None],
 ) -> WatchTarget:
     """Return a target that also tells the other instances of changes."""
-    process.state_sync.away.add(name)
+    process.state_sync.unavailable.add(name)
 
     def replace_and_tell(listing: Listing, after_outage: bool) -> None:
-        process.state_sync.away.discard(name)
+        process.state_sync.unavailable.discard(name)
         replace(listing, after_outage)
         process.source.record_change()
 
@@ -151,8 +151,8 @@
         process.source.record_change()
 
     def away() -> None:
-        process.state_sync.away.add(name)
-        process.source.wake_askers()
+        process.state_sync.unavailable.add(name)
+        process.source.notify_subscribers()
 
     return WatchTarget(name, replace_and_tell, change_and_tell, away)
 
--- a/ibisfront/gateway/state/configuration_change.py
+++ b/ibisfront/gateway/state/configuration_change.py
@@ -14,11 +14,11 @@
 __all__ = [
     "ConfigurationChange",
     "ConfigurationHistory",
-    "change_between",
-    "changed_configuration",
+    "apply_change",
+    "compute_change",
 ]
 
-_VERSIONS_KEPT = 8
+_MAXIMUM_EARLIER_VERSIONS = 8
 """Versions that are remembered: who follows is a version or two behind, in a quick
 series of changes a few. They share the routes that did not change."""
 
@@ -50,9 +50,7 @@
     limits: CallerLimits | None = None
 
 
-def changed_configuration(
-    before: Configuration, change: ConfigurationChange
-) -> Configuration:
+def apply_change(before: Configuration, change: ConfigurationChange) -> Configuration:
     """Return the later version; ``before`` must be the one that the change names."""
     routes = {route.name: route for route in before.routes}
     for name in change.removed:
@@ -68,7 +66,7 @@
     )
 
 
-def change_between(
+def compute_change(
     before: Configuration, after: Configuration
 ) -> ConfigurationChange | None:
     """Return what leads from one version to a later one.
@@ -79,17 +77,19 @@
         None if it would not lead to exactly that version, as where routes were
         reordered or two have one name.
     """
-    known = {route.name: route for route in before.routes}
+    before_routes = {route.name: route for route in before.routes}
     names = {route.name for route in after.routes}
     change = ConfigurationChange(
         before=before.version,
         version=after.version,
-        routes=tuple(item for item in after.routes if known.get(item.name) != item),
-        removed=tuple(name for name in known if name not in names),
+        routes=tuple(
+            item for item in after.routes if before_routes.get(item.name) != item
+        ),
+        removed=tuple(name for name in before_routes if name not in names),
         services=None if before.services == after.services else after.services,
         limits=None if before.limits == after.limits else after.limits,
     )
-    return change if changed_configuration(before, change) == after else None
+    return change if apply_change(before, change) == after else None
 
 
 class ConfigurationHistory:
@@ -115,7 +115,7 @@
         """Take in a newer version; the oldest is forgotten."""
         if self.newest is not None:
             self._earlier[self.newest.version] = self.newest
-        if len(self._earlier) >= _VERSIONS_KEPT:
+        if len(self._earlier) >= _MAXIMUM_EARLIER_VERSIONS:
             del self._earlier[next(iter(self._earlier))]
         self._changes.clear()
         self.newest = configuration
@@ -126,5 +126,5 @@
         if before is None or self.newest is None:
             return None
         if version not in self._changes:
-            self._changes[version] = change_between(before, self.newest)
+            self._changes[version] = compute_change(before, self.newest)
         return self._changes[version]
--- a/ibisfront/gateway/state/kind_watch.py
+++ b/ibisfront/gateway/state/kind_watch.py
@@ -27,10 +27,10 @@
 
 _LOG = part_logger(LogPart.PLATFORM)
 
-_FIRST_BACK_OFF_PARTS = 4
+_INITIAL_BACKOFF_DIVISOR = 4
 """The wait before the first new try is drawn up to this part of the longest."""
 
-_LONGEST_BACK_OFF_MS = 800.0
+_MAXIMUM_BACKOFF_MS = 800.0
 """Longest wait between tries while the store is away: within a second of its
 return the instance is up to date again, at two or three calls a second."""
 
@@ -40,7 +40,7 @@
 draining and for a new configuration are ten times longer."""
 
 
-_OTHERS_WAIT_MS = 3_000.0
+_SHARED_RETRY_TIMEOUT_MS = 3_000.0
 """How long the watches that do not try the store wait for the one that does: it may be
 turned away for reasons of its own."""
 
@@ -53,16 +53,16 @@
 
     Parameters
     ----------
-    after_ms : float, optional
+    resume_delay_ms : float, optional
         How long the others wait once it is over.
     """
 
-    __slots__ = ("_after_ms", "_over", "_trying")
+    __slots__ = ("_ended", "_resume_delay_ms", "_retrying")
 
-    def __init__(self, after_ms: float = 0.0) -> None:
-        self._after_ms = after_ms
-        self._over = trio.Event()
-        self._trying: str | None = None
+    def __init__(self, resume_delay_ms: float = 0.0) -> None:
+        self._resume_delay_ms = resume_delay_ms
+        self._ended = trio.Event()
+        self._retrying: str | None = None
 
     async def wait(self, name: str, wait_ms: float, *, clock: Clock) -> None:
         """Wait before a watch's next try.
@@ -76,20 +76,20 @@
         clock : Clock
             The tier's clock.
         """
-        if self._trying is None:
-            self._trying = name
-        if self._trying == name:
+        if self._retrying is None:
+            self._retrying = name
+        if self._retrying == name:
             await clock.sleep_ms(wait_ms)
             return
-        with clock.timeout_ms(_OTHERS_WAIT_MS):
-            await self._over.wait()
-        await clock.sleep_ms(self._after_ms)
+        with clock.timeout_ms(_SHARED_RETRY_TIMEOUT_MS):
+            await self._ended.wait()
+        await clock.sleep_ms(self._resume_delay_ms)
 
-    def record_answer(self) -> None:
+    def record_success(self) -> None:
         """Take in that the store answers."""
-        self._trying = None
-        self._over.set()
-        self._over = trio.Event()
+        self._retrying = None
+        self._ended.set()
+        self._ended = trio.Event()
 
 
 class WatchOptions(msgspec.Struct, frozen=True):
@@ -97,18 +97,18 @@
 
     Attributes
     ----------
-    was_away : bool
+    was_unavailable : bool
         Whether the first list counts as one after an outage already.
-    longest_back_off_ms : float
+    maximum_backoff_ms : float
         Longest wait between tries while the store is away.
-    after_outage_ms : float
+    resume_delay_ms : float
         Pause after an outage before all kinds are listed: an instance that others do
         not follow finds one to follow meanwhile, and needs no list.
     """
 
-    was_away: bool = False
-    longest_back_off_ms: float = _LONGEST_BACK_OFF_MS
-    after_outage_ms: float = 0.0
+    was_unavailable: bool = False
+    maximum_backoff_ms: float = _MAXIMUM_BACKOFF_MS
+    resume_delay_ms: float = 0.0
 
 
 DEFAULT_OPTIONS = WatchOptions()
@@ -127,16 +127,16 @@
         The kind, for the log.
     replace : callable
         Takes a full list, and whether the store had been away.
-    change : callable
+    apply_changes : callable
         Takes changes that came together, in order.
-    away : callable
+    on_unavailable : callable
         Told when the store does not answer.
     """
 
     name: str
     replace: Callable[[Listing, bool], None]
-    change: Callable[[Sequence[ObjectChange]], None]
-    away: Callable[[], None] = _ignore
+    apply_changes: Callable[[Sequence[ObjectChange]], None]
+    on_unavailable: Callable[[], None] = _ignore
 
 
 async def watch_kind(
@@ -167,19 +167,19 @@
     """
     outage = StoreOutage() if outage is None else outage
     backoff = Backoff(
-        first_ms=options.longest_back_off_ms / _FIRST_BACK_OFF_PARTS,
-        maximum_ms=options.longest_back_off_ms,
+        first_ms=options.maximum_backoff_ms / _INITIAL_BACKOFF_DIVISOR,
+        maximum_ms=options.maximum_backoff_ms,
         random=Random(),
     )
-    was_away = options.was_away
+    was_unavailable = options.was_unavailable
     while True:
         try:
             listing = await client.list_all()
-            outage.record_answer()
-            target.replace(listing, was_away)
-            if was_away:
+            outage.record_success()
+            target.replace(listing, was_unavailable)
+            if was_unavailable:
                 _LOG.info("The store answers again for %s.", target.name)
-            was_away = False
+            was_unavailable = False
             backoff.reset()
             await _watch(client, target, listing.revision, clock)
         except StoreError as error:
@@ -187,10 +187,10 @@
                 _LOG.info("The history of %s is gone: listed anew.", target.name)
                 await clock.sleep_ms(_COALESCE_MS)
                 continue
-            if not was_away:
+            if not was_unavailable:
                 _LOG.warning("The store does not serve %s: %s.", target.name, error)
-            was_away = True
-            target.away()
+            was_unavailable = True
+            target.on_unavailable()
             client.close()
             await outage.wait(target.name, backoff.next_ms(), clock=clock)
 
@@ -202,5 +202,5 @@
         answer = await client.watch(revision)
         revision = answer.revision
         if answer.changes:
-            target.change(answer.changes)
+            target.apply_changes(answer.changes)
             await clock.sleep_ms(_COALESCE_MS)
--- a/ibisfront/gateway/state/relay_topology.py
+++ b/ibisfront/gateway/state/relay_topology.py
@@ -13,11 +13,11 @@
 
 __all__ = ["RelayTopology"]
 
-_MOST_WATCHERS = 12
+_MAXIMUM_DIRECT_WATCHERS = 12
 """Up to so many instances each watch the store: a change then takes one way
 less, and two watches of three seconds cost each of them 0.7 calls a second."""
 
-_SOURCES = 3
+_SOURCES_PER_ZONE = 3
 """How many instances of a zone may be followed, in this order: a third stands
 in while one is lost and another is turned away by the store."""
 
@@ -47,30 +47,30 @@
         store, else those that may be followed in other zones.
     is_source : bool
         Whether others may follow this instance.
-    is_known : bool
+    is_loaded : bool
         Whether the list of instances was read.
     """
 
-    __slots__ = ("_own", "is_known", "is_source", "neighbours", "sources")
+    __slots__ = ("_own", "is_loaded", "is_source", "neighbours", "sources")
 
     def __init__(self, own: InstanceEntry) -> None:
         self._own = own
         self.sources: Sequence[InstanceEntry] = ()
         self.neighbours: Sequence[InstanceEntry] = ()
         self.is_source = False
-        self.is_known = False
+        self.is_loaded = False
 
-    def is_near(self, entry: InstanceEntry) -> bool:
+    def is_same_zone(self, entry: InstanceEntry) -> bool:
         """Return whether an instance is in the zone of this one."""
         return entry.zone == self._own.zone
 
     def update(self, instances: Sequence[InstanceEntry]) -> None:
         """Work them out anew from all instances that are listed."""
-        self.is_known = True
+        self.is_loaded = True
         self.sources = ()
         self.neighbours = ()
         self.is_source = False
-        if len(instances) <= _MOST_WATCHERS:
+        if len(instances) <= _MAXIMUM_DIRECT_WATCHERS:
             self.neighbours = [
                 item for item in instances if item.name != self._own.name
             ]
@@ -78,12 +78,12 @@
         by_zone: dict[str, list[InstanceEntry]] = {}
         for item in sorted(instances, key=strongest_first):
             by_zone.setdefault(item.zone, []).append(item)
-        first = by_zone.pop(self._own.zone, [])[:_SOURCES]
+        local = by_zone.pop(self._own.zone, [])[:_SOURCES_PER_ZONE]
         self.neighbours = [
-            item for others in by_zone.values() for item in others[:_SOURCES]
+            item for others in by_zone.values() for item in others[:_SOURCES_PER_ZONE]
         ]
-        names = [item.name for item in first]
+        names = [item.name for item in local]
         self.is_source = self._own.name in names
-        self.sources = first
+        self.sources = local
         if self.is_source:
-            self.sources = first[: names.index(self._own.name)]
+            self.sources = local[: names.index(self._own.name)]
--- a/ibisfront/gateway/state/state_codec.py
+++ b/ibisfront/gateway/state/state_codec.py
@@ -15,10 +15,10 @@
 _COMPRESS_FROM_BYTES = 1_024
 """Below this a message fits in a packet or so as it is."""
 
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 """The quickest: links are short, and so is the processor time."""
 
-_COMPRESSED_MARK = b"\x78"
+_ZLIB_FIRST_BYTE = b"\x78"
 """First byte of a compressed message (RFC 1950); an encoded one, which is a map,
 never begins with it."""
 
@@ -34,7 +34,7 @@
     data = msgspec.msgpack.encode(state)
     if len(data) < _COMPRESS_FROM_BYTES:
         return data
-    return zlib.compress(data, _LEVEL)
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
 def decode_state(data: bytes, kind: type[_T]) -> _T:
@@ -45,19 +45,19 @@
     msgspec.DecodeError
         If it is none, or too large.
     """
-    if data[:1] == _COMPRESSED_MARK:
-        data = _decompressed(data)
+    if data[:1] == _ZLIB_FIRST_BYTE:
+        data = _decompress(data)
     return msgspec.msgpack.decode(data, type=kind)
 
 
-def _decompressed(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     reader = zlib.decompressobj()
     try:
-        whole = reader.decompress(data, MAXIMUM_STATE_BYTES)
+        decompressed = reader.decompress(data, MAXIMUM_STATE_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(f"not decompressed: {error}") from error
     if not reader.eof:
         raise msgspec.DecodeError(
             f"cut short, or over {MAXIMUM_STATE_BYTES} bytes decompressed"
         )
-    return whole
+    return decompressed
--- a/ibisfront/gateway/state/state_relay.py
+++ b/ibisfront/gateway/state/state_relay.py
@@ -35,32 +35,32 @@
 
 _LOG = part_logger(LogPart.PEERS)
 
-_WAIT_MS = 1_000.0
+_LONG_POLL_MS = 1_000.0
 """How long a question waits for a change: a source that has died or gone
 silent is noticed after this and the slack."""
 
-_REVISION_STARTS = 2**48
+_INITIAL_REVISION_RANGE = 2**48
 """From how many numbers the first revision is drawn."""
 
-_REMOVED_KEPT = 1_000
+_MAXIMUM_REMOVED = 1_000
 """Removed servers that are remembered, for askers that have not heard of them:
 an asker is a second behind at the most, and a thousand leave in hours."""
 
-_ENCODED_KEPT = 8
+_MAXIMUM_ENCODED = 8
 """Encoded answers that are kept until the next change: followers of one instance
 know one or two revisions, and those that start know none."""
 
-_SLACK_MS = 500.0
+_RESPONSE_GRACE_MS = 500.0
 """What the answer may take beyond that wait."""
 
 FRESH_WAIT_MS = 700.0
 """How long an asker is kept while this instance has not heard the store yet:
 listing two kinds takes some ten milliseconds, a start half a second."""
 
-_FRESH_CHECK_MS = 50.0
+_FRESH_CHECK_INTERVAL_MS = 50.0
 """Pause between two looks whether it has."""
 
-_LARGE_BYTES = 32_768
+_LOG_FROM_BYTES = 32_768
 """An answer of this size has a line in the log: it takes 37 ms on a link of
 7 Mbit/s, in which a query's answer waits."""
 
@@ -115,7 +115,7 @@
     evacuated: list[str] | None = None
 
     @property
-    def brings_configuration(self) -> bool:
+    def has_configuration(self) -> bool:
         """Whether a version is told, whole or as a change."""
         return self.configuration is not None or self.configuration_change is not None
 
@@ -190,17 +190,17 @@
         "_changed",
         "_clock",
         "_encoded",
+        "_entries",
         "_evacuated",
         "_evacuated_revision",
-        "_first",
         "_history",
         "_instances",
         "_instances_revision",
         "_is_cut_off",
         "_is_fresh",
-        "_known",
         "_may_become_fresh",
         "_may_lack_servers",
+        "_oldest_revision",
         "_removed",
         "_revision",
         "_revisions",
@@ -225,9 +225,9 @@
         self._clock = clock
         # Begins anywhere, so that a revision from before a restart is not
         # taken for one of this process; the time of day may go backwards.
-        self._revision = secrets.randbelow(_REVISION_STARTS) + 1
+        self._revision = secrets.randbelow(_INITIAL_REVISION_RANGE) + 1
         self._changed = trio.Event()
-        self._known: dict[str, ServerEntry] = {}
+        self._entries: dict[str, ServerEntry] = {}
         self._revisions: dict[str, int] = {}
         self._removed: dict[str, int] = {}
         self._stale: frozenset[str] = frozenset()
@@ -237,9 +237,9 @@
         self._instances_revision = self._revision
         self._evacuated: frozenset[str] | None = None
         self._evacuated_revision = self._revision
-        self._first = self._revision
+        self._oldest_revision = self._revision
 
-    def wake_askers(self) -> None:
+    def notify_subscribers(self) -> None:
         """Answer those that wait for a change at once.
 
         To be called when the store serves this instance no more, so that they
@@ -266,68 +266,68 @@
             self._evacuated, self._evacuated_revision = state.evacuated, revision
             changed = True
         changed = self._record_servers(state, revision) or changed
-        self._forget_removed()
+        self._prune_removed()
         if changed:
             self._revision = revision
             self._encoded.clear()
-            self.wake_askers()
+            self.notify_subscribers()
 
     def _record_servers(self, state: LocalState, revision: int) -> bool:
         """Take in the servers; return whether followers must hear of a change."""
         before = (self._stale, self._may_lack_servers)
         if before != (state.stale, state.may_lack_servers):
             self._encoded.clear()
-        came_back = self._stale - state.stale
+        relisted = self._stale - state.stale
         self._stale = state.stale
         self._may_lack_servers = state.may_lack_servers
         changed = False
         listed = {entry.server_id: entry for entry in state.servers}
         for server_id, entry in listed.items():
-            if self._known.get(server_id) != entry or server_id in came_back:
-                self._known[server_id] = entry
+            if self._entries.get(server_id) != entry or server_id in relisted:
+                self._entries[server_id] = entry
                 self._revisions[server_id] = revision
                 self._removed.pop(server_id, None)
                 changed = True
         # Those that have only lapsed are not told to be gone.
-        for server_id in self._known.keys() - listed.keys() - state.stale:
-            del self._known[server_id]
+        for server_id in self._entries.keys() - listed.keys() - state.stale:
+            del self._entries[server_id]
             del self._revisions[server_id]
             self._removed[server_id] = revision
             changed = True
         return changed
 
-    def _forget_removed(self) -> None:
+    def _prune_removed(self) -> None:
         """Keep only the last removed servers; who is further back gets all."""
-        while len(self._removed) > _REMOVED_KEPT:
+        while len(self._removed) > _MAXIMUM_REMOVED:
             oldest = next(iter(self._removed))
-            self._first = self._removed.pop(oldest)
+            self._oldest_revision = self._removed.pop(oldest)
 
-    async def answer(self, asked: StateRequest) -> bytes:
+    async def answer(self, request: StateRequest) -> bytes:
         """Return what has changed, at once or after a wait for a change."""
         if not self._is_fresh():
             await self._wait_until_fresh()
-        elif self._is_up_to_date(asked):
-            with self._clock.timeout_ms(_WAIT_MS):
+        elif self._is_up_to_date(request):
+            with self._clock.timeout_ms(_LONG_POLL_MS):
                 await self._changed.wait()
                 if self._is_fresh():
                     await self._clock.sleep_ms(_COALESCE_MS)
-        return self._encoded_for(asked)
+        return self._encoded_for(request)
 
     @property
     def _version(self) -> int:
         newest = self._history.newest
         return 0 if newest is None else newest.version
 
-    def _is_up_to_date(self, asked: StateRequest) -> bool:
+    def _is_up_to_date(self, request: StateRequest) -> bool:
         """Return whether there is nothing to tell an asker.
 
         One that asked while its version changed may have got a change to
         another one than it had by then; it says so the next time.
         """
-        knows_version = asked.known_version >= self._version
-        return knows_version and asked.known_revision == self._revision
+        has_version = request.known_version >= self._version
+        return has_version and request.known_revision == self._revision
 
-    def _encoded_for(self, asked: StateRequest) -> bytes:
+    def _encoded_for(self, request: StateRequest) -> bytes:
         """Return the encoded answer.
 
         All followers ask for the same change at once; encoded for each, it would take
@@ -335,27 +335,27 @@
         """
         is_fresh = self._is_fresh()
         is_cut_off = self._is_cut_off()
-        is_of_use = is_fresh or not asked.known_version
-        if not is_of_use or self._is_up_to_date(asked):
-            bare = RelayedState(self._revision, is_fresh, is_cut_off=is_cut_off)
-            return encode_state(bare)
-        key = (asked, is_fresh, is_cut_off)
+        needs_state = is_fresh or not request.known_version
+        if not needs_state or self._is_up_to_date(request):
+            minimal = RelayedState(self._revision, is_fresh, is_cut_off=is_cut_off)
+            return encode_state(minimal)
+        key = (request, is_fresh, is_cut_off)
         if key not in self._encoded:
-            if len(self._encoded) >= _ENCODED_KEPT:
+            if len(self._encoded) >= _MAXIMUM_ENCODED:
                 self._encoded.clear()
-            self._encoded[key] = encode_state(self._since(asked))
+            self._encoded[key] = encode_state(self._changes_since(request))
         return self._encoded[key]
 
     async def _wait_until_fresh(self) -> None:
         """Wait a moment for the store; an asker would go to the store itself."""
         until_ms = self._clock.now_ms() + FRESH_WAIT_MS
         while self._may_become_fresh() and self._clock.now_ms() < until_ms:
-            await self._clock.sleep_ms(_FRESH_CHECK_MS)
+            await self._clock.sleep_ms(_FRESH_CHECK_INTERVAL_MS)
 
-    def _since(self, asked: StateRequest) -> RelayedState:
-        is_whole = not self._first <= asked.known_revision <= self._revision
-        since = 0 if is_whole else asked.known_revision
-        configuration, change = self._configuration_since(asked.known_version)
+    def _changes_since(self, request: StateRequest) -> RelayedState:
+        is_whole = not self._oldest_revision <= request.known_revision <= self._revision
+        since = 0 if is_whole else request.known_revision
+        configuration, change = self._configuration_since(request.known_version)
         instances = None
         if self._instances_revision > since:
             instances = self._instances
@@ -370,7 +370,7 @@
             is_whole=is_whole,
             servers=[
                 entry
-                for server_id, entry in self._known.items()
+                for server_id, entry in self._entries.items()
                 if self._revisions[server_id] > since and server_id not in self._stale
             ],
             removed=[
@@ -397,7 +397,7 @@
 class StateClient(Protocol):
     """Asks one other instance for its state."""
 
-    async def ask(self, asked: StateRequest, *, timeout_ms: float) -> bytes:
+    async def request(self, request: StateRequest, *, timeout_ms: float) -> bytes:
         """Return an encoded ``RelayedState``; raises ``OSError``."""
 
     def close(self) -> None:
@@ -405,7 +405,7 @@
 
 
 async def request_state(
-    client: StateClient, asked: StateRequest, *, name: str
+    client: StateClient, request: StateRequest, *, name: str
 ) -> RelayedState | None:
     """Ask another instance once.
 
@@ -424,8 +424,10 @@
         Its answer; None if it does not answer, which is logged.
     """
     try:
-        data = await client.ask(asked, timeout_ms=_WAIT_MS + _SLACK_MS)
-        if len(data) >= _LARGE_BYTES:
+        data = await client.request(
+            request, timeout_ms=_LONG_POLL_MS + _RESPONSE_GRACE_MS
+        )
+        if len(data) >= _LOG_FROM_BYTES:
             _LOG.info("%s passed on %d bytes.", name, len(data))
         return decode_state(data, RelayedState)
     except (OSError, msgspec.DecodeError) as error:
--- a/ibisfront/gateway/state/state_sync.py
+++ b/ibisfront/gateway/state/state_sync.py
@@ -32,50 +32,50 @@
 
 _LOG = part_logger(LogPart.PEERS)
 
-_CHECK_MS = 250.0
+_TOPOLOGY_CHECK_INTERVAL_MS = 250.0
 """How often an instance that watches the store looks whether others follow it
 now, or no more; a watch of a source waits for less."""
 
-_LOOK_MS = 5_000.0
+_DISCOVERY_INTERVAL_MS = 5_000.0
 """How often an instance that hears the store looks for one to follow. One that
 stands in for a lost one does so for as long as that one is listed."""
 
-_LOOK_IN_OUTAGE_MS = 700.0
+_OUTAGE_DISCOVERY_INTERVAL_MS = 700.0
 """The same while the store is away: it may serve another one already."""
 
-_FOLLOWER_BACK_OFF_MS = 3_000.0
+_SUBSCRIBER_MAXIMUM_BACKOFF_MS = 3_000.0
 """Longest wait between tries of the store for an instance that others do not
 follow. It finds out by those that are tried more often; each refused call has a
 price, and nearly all instances are such. It stays below the contact bound, in case
 all of those are lost."""
 
-_START_PATIENCE_MS = 1_000.0
+_STARTUP_DISCOVERY_MS = 1_000.0
 """How long a starting instance looks for one to follow: after a loss of power
 they all start within about this time of each other."""
 
-_START_PAUSE_MS = 100.0
+_STARTUP_RETRY_MS = 100.0
 """Pause between two such looks."""
 
-_STAND_IN_PATIENCE_MS = 150.0
+_STANDBY_DISCOVERY_MS = 150.0
 """How long one that others may follow looks for each of those before it: all the
 others wait for it meanwhile."""
 
-_NEXT_SOURCE_MS = 60.0
+_NEXT_SOURCE_DELAY_MS = 60.0
 """After how long without an answer the next source is asked too: several ways within
 a zone, and the time in which a busy process answers."""
 
-_ASKED_NEIGHBOURS = 4
+_NEIGHBOUR_SAMPLE_SIZE = 4
 """Neighbours that are asked at once whether they hear the store: with a third of
 the instances turned away, one in eighty such looks finds none."""
 
-_DEAF_INSTANCES = 4
+_UNSERVED_THRESHOLD = 4
 """So many instances that answer and do not hear the store, and none that does, mean
 that the store serves nobody: three of the own zone may be turned away together."""
 
-_OUTLAST_MS = 6_000.0
+_OUTAGE_WAIT_MS = 6_000.0
 """How long an instance that others do not follow leaves such a store alone."""
 
-_FOLLOW_NEIGHBOUR_MS = 5_000.0
+_NEIGHBOUR_SUBSCRIPTION_MS = 5_000.0
 """How long a neighbour is followed before the store is tried again. Outages of
 single instances last seconds, and each refused call has a price."""
 
@@ -91,14 +91,14 @@
         Asks it; to be closed by who takes it.
     state : RelayedState
         What it said.
-    is_near : bool
+    is_same_zone : bool
         Whether it is in the zone of this one.
     """
 
     name: str
     client: StateClient
     state: RelayedState
-    is_near: bool
+    is_same_zone: bool
 
 
 def _close_all(sources: list[_Source]) -> None:
@@ -110,7 +110,7 @@
     """What the instance does now."""
 
     SEEKING = "seeking"
-    FOLLOWING = "following"
+    SUBSCRIBED = "following"
     WATCHING = "watching"
 
 
@@ -129,12 +129,12 @@
         Returns a client that asks the instance at an address.
     watch : callable
         Watches the store for as long as the nursery runs, with these options.
-    take : callable
+    apply : callable
         Takes in a state that another instance passed on.
-    on_cut_off : callable
+    on_partitioned : callable
         Told with each answer of an instance of the zone its name, and whether it is
         cut off from the servers.
-    on_lost : callable
+    on_unreachable : callable
         Told the name of an instance that does not answer any more.
     known_version : callable
         Returns the version of the configuration in force; 0 for none.
@@ -147,30 +147,30 @@
 
     Attributes
     ----------
-    away : set of str
+    unavailable : set of str
         The kinds for which the store does not answer, and those not read yet.
     """
 
     __slots__ = (
+        "_apply",
         "_clock",
         "_connect",
-        "_deaf",
+        "_instances_listed",
         "_is_first_start",
-        "_is_reported_cut_off",
-        "_kinds",
+        "_is_reported_partitioned",
+        "_kind_count",
         "_known_version",
-        "_listed",
         "_mode",
-        "_next_look_ms",
-        "_on_cut_off",
-        "_on_lost",
+        "_next_discovery_ms",
+        "_on_partitioned",
+        "_on_unreachable",
         "_seeds",
-        "_store_was_away",
-        "_take",
+        "_store_was_unavailable",
         "_topology",
+        "_unserved",
         "_watch",
         "_watch_started_ms",
-        "away",
+        "unavailable",
     )
 
     def __init__(
@@ -179,36 +179,36 @@
         topology: RelayTopology,
         connect: Callable[[Address], StateClient],
         watch: Callable[[trio.Nursery, WatchOptions], None],
-        take: Callable[[RelayedState], None],
-        on_cut_off: Callable[[str, bool], None],
-        on_lost: Callable[[str], None],
+        apply: Callable[[RelayedState], None],
+        on_partitioned: Callable[[str, bool], None],
+        on_unreachable: Callable[[str], None],
         known_version: Callable[[], int],
         seeds: Sequence[Address],
         clock: Clock,
         is_first_start: bool = False,
     ) -> None:
         self._is_first_start = is_first_start
-        self._next_look_ms = math.inf
+        self._next_discovery_ms = math.inf
         self._topology = topology
         self._connect = connect
         self._watch = watch
-        self._take = take
-        self._on_cut_off = on_cut_off
-        self._on_lost = on_lost
+        self._apply = apply
+        self._on_partitioned = on_partitioned
+        self._on_unreachable = on_unreachable
         self._known_version = known_version
         self._seeds = seeds
         self._clock = clock
         self._mode = _Mode.SEEKING
-        self._listed = trio.Event()
+        self._instances_listed = trio.Event()
         self._watch_started_ms = -math.inf
-        self._kinds = 0
-        self._is_reported_cut_off = False
+        self._kind_count = 0
+        self._is_reported_partitioned = False
         # Who answered the last look without hearing the store.
-        self._deaf: set[str] = set()
-        self.away: set[str] = set()
+        self._unserved: set[str] = set()
+        self.unavailable: set[str] = set()
         # Entries lapse while the store is away: servers that are missing from
         # the next list may live.
-        self._store_was_away = False
+        self._store_was_unavailable = False
 
     @property
     def is_fresh(self) -> bool:
@@ -217,7 +217,7 @@
         Two instances that followed each other would both seem up to date for
         ever.
         """
-        return self._mode is _Mode.WATCHING and not self.away
+        return self._mode is _Mode.WATCHING and not self.unavailable
 
     @property
     def may_become_fresh(self) -> bool:
@@ -229,53 +229,55 @@
         """
         if self._mode is _Mode.WATCHING:
             age_ms = self._clock.now_ms() - self._watch_started_ms
-            return bool(self.away) and age_ms < FRESH_WAIT_MS
+            return bool(self.unavailable) and age_ms < FRESH_WAIT_MS
         return self._mode is _Mode.SEEKING
 
     @property
     def watches_store(self) -> bool:
         """Whether the list of instances must be read here too."""
-        return self._mode is not _Mode.FOLLOWING
+        return self._mode is not _Mode.SUBSCRIBED
 
     @property
-    def _knows_nothing(self) -> bool:
+    def _accepts_stale_state(self) -> bool:
         """Whether what another instance knew earlier is better than nothing.
 
         Once the store has listed one kind, the older list of another instance
         would take the place of the newer one, and no change would follow.
         """
-        has_listed = self._mode is _Mode.WATCHING and len(self.away) < self._kinds
+        has_listed = (
+            self._mode is _Mode.WATCHING and len(self.unavailable) < self._kind_count
+        )
         return not has_listed and not self._known_version()
 
     def record_listed(self) -> None:
         """Note that the list of instances was read, or could not be."""
-        self._listed.set()
+        self._instances_listed.set()
 
     async def run(self) -> None:
         """Keep up to date until cancelled."""
-        await self._listed.wait()
+        await self._instances_listed.wait()
         async with trio.open_nursery() as nursery:
-            if not self._topology.is_known:
-                nursery.start_soon(self._ask_seeds)
-            await self._keep_up()
+            if not self._topology.is_loaded:
+                nursery.start_soon(self._request_seeds)
+            await self._maintain()
 
-    async def _keep_up(self) -> None:
-        source = await self._look_at_start()
+    async def _maintain(self) -> None:
+        source = await self._find_source_at_start()
         while True:
             if source is None:
-                source = await self._outlast_outage()
+                source = await self._find_source_in_outage()
             if source is None:
-                source = await self._watch_until_found()
-            elif self._topology.sources and source.is_near:
-                await self._follow(source)
-                source = await self._look()
+                source = await self._watch_until_source_found()
+            elif self._topology.sources and source.is_same_zone:
+                await self._subscribe(source)
+                source = await self._find_source()
             else:
-                with self._clock.timeout_ms(_FOLLOW_NEIGHBOUR_MS):
-                    await self._follow(source)
+                with self._clock.timeout_ms(_NEIGHBOUR_SUBSCRIPTION_MS):
+                    await self._subscribe(source)
                 self._mode = _Mode.SEEKING
-                source = await self._look() if self._topology.sources else None
+                source = await self._find_source() if self._topology.sources else None
 
-    async def _ask_seeds(self) -> None:
+    async def _request_seeds(self) -> None:
         """Take what other instances know while the store is away at the start.
 
         Without a configuration every caller would be refused until the store
@@ -284,60 +286,62 @@
         """
         async with trio.open_nursery() as nursery:
             for address in self._seeds:
-                nursery.start_soon(self._ask_seed, address)
+                nursery.start_soon(self._request_seed, address)
 
-    async def _ask_seed(self, address: Address) -> None:
+    async def _request_seed(self, address: Address) -> None:
         # Perhaps of another zone: not to be followed.
-        source = await self._ask(address, address, is_near=False)
+        source = await self._request(address, address, is_same_zone=False)
         if source is None:
             return
         with closing(source.client):
-            if self._knows_nothing:
-                self._take(source.state)
+            if self._accepts_stale_state:
+                self._apply(source.state)
 
-    async def _look_at_start(self) -> _Source | None:
+    async def _find_source_at_start(self) -> _Source | None:
         """Look for an instance to follow while all may be starting."""
         if self._topology.is_source and not self._is_first_start:
-            return await self._look_as_stand_in()
-        until_ms = self._clock.now_ms() + _START_PATIENCE_MS
+            return await self._find_source_as_standby()
+        until_ms = self._clock.now_ms() + _STARTUP_DISCOVERY_MS
         while self._topology.sources:
-            source = await self._look()
+            source = await self._find_source()
             if source is not None or self._clock.now_ms() >= until_ms:
                 return source
-            await self._clock.sleep_ms(_START_PAUSE_MS)
+            await self._clock.sleep_ms(_STARTUP_RETRY_MS)
         return None
 
-    async def _look_as_stand_in(self) -> _Source | None:
+    async def _find_source_as_standby(self) -> _Source | None:
         """Look for one to follow, and give up soon: others wait for this one."""
         source = None
         with self._clock.timeout_ms(
-            _STAND_IN_PATIENCE_MS * len(self._topology.sources)
+            _STANDBY_DISCOVERY_MS * len(self._topology.sources)
         ):
             while source is None and self._topology.sources:
-                source = await self._look()
+                source = await self._find_source()
                 if source is None:
-                    await self._clock.sleep_ms(_START_PAUSE_MS)
+                    await self._clock.sleep_ms(_STARTUP_RETRY_MS)
         if source is None:
             # Those before it may have been slower to start.
-            self._next_look_ms = self._clock.now_ms() + _START_PATIENCE_MS
+            self._next_discovery_ms = self._clock.now_ms() + _STARTUP_DISCOVERY_MS
         return source
 
-    async def _look(self) -> _Source | None:
+    async def _find_source(self) -> _Source | None:
         """Return a source that hears the store; None if none does."""
-        self._deaf.clear()
-        self._is_reported_cut_off = False
-        source = await self._ask_in_turn(self._topology.sources)
+        self._unserved.clear()
+        self._is_reported_partitioned = False
+        source = await self._request_in_order(self._topology.sources)
         if source is not None:
             return source
-        if self._is_reported_cut_off:
+        if self._is_reported_partitioned:
             # Nobody elsewhere can be reached; asking them would put off the next
             # look, and with it what keeps this instance out of rotation.
             return None
-        if self.away or self._mode is not _Mode.WATCHING:
-            return await self._look_around()
+        if self.unavailable or self._mode is not _Mode.WATCHING:
+            return await self._find_neighbour()
         return None
 
-    async def _ask_in_turn(self, entries: Sequence[InstanceEntry]) -> _Source | None:
+    async def _request_in_order(
+        self, entries: Sequence[InstanceEntry]
+    ) -> _Source | None:
         """Return the first to answer that hears the store; None if none does.
 
         Load pattern: a zone has lost power. Its first source is back last, or not at
@@ -348,8 +352,10 @@
             stack.callback(_close_all, found)
             async with trio.open_nursery() as nursery:
 
-                async def ask(entry: InstanceEntry, ended: trio.Event) -> None:
-                    source = await self._ask(entry.name, entry.address, is_near=True)
+                async def request(entry: InstanceEntry, ended: trio.Event) -> None:
+                    source = await self._request(
+                        entry.name, entry.address, is_same_zone=True
+                    )
                     if source is not None:
                         found.append(source)
                         nursery.cancel_scope.cancel()
@@ -357,31 +363,33 @@
 
                 for entry in entries:
                     ended = trio.Event()
-                    nursery.start_soon(ask, entry, ended)
-                    with self._clock.timeout_ms(_NEXT_SOURCE_MS):
+                    nursery.start_soon(request, entry, ended)
+                    with self._clock.timeout_ms(_NEXT_SOURCE_DELAY_MS):
                         await ended.wait()
             if found:
                 return found.pop(0)
         return None
 
-    async def _outlast_outage(self) -> _Source | None:
+    async def _find_source_in_outage(self) -> _Source | None:
         """Look for a source without the store, while it seems to serve nobody.
 
         Nearly all instances are followers. Each would try the store again and again,
         and list all servers as soon as it is back, although those that watch it for
         the others know them a moment later.
         """
-        until_ms = self._clock.now_ms() + _OUTLAST_MS
-        while len(self._deaf) >= _DEAF_INSTANCES and not self._topology.is_source:
+        until_ms = self._clock.now_ms() + _OUTAGE_WAIT_MS
+        while (
+            len(self._unserved) >= _UNSERVED_THRESHOLD and not self._topology.is_source
+        ):
             if self._clock.now_ms() >= until_ms:
                 return None
-            await self._clock.sleep_ms(_LOOK_IN_OUTAGE_MS)
-            source = await self._look()
+            await self._clock.sleep_ms(_OUTAGE_DISCOVERY_INTERVAL_MS)
+            source = await self._find_source()
             if source is not None:
                 return source
         return None
 
-    async def _look_around(self) -> _Source | None:
+    async def _find_neighbour(self) -> _Source | None:
         """Return a neighbour that hears the store; None if none that is asked does.
 
         The store may turn away some instances and serve the others. Those
@@ -389,9 +397,11 @@
         """
         found: list[_Source] = []
 
-        async def ask(entry: InstanceEntry) -> None:
-            is_near = self._topology.is_near(entry)
-            source = await self._ask(entry.name, entry.address, is_near=is_near)
+        async def request(entry: InstanceEntry) -> None:
+            is_same_zone = self._topology.is_same_zone(entry)
+            source = await self._request(
+                entry.name, entry.address, is_same_zone=is_same_zone
+            )
             if source is None:
                 return
             if found:
@@ -401,69 +411,75 @@
             nursery.cancel_scope.cancel()
 
         neighbours = self._topology.neighbours
-        count = min(len(neighbours), _ASKED_NEIGHBOURS)
+        count = min(len(neighbours), _NEIGHBOUR_SAMPLE_SIZE)
         async with trio.open_nursery() as nursery:
             for entry in random.sample(neighbours, count):
-                nursery.start_soon(ask, entry)
+                nursery.start_soon(request, entry)
         return found[0] if found else None
 
-    async def _ask(
-        self, name: str, address: Address, *, is_near: bool
+    async def _request(
+        self, name: str, address: Address, *, is_same_zone: bool
     ) -> _Source | None:
         """Ask an instance; return it if it hears the store."""
         client = self._connect(address)
         with ExitStack() as stack:
             stack.callback(client.close)
-            asked = StateRequest(0, self._known_version())
-            state = await request_state(client, asked, name=name)
-            self._heed(name, state, is_near=is_near)
+            request = StateRequest(0, self._known_version())
+            state = await request_state(client, request, name=name)
+            self._record_response(name, state, is_same_zone=is_same_zone)
             if state is None or not state.is_fresh:
                 return None
             stack.pop_all()
-            return _Source(name, client, state, is_near)
+            return _Source(name, client, state, is_same_zone)
 
-    def _heed(self, name: str, state: RelayedState | None, *, is_near: bool) -> None:
+    def _record_response(
+        self, name: str, state: RelayedState | None, *, is_same_zone: bool
+    ) -> None:
         """Take in what an answer, or none, says besides what the store holds."""
         if state is None:
-            self._on_lost(name)
+            self._on_unreachable(name)
             return
-        if is_near:
-            self._on_cut_off(name, state.is_cut_off)
-            self._is_reported_cut_off = state.is_cut_off or self._is_reported_cut_off
+        if is_same_zone:
+            self._on_partitioned(name, state.is_cut_off)
+            self._is_reported_partitioned = (
+                state.is_cut_off or self._is_reported_partitioned
+            )
         if not state.is_fresh:
             _LOG.info("%s does not hear the store.", name)
-            self._deaf.add(name)
-            self._store_was_away = True
-            if self._knows_nothing:
-                self._take(state)
+            self._unserved.add(name)
+            self._store_was_unavailable = True
+            if self._accepts_stale_state:
+                self._apply(state)
 
-    async def _follow(self, source: _Source) -> None:
+    async def _subscribe(self, source: _Source) -> None:
         """Take in an instance's state until it fails or hears no store."""
         with closing(source.client):
             _LOG.info("The state comes from %s from now on.", source.name)
-            self._mode = _Mode.FOLLOWING
-            self._store_was_away = False
+            self._mode = _Mode.SUBSCRIBED
+            self._store_was_unavailable = False
             state: RelayedState | None = source.state
             revision = 0
             while state is not None and state.is_fresh:
-                if state.revision != revision or state.brings_configuration:
-                    self._take(state)
+                if state.revision != revision or state.has_configuration:
+                    self._apply(state)
                 revision = state.revision
-                asked = StateRequest(revision, self._known_version())
-                state = await request_state(source.client, asked, name=source.name)
-                self._heed(source.name, state, is_near=source.is_near)
+                request = StateRequest(revision, self._known_version())
+                state = await request_state(source.client, request, name=source.name)
+                self._record_response(
+                    source.name, state, is_same_zone=source.is_same_zone
+                )
         self._mode = _Mode.SEEKING
 
     def _options(self) -> WatchOptions:
         if self._topology.is_source or not self._topology.sources:
-            return WatchOptions(self._store_was_away)
+            return WatchOptions(self._store_was_unavailable)
         return WatchOptions(
-            self._store_was_away,
-            _FOLLOWER_BACK_OFF_MS,
-            after_outage_ms=_LOOK_IN_OUTAGE_MS,
+            self._store_was_unavailable,
+            _SUBSCRIBER_MAXIMUM_BACKOFF_MS,
+            resume_delay_ms=_OUTAGE_DISCOVERY_INTERVAL_MS,
         )
 
-    async def _watch_until_found(self) -> _Source | None:
+    async def _watch_until_source_found(self) -> _Source | None:
         """Watch the store until there is an instance to follow.
 
         The watch goes on during a look: others may follow this instance, and
@@ -476,18 +492,22 @@
             self._watch_started_ms = self._clock.now_ms()
             _LOG.info("The store is watched from here from now on.")
             self._watch(nursery, self._options())
-            self._kinds = len(self.away)
-            looked_ms = self._watch_started_ms
+            self._kind_count = len(self.unavailable)
+            discovered_ms = self._watch_started_ms
             # Others follow this instance now, or no more: it watches anew.
             while source is None and self._topology.is_source is is_source:
-                await self._clock.sleep_ms(_CHECK_MS)
-                pause_ms = _LOOK_IN_OUTAGE_MS if self.away else _LOOK_MS
+                await self._clock.sleep_ms(_TOPOLOGY_CHECK_INTERVAL_MS)
+                pause_ms = (
+                    _OUTAGE_DISCOVERY_INTERVAL_MS
+                    if self.unavailable
+                    else _DISCOVERY_INTERVAL_MS
+                )
                 now_ms = self._clock.now_ms()
-                if now_ms >= min(looked_ms + pause_ms, self._next_look_ms):
-                    self._next_look_ms = math.inf
-                    source = await self._look()
-                    looked_ms = self._clock.now_ms()
+                if now_ms >= min(discovered_ms + pause_ms, self._next_discovery_ms):
+                    self._next_discovery_ms = math.inf
+                    source = await self._find_source()
+                    discovered_ms = self._clock.now_ms()
             nursery.cancel_scope.cancel()
-        self._store_was_away = bool(self.away)
+        self._store_was_unavailable = bool(self.unavailable)
         self._mode = _Mode.SEEKING
         return source
--- a/ibisfront/http1/state_client.py
+++ b/ibisfront/http1/state_client.py
@@ -45,9 +45,9 @@
     def __init__(self, address: Address) -> None:
         self._client = HttpClient(address, maximum_body_bytes=MAXIMUM_STATE_BYTES)
 
-    async def ask(self, asked: StateRequest, *, timeout_ms: float) -> bytes:
+    async def request(self, request: StateRequest, *, timeout_ms: float) -> bytes:
         """Return an encoded ``RelayedState``; raises ``OSError``."""
-        target = f"{_PATH.decode()}?{asked.known_revision}&{asked.known_version}"
+        target = f"{_PATH.decode()}?{request.known_revision}&{request.known_version}"
         message = await self._client.call("GET", target, timeout_ms=timeout_ms)
         if message.status != _OK:
             raise ConnectionError(f"status {message.status}")
--- a/ibisfront/testing/gateway_fixture.py
+++ b/ibisfront/testing/gateway_fixture.py
@@ -50,9 +50,9 @@
 __all__ = [
     "CONNECT_MS",
     "HOST",
+    "FakeServer",
     "GatewayFixture",
-    "StandInConnection",
-    "StandInServer",
+    "InMemoryConnection",
     "connect_to",
     "forward_route",
     "gather_route",
@@ -65,7 +65,7 @@
 """How long connecting to a stand-in takes."""
 
 
-class StandInServer:
+class FakeServer:
     """A backend server that does what a test sets.
 
     Attributes
@@ -93,17 +93,17 @@
     """
 
     __slots__ = (
-        "accepts",
+        "accepts_connections",
         "body",
         "cancelled",
         "connections",
+        "drops_connections",
         "entry",
         "latency_ms",
-        "left_ms",
-        "loses",
         "not_run",
         "opened",
         "received",
+        "remaining_ms",
         "running",
         "status",
     )
@@ -113,26 +113,26 @@
         self.latency_ms = latency_ms
         self.status = 200
         self.not_run = False
-        self.loses = False
-        self.accepts = True
+        self.drops_connections = False
+        self.accepts_connections = True
         self.body = b""
         self.received: list[Exchange] = []
-        self.left_ms: list[float] = []
+        self.remaining_ms: list[float] = []
         self.running = 0
         self.connections = 0
         self.opened = 0
         self.cancelled = 0
 
 
-class StandInConnection:
+class InMemoryConnection:
     """What connections without sockets share; see ``ServerConnection``."""
 
-    __slots__ = ("_exchange", "_scope", "_taken", "expires_at_ms")
+    __slots__ = ("_exchange", "_scope", "_sent", "expires_at_ms")
 
     def __init__(self) -> None:
         self._exchange: Exchange | None = None
         self._scope = trio.CancelScope()
-        self._taken = trio.Event()
+        self._sent = trio.Event()
         self.expires_at_ms = math.inf
 
     @property
@@ -145,24 +145,24 @@
         self._scope.cancel()
 
 
-class _StandInServerConnection(StandInConnection):
+class _FakeServerConnection(InMemoryConnection):
     """A connection to a stand-in server."""
 
     __slots__ = ("_server",)
 
-    def __init__(self, server: StandInServer) -> None:
+    def __init__(self, server: FakeServer) -> None:
         super().__init__()
         self._server = server
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
         """Take an exchange to the server."""
         payload = exchange.payload(now_ms)
-        left = payload.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]
-        self._server.left_ms.append(float(left))
+        remaining = payload.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]
+        self._server.remaining_ms.append(float(remaining))
         self._server.received.append(exchange)
         exchange.sent_at_ms = now_ms
         self._exchange = exchange
-        self._taken.set()
+        self._sent.set()
         return True
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
@@ -173,7 +173,7 @@
             with self._scope:
                 while True:
                     await self._serve_one()
-                    if server.loses:
+                    if server.drops_connections:
                         return
                     on_idle(self)
         finally:
@@ -186,14 +186,14 @@
 
     async def _serve_one(self) -> None:
         server = self._server
-        await self._taken.wait()
-        self._taken = trio.Event()
+        await self._sent.wait()
+        self._sent = trio.Event()
         server.running += 1
         try:
             await trio.sleep(server.latency_ms / 1000.0)
         finally:
             server.running -= 1
-        if server.loses:
+        if server.drops_connections:
             return
         exchange, self._exchange = self._exchange, None
         assert exchange is not None
@@ -210,10 +210,10 @@
         )
 
 
-def connect_to(server: StandInServer) -> ServerConnection:
+def connect_to(server: FakeServer) -> ServerConnection:
     """Return an open connection to a stand-in server."""
     server.opened += 1
-    return _StandInServerConnection(server)
+    return _FakeServerConnection(server)
 
 
 def gather_route(
@@ -269,7 +269,7 @@
 
     Attributes
     ----------
-    watches_zones : bool
+    monitors_zone_paths : bool
         Whether ways to other zones are found cut; to be set before it runs.
     zone_changes : int
         How often one was found cut, or open again.
@@ -284,11 +284,11 @@
         zone: str = "z0",
     ) -> None:
         self._zone = zone
-        self.watches_zones = True
+        self.monitors_zone_paths = True
         self.zone_changes = 0
         self.clock = Clock()
         self.routes = routes
-        self.servers: dict[str, list[StandInServer]] = {}
+        self.servers: dict[str, list[FakeServer]] = {}
         names = {name for route in routes for name in route.service_names}
         for service in sorted(names):
             for number in range(servers):
@@ -307,7 +307,7 @@
             self.registry = ServerRegistry(
                 clock=self.clock, make_pool=self._make_pool, zone="z0", paths=paths
             )
-            if self.watches_zones:
+            if self.monitors_zone_paths:
                 nursery.start_soon(self._zone_path_monitor(paths).run)
             for servers in self.servers.values():
                 for server in servers:
@@ -341,7 +341,7 @@
     def _record_zone_change(self) -> None:
         self.zone_changes += 1
 
-    async def ask(
+    async def send_request(
         self, path: str = "/search/a", *, deadline_ms: float = 1000.0
     ) -> CallerReply:
         """Ask the gateway as a caller would."""
@@ -357,24 +357,24 @@
         )
         return await self.gateway.answer(request)
 
-    def make_room_after(self, service: str, delay_s: float) -> None:
+    def accept_requests_after(self, service: str, delay_s: float) -> None:
         """Let the servers of a service take work again after a while."""
-        self._nursery.start_soon(self._make_room, service, delay_s)
+        self._nursery.start_soon(self._accept_requests, service, delay_s)
 
-    async def _make_room(self, service: str, delay_s: float) -> None:
+    async def _accept_requests(self, service: str, delay_s: float) -> None:
         await trio.sleep(delay_s)
         for server in self.servers[service]:
             server.not_run = False
 
-    def all_servers(self) -> list[StandInServer]:
+    def all_servers(self) -> list[FakeServer]:
         """Return every stand-in."""
         return [server for servers in self.servers.values() for server in servers]
 
     def _add(self, service: str, number: int, latency_ms: float) -> None:
         name = f"{service}-{number}"
         entry = ServerEntry(name, service, name, self._zone, 2)
-        stand_in = StandInServer(entry, latency_ms=latency_ms)
-        self.servers.setdefault(service, []).append(stand_in)
+        server = FakeServer(entry, latency_ms=latency_ms)
+        self.servers.setdefault(service, []).append(server)
 
     def _make_pool(self, server: Server) -> ServerPool:
         return ServerPool(
@@ -390,6 +390,6 @@
             item for item in self.all_servers() if item.entry.address == address
         )
         await trio.sleep(CONNECT_MS / 1000.0)
-        if not server.accepts:
+        if not server.accepts_connections:
             raise ConnectionRefusedError(address)
         return connect_to(server)
--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -37,8 +37,8 @@
 from ibisfront.testing.gateway_fixture import (
     CONNECT_MS,
     HOST,
-    StandInConnection,
-    StandInServer,
+    FakeServer,
+    InMemoryConnection,
     connect_to,
 )
 
@@ -124,13 +124,13 @@
         self._route = route
         routes = [route] if also is None else [route, also]
         self._names = [name for item in routes for name in item.service_names]
-        self._servers: dict[str, StandInServer] = {}
+        self._servers: dict[str, FakeServer] = {}
         for index, service in enumerate(self._names):
             for copy in range(2):
                 zone = f"z{index % 2}"
                 name = f"{service}.{copy}"
                 entry = ServerEntry(name, service, name, zone, 2)
-                self._servers[name] = StandInServer(entry, latency_ms=latency_ms)
+                self._servers[name] = FakeServer(entry, latency_ms=latency_ms)
         self._ids = itertools.count(1)
 
     @asynccontextmanager
@@ -224,7 +224,7 @@
         for server in self._servers.values():
             if server.entry.zone == zone:
                 server.latency_ms = math.inf
-                server.accepts = False
+                server.accepts_connections = False
 
     def running_requests(self) -> int:
         """Return how many requests the servers work on now."""
@@ -272,7 +272,7 @@
 
     async def _open(self, address: Address) -> ServerConnection:
         await trio.sleep(CONNECT_MS / 1000.0)
-        if not self._servers[address].accepts:
+        if not self._servers[address].accepts_connections:
             raise TimeoutError("no connection")
         return connect_to(self._servers[address])
 
@@ -281,7 +281,7 @@
         return _PeerConnection(self, self.gateways[address])
 
 
-class _PeerConnection(StandInConnection):
+class _PeerConnection(InMemoryConnection):
     """A connection between the two instances, through the real codecs."""
 
     __slots__ = ("_gateway", "_zones")
@@ -295,7 +295,7 @@
         """Take a query to the other instance."""
         exchange.sent_at_ms = now_ms
         self._exchange = exchange
-        self._taken.set()
+        self._sent.set()
         return True
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
@@ -303,8 +303,8 @@
         try:
             with self._scope:
                 while True:
-                    await self._taken.wait()
-                    self._taken = trio.Event()
+                    await self._sent.wait()
+                    self._sent = trio.Event()
                     await self._carry()
                     on_idle(self)
         finally:
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -81,7 +81,7 @@
             watch_kind,
             clock=self.zone.clock,
             options=options,
-            outage=StoreOutage(options.after_outage_ms),
+            outage=StoreOutage(options.resume_delay_ms),
         )
         for kind, target in (
             ("config", configuration_target(self.process)),
@@ -98,11 +98,11 @@
         self.asker = asker
         self.asked = asker.zone.front(address)
 
-    async def ask(self, asked, *, timeout_ms):
+    async def request(self, request, *, timeout_ms):
         with trio.move_on_after(timeout_ms / 1000.0):
             if self.asked.is_cut_off or self.asker.is_cut_off:
                 await trio.sleep_forever()
-            data = await self.asked.process.source.answer(asked)
+            data = await self.asked.process.source.answer(request)
             if self.asked.is_cut_off or self.asker.is_cut_off:
                 await trio.sleep_forever()
             self.asker.received_bytes += len(data)
--- a/ibisfront/tests/test_cli_causes.py
+++ b/ibisfront/tests/test_cli_causes.py
@@ -75,11 +75,11 @@
         """
         fixture = GatewayFixture(gather_route(20, minimum=1.0))
         async with fixture.running():
-            await fixture.ask()
+            await fixture.send_request()
             for server in fixture.servers["part-3"]:
                 server.latency_ms = 300.0
             with self.assertLogs("ibisfront", "WARNING") as caught:
-                reply = await fixture.ask()
+                reply = await fixture.send_request()
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
         record = caught.records[-1]
         self.assertIn("late", record.getMessage())
--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -22,7 +22,7 @@
     RoutedService,
     RouteTable,
 )
-from ibisfront.testing.gateway_fixture import StandInServer, connect_to, gather_route
+from ibisfront.testing.gateway_fixture import FakeServer, connect_to, gather_route
 from ibisfront.tests import trio_test
 
 _INSTANCES = 195
@@ -43,7 +43,7 @@
             for number in range(_INSTANCES)
         ]
         entry = ServerEntry("a", "part-0", "a", "z0", 2)
-        stand_in = StandInServer(entry, latency_ms=1.0)
+        stand_in = FakeServer(entry, latency_ms=1.0)
 
         async def open_connection(address):
             return connect_to(stand_in)
--- a/ibisfront/tests/test_front_readiness.py
+++ b/ibisfront/tests/test_front_readiness.py
@@ -55,7 +55,7 @@
 
     def tell(self, process, name, *, is_cut_off):
         state = RelayedState(1, False, is_cut_off=is_cut_off)
-        process.state_sync._heed(name, state, is_near=True)
+        process.state_sync._record_response(name, state, is_same_zone=True)
 
     @trio_test
     async def test_instance_that_asks_no_servers_does_not_end_a_cut(self):
--- a/ibisfront/tests/test_gateway_cold_start_limit.py
+++ b/ibisfront/tests/test_gateway_cold_start_limit.py
@@ -25,7 +25,7 @@
     RouteTable,
 )
 from ibisfront.testing.gateway_fixture import (
-    StandInServer,
+    FakeServer,
     connect_to,
     forward_route,
 )
@@ -109,7 +109,7 @@
             InstanceEntry(f"i{number}", "z0", f"i{number}")
             for number in range(instances)
         ]
-        stand_in = StandInServer(_ENTRY, latency_ms=1.0)
+        stand_in = FakeServer(_ENTRY, latency_ms=1.0)
         async with trio.open_nursery() as nursery:
             for own in listed:
                 sender = Sender(own, listed, table, nursery, clock, stand_in)
--- a/ibisfront/tests/test_gateway_configuration_change.py
+++ b/ibisfront/tests/test_gateway_configuration_change.py
@@ -15,11 +15,11 @@
 )
 from ibisfront.gateway.state.configuration_change import (
     ConfigurationHistory,
-    change_between,
-    changed_configuration,
+    apply_change,
+    compute_change,
 )
 
-HISTORIES = 200
+VERSION_PAIRS = 200
 
 
 def route(name, timeout_ms=1000.0):
@@ -36,12 +36,12 @@
     return Configuration(version, routes, services, CallerLimits())
 
 
-def drawn(version, draw):
+def random_configuration(version, rng):
     """Return a version with routes drawn from a few, in any order."""
-    names = draw.sample("abcdefgh", draw.randrange(9))
-    routes = tuple(route(name, draw.choice((1000.0, 2000.0))) for name in names)
-    services = {"s": RoutedService("s", draw.choice((10, 20)))}
-    limits = CallerLimits(idle_timeout_ms=draw.choice((1000.0, 2000.0)))
+    names = rng.sample("abcdefgh", rng.randrange(9))
+    routes = tuple(route(name, rng.choice((1000.0, 2000.0))) for name in names)
+    services = {"s": RoutedService("s", rng.choice((10, 20)))}
+    limits = CallerLimits(idle_timeout_ms=rng.choice((1000.0, 2000.0)))
     return Configuration(version, routes, services, limits)
 
 
@@ -51,35 +51,35 @@
     def test_one_route_more_is_all_that_is_told(self):
         before = configuration(1, "abc")
         after = configuration(2, "abcd")
-        change = change_between(before, after)
+        change = compute_change(before, after)
         self.assertEqual([item.name for item in change.routes], ["d"])
         self.assertEqual(
             (change.removed, change.services, change.limits), ((), None, None)
         )
-        self.assertEqual(changed_configuration(before, change), after)
+        self.assertEqual(apply_change(before, change), after)
 
     def test_route_that_is_gone_is_told(self):
         before = configuration(1, "abc")
         after = configuration(2, "ac")
-        change = change_between(before, after)
+        change = compute_change(before, after)
         self.assertEqual((change.routes, change.removed), ((), ("b",)))
-        self.assertEqual(changed_configuration(before, change), after)
+        self.assertEqual(apply_change(before, change), after)
 
     def test_any_two_versions(self):
-        draw = random.Random(7)
-        told = 0
-        for _ in range(HISTORIES):
-            before, after = drawn(1, draw), drawn(2, draw)
-            change = change_between(before, after)
+        rng = random.Random(7)
+        applied = 0
+        for _ in range(VERSION_PAIRS):
+            before, after = random_configuration(1, rng), random_configuration(2, rng)
+            change = compute_change(before, after)
             if change is not None:
-                told += 1
-                self.assertEqual(changed_configuration(before, change), after)
-        self.assertGreater(told, 0)
+                applied += 1
+                self.assertEqual(apply_change(before, change), after)
+        self.assertGreater(applied, 0)
 
     def test_what_cannot_be_told_as_a_change_is_not(self):
         before = configuration(1, "ab")
-        self.assertIsNone(change_between(before, configuration(2, "ba")))
-        self.assertIsNone(change_between(before, configuration(2, "abb")))
+        self.assertIsNone(compute_change(before, configuration(2, "ba")))
+        self.assertIsNone(compute_change(before, configuration(2, "abb")))
 
 
 class HistoryTest(unittest.TestCase):
--- a/ibisfront/tests/test_gateway_evacuations.py
+++ b/ibisfront/tests/test_gateway_evacuations.py
@@ -37,7 +37,7 @@
             fixture = GatewayFixture(route)
             async with fixture.running():
                 fixture.registry.evacuate(frozenset(("z0",)))
-                reply = await fixture.ask(f"{path}/a")
+                reply = await fixture.send_request(f"{path}/a")
             self.assertEqual((_sent(fixture), reply.status), (0, 503))
             self.assertIn(b"Retry-After", dict(reply.headers))
 
@@ -49,7 +49,7 @@
             for server in fixture.all_servers():
                 server.latency_ms = 1000.0
             for _ in range(8):
-                nursery.start_soon(fixture.ask, "/fetch/a")
+                nursery.start_soon(fixture.send_request, "/fetch/a")
             await trio.sleep(0.5)
             sent = _sent(fixture)
             fixture.registry.evacuate(frozenset(("z0",)))
--- a/ibisfront/tests/test_gateway_forwarding.py
+++ b/ibisfront/tests/test_gateway_forwarding.py
@@ -25,9 +25,9 @@
         async with fixture.running():
             for server in fixture.servers["archive"]:
                 server.status = 500
-            await fixture.ask("/fetch/a", deadline_ms=900.0)
+            await fixture.send_request("/fetch/a", deadline_ms=900.0)
         left_ms = sorted(
-            value for server in fixture.all_servers() for value in server.left_ms
+            value for server in fixture.all_servers() for value in server.remaining_ms
         )
         self.assertEqual(len(left_ms), 2)
         self.assertLess(left_ms[0], left_ms[1])
@@ -44,8 +44,8 @@
         fixture = GatewayFixture(route)
         async with fixture.running():
             for server in fixture.servers["archive"]:
-                server.loses = True
-            reply = await fixture.ask("/fetch/a")
+                server.drops_connections = True
+            reply = await fixture.send_request("/fetch/a")
         sent = sum(len(server.received) for server in fixture.all_servers())
         self.assertEqual((sent, reply.status), (1, 502))
 
@@ -66,7 +66,7 @@
         async with fixture.running():
             for _ in range(6):
                 started_s = trio.current_time()
-                reply = await fixture.ask("/fetch/a", deadline_ms=2000.0)
+                reply = await fixture.send_request("/fetch/a", deadline_ms=2000.0)
                 self.assertEqual(reply.status, 200)
                 self.assertLess(trio.current_time() - started_s, 0.3)
         self.assertEqual(dark.received, [])
@@ -79,7 +79,7 @@
             first, second = fixture.servers["archive"]
             for server in (first, second):
                 server.status, server.not_run = 503, True
-            reply = await fixture.ask("/fetch/a")
+            reply = await fixture.send_request("/fetch/a")
         self.assertEqual(reply.status, 503)
         self.assertTrue(first.received and second.received)
 
@@ -96,7 +96,7 @@
         async with fixture.running():
             for server in fixture.servers["archive"]:
                 server.latency_ms = math.inf
-            reply = await fixture.ask("/fetch/a", deadline_ms=1000.0)
+            reply = await fixture.send_request("/fetch/a", deadline_ms=1000.0)
         self.assertEqual(reply.status, 504)
 
     @trio_test
@@ -104,9 +104,9 @@
         fixture = GatewayFixture(forward_route())
         async with fixture.running():
             for server in fixture.servers["archive"]:
-                server.accepts = False
+                server.accepts_connections = False
             started_ms = fixture.clock.now_ms()
-            reply = await fixture.ask("/fetch/a")
+            reply = await fixture.send_request("/fetch/a")
             took_ms = fixture.clock.now_ms() - started_ms
         self.assertEqual(reply.status, 503)
         self.assertIn(b"Retry-After", dict(reply.headers))
@@ -125,11 +125,11 @@
         replies = []
 
         async def ask():
-            replies.append(await fixture.ask("/fetch/a", deadline_ms=20_000.0))
+            replies.append(await fixture.send_request("/fetch/a", deadline_ms=20_000.0))
 
         async with fixture.running():
             for _ in range(20):
-                await fixture.ask("/fetch/a", deadline_ms=20_000.0)
+                await fixture.send_request("/fetch/a", deadline_ms=20_000.0)
             async with trio.open_nursery() as nursery:
                 for _ in range(6):
                     nursery.start_soon(ask)
@@ -142,7 +142,7 @@
         fixture = GatewayFixture(forward_route(services=services))
         async with fixture.running():
             for _ in range(40):
-                await fixture.ask("/fetch/a")
+                await fixture.send_request("/fetch/a")
         sent = sum(len(item.received) for item in fixture.servers["print"])
         self.assertEqual(sent, 10)
 
@@ -156,8 +156,8 @@
         async with fixture.running():
             for server in fixture.servers["archive"]:
                 server.not_run = True
-            fixture.make_room_after("archive", 0.1)
-            reply = await fixture.ask("/fetch/a")
+            fixture.accept_requests_after("archive", 0.1)
+            reply = await fixture.send_request("/fetch/a")
         self.assertEqual(reply.status, 200)
 
     @trio_test
@@ -172,7 +172,7 @@
             for server in fixture.servers["archive"]:
                 server.not_run = True
             started_ms = fixture.clock.now_ms()
-            reply = await fixture.ask("/fetch/a", deadline_ms=8000.0)
+            reply = await fixture.send_request("/fetch/a", deadline_ms=8000.0)
             took_ms = fixture.clock.now_ms() - started_ms
         self.assertEqual(reply.status, 503)
         self.assertLess(took_ms, 50.0)
@@ -189,7 +189,9 @@
             stand_in = fixture.servers["archive"][0]
 
             async def ask():
-                replies.append(await fixture.ask("/fetch/a", deadline_ms=2000.0))
+                replies.append(
+                    await fixture.send_request("/fetch/a", deadline_ms=2000.0)
+                )
 
             nursery.start_soon(ask)
             await trio.sleep(0.05)
--- a/ibisfront/tests/test_gateway_kind_watch.py
+++ b/ibisfront/tests/test_gateway_kind_watch.py
@@ -20,13 +20,13 @@
     """A store that may be away; counts its calls."""
 
     def __init__(self):
-        self.is_away = True
+        self.is_unavailable = True
         self.calls = 0
 
     async def list_all(self):
         self.calls += 1
         await trio.sleep(0.004)
-        if self.is_away:
+        if self.is_unavailable:
             raise StoreError(StoreErrorKind.REFUSED, "busy")
         return Listing([], 1)
 
@@ -59,7 +59,7 @@
 
                 nursery.start_soon(run)
             await trio.sleep(for_s)
-            calls, store.is_away = store.calls, False
+            calls, store.is_unavailable = store.calls, False
             back_s = trio.current_time()
             await trio.sleep(4.0)
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_gateway_pool.py
+++ b/ibisfront/tests/test_gateway_pool.py
@@ -19,11 +19,11 @@
         """Guards against queries that open a connection for each of their parts."""
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running(), trio.open_nursery() as nursery:
-            await fixture.ask()
-            await fixture.ask()
+            await fixture.send_request()
+            await fixture.send_request()
             opened = sum(server.opened for server in fixture.all_servers())
-            nursery.start_soon(fixture.ask)
-            nursery.start_soon(fixture.ask)
+            nursery.start_soon(fixture.send_request)
+            nursery.start_soon(fixture.send_request)
             await trio.sleep(0.0005)
             sent = sum(len(server.received) for server in fixture.all_servers())
         self.assertEqual((opened, sent), (12, 24))
@@ -34,7 +34,7 @@
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running():
             for _ in range(3):
-                await fixture.ask()
+                await fixture.send_request()
                 await trio.sleep(2.0)
         self.assertEqual({server.opened for server in fixture.all_servers()}, {1})
 
@@ -53,9 +53,9 @@
         async with fixture.running():
             near.body = far.body = bytes(size_bytes)
             for _ in range(100):
-                await fixture.ask()
+                await fixture.send_request()
             near.latency_ms, far.latency_ms = 30.0, 200.0
-            await fixture.ask()
+            await fixture.send_request()
             await trio.sleep(0.1)
             self.assertEqual(len(far.received), 1)
             return far.cancelled, far.opened
--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -22,7 +22,7 @@
     async def test_calm_query_is_whole(self):
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
 
     @trio_test
@@ -36,11 +36,11 @@
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
             for _ in range(10):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.servers["part-3"][:1]:
                 server.latency_ms = 400.0
             started_ms = fixture.clock.now_ms()
-            replies = [await fixture.ask() for _ in range(4)]
+            replies = [await fixture.send_request() for _ in range(4)]
             took_ms = (fixture.clock.now_ms() - started_ms) / 4
         self.assertEqual({reply.reason for reply in replies}, {"whole"})
         self.assertLess(took_ms, 50.0)
@@ -54,11 +54,11 @@
         """
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
-            await fixture.ask()
+            await fixture.send_request()
             for server in fixture.servers["part-3"]:
                 server.latency_ms = math.inf
             started_ms = fixture.clock.now_ms()
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
             took_ms = fixture.clock.now_ms() - started_ms
         self.assertEqual((reply.status, reply.reason), (200, "partial"))
         self.assertLess(took_ms, 100.0)
@@ -76,11 +76,11 @@
         fixture = GatewayFixture(gather_route(4, minimum=1.0, timeout_ms=2000.0))
         async with fixture.running():
             for _ in range(10):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.servers["part-3"]:
                 server.not_run = True
-            fixture.make_room_after("part-3", 0.1)
-            reply = await fixture.ask()
+            fixture.accept_requests_after("part-3", 0.1)
+            reply = await fixture.send_request()
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
 
     @trio_test
@@ -93,11 +93,11 @@
         fixture = GatewayFixture(gather_route(4, minimum=0.75, timeout_ms=2000.0))
         async with fixture.running():
             for _ in range(10):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.servers["part-3"] + fixture.servers["part-2"]:
                 server.status = 500
             started_ms = fixture.clock.now_ms()
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
             took_ms = fixture.clock.now_ms() - started_ms
         self.assertEqual(reply.status, 502)
         self.assertLess(took_ms, 100.0)
@@ -108,7 +108,7 @@
         async with fixture.running():
             for server in fixture.servers["part-3"]:
                 server.status = 500
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
         self.assertEqual(reply.status, 502)
 
     @trio_test
@@ -122,7 +122,7 @@
         async with fixture.running():
             with self.assertLogs("ibisfront", "INFO") as logs:
                 with trio.move_on_after(0.02):
-                    await fixture.ask()
+                    await fixture.send_request()
             await trio.sleep(0.01)
             running = sum(server.running for server in fixture.all_servers())
         self.assertEqual(running, 0)
@@ -139,11 +139,11 @@
         fixture = GatewayFixture(gather_route(5))
         async with fixture.running():
             for _ in range(20):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.servers["part-3"]:
                 server.latency_ms = 300.0
             for _ in range(40):
-                await fixture.ask()
+                await fixture.send_request()
         slow = sum(server.cancelled for server in fixture.servers["part-3"])
         healthy = sum(server.cancelled for server in fixture.servers["part-2"])
         self.assertGreater(slow, 20)
@@ -159,12 +159,12 @@
         fixture = GatewayFixture(gather_route(5), allowance=0.0)
         async with fixture.running():
             for _ in range(10):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.servers["part-3"]:
                 server.latency_ms = 60.0
             before = sum(len(item.received) for item in fixture.servers["part-3"])
             for _ in range(50):
-                await fixture.ask()
+                await fixture.send_request()
             after = sum(len(item.received) for item in fixture.servers["part-3"])
         self.assertLessEqual(after - before, 50 + 0.2 * 60)
 
@@ -183,11 +183,11 @@
         fixture = GatewayFixture(gather_route(20))
         async with fixture.running():
             for _ in range(10):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.all_servers():
                 server.latency_ms = math.inf
             started_ms = fixture.clock.now_ms()
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
             took_ms = fixture.clock.now_ms() - started_ms
         self.assertEqual((reply.status, reply.closes), (502, True))
         self.assertLess(took_ms, 100.0)
@@ -203,27 +203,27 @@
         fixture = GatewayFixture(gather_route(20), zone="z1")
         async with fixture.running() as gateway:
             for _ in range(10):
-                await fixture.ask()
+                await fixture.send_request()
             for server in fixture.all_servers():
-                server.latency_ms, server.accepts = math.inf, False
+                server.latency_ms, server.accepts_connections = math.inf, False
             with trio.move_on_after(2.0):
                 while True:
-                    await fixture.ask()
+                    await fixture.send_request()
                     await trio.sleep(0.05)
                     fixture.registry.probe_unreachable()
             started_ms = fixture.clock.now_ms()
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
             took_ms = fixture.clock.now_ms() - started_ms
             self.assertEqual((reply.status, reply.reason), (503, "out_of_reach"))
             self.assertLess(took_ms, 1.0)
             self.assertFalse(gateway.is_ready)
             for server in fixture.all_servers():
-                server.latency_ms, server.accepts = 10.0, True
+                server.latency_ms, server.accepts_connections = 10.0, True
             for _ in range(30):
                 await trio.sleep(0.05)
                 fixture.registry.probe_unreachable()
             self.assertTrue(gateway.is_ready)
-            reply = await fixture.ask()
+            reply = await fixture.send_request()
         self.assertEqual(reply.status, 200)
 
     @trio_test
@@ -231,8 +231,8 @@
         fixture = GatewayFixture(gather_route(20), zone="z1")
         async with fixture.running() as gateway:
             for server in fixture.servers["part-3"]:
-                server.accepts = False
-            replies = [await fixture.ask() for _ in range(20)]
+                server.accepts_connections = False
+            replies = [await fixture.send_request() for _ in range(20)]
             self.assertTrue(gateway.is_ready)
         self.assertEqual({reply.reason for reply in replies}, {"partial"})
 
--- a/ibisfront/tests/test_gateway_state_relay.py
+++ b/ibisfront/tests/test_gateway_state_relay.py
@@ -32,12 +32,12 @@
     def __init__(self, test):
         self.test = test
 
-    async def ask(self, asked, *, timeout_ms):
-        self.test.asked.append(asked)
+    async def request(self, request, *, timeout_ms):
+        self.test.requests.append(request)
         with trio.move_on_after(timeout_ms / 1000.0):
             if self.test.is_silent:
                 await trio.sleep_forever()
-            return await self.test.source.answer(asked)
+            return await self.test.source.answer(request)
         raise TimeoutError
 
     def close(self):
@@ -53,13 +53,13 @@
         self.is_silent = False
         self.stale = frozenset()
         self.configuration = Configuration(1, (), {}, CallerLimits())
-        self.asked = []
-        self.taken = []
+        self.requests = []
+        self.applied = []
         self.watches = 0
-        self.was_away = None
+        self.was_unavailable = None
 
     @asynccontextmanager
-    async def following(self):
+    async def subscribed(self):
         """Run an instance that may follow the source, for the block."""
         clock = Clock()
         self.source = StateSource(
@@ -77,10 +77,10 @@
             topology=topology,
             connect=lambda address: DirectClient(self),
             watch=self.watch,
-            take=self.taken.append,
-            on_cut_off=lambda name, is_cut_off: None,
-            on_lost=lambda name: None,
-            known_version=lambda: int(bool(self.taken)),
+            apply=self.applied.append,
+            on_partitioned=lambda name, is_cut_off: None,
+            on_unreachable=lambda name: None,
+            known_version=lambda: int(bool(self.applied)),
             seeds=(),
             clock=clock,
         )
@@ -98,7 +98,7 @@
 
     def watch(self, nursery, options):
         self.watches += 1
-        self.was_away = options.was_away
+        self.was_unavailable = options.was_unavailable
 
     def test_state_survives_the_codec(self):
         state = RelayedState(3, True, self.configuration, True, self.servers, ["x"])
@@ -107,14 +107,14 @@
 
     @trio_test
     async def test_changes_arrive_and_quiet_costs_one_question_a_second(self):
-        async with self.following():
+        async with self.subscribed():
             await trio.sleep(5.0)
-            self.assertEqual(len(self.taken), 1)
-            self.assertLessEqual(len(self.asked), 7)
+            self.assertEqual(len(self.applied), 1)
+            self.assertLessEqual(len(self.requests), 7)
             self.servers.append(ServerEntry("b", "s", "10.0.0.2:80", "z1", 2))
             self.source.record_change()
             await trio.sleep(0.1)
-        whole, change = self.taken
+        whole, change = self.applied
         self.assertEqual((whole.is_whole, len(whole.servers)), (True, 1))
         self.assertIsNotNone(whole.configuration)
         self.assertEqual((change.is_whole, len(change.servers)), (False, 1))
@@ -123,11 +123,11 @@
 
     @trio_test
     async def test_removed_server_is_told_of(self):
-        async with self.following():
+        async with self.subscribed():
             self.servers.clear()
             self.source.record_change()
             await trio.sleep(0.1)
-        self.assertEqual(self.taken[-1].removed, ["a"])
+        self.assertEqual(self.applied[-1].removed, ["a"])
 
     @trio_test
     async def test_lapsed_server_is_not_passed_on_nor_told_to_be_gone(self):
@@ -138,11 +138,11 @@
         come back to those that know better. Those that ask anew must hear that the
         list may lack some, and of the server once it is back.
         """
-        async with self.following():
+        async with self.subscribed():
             self.stale = frozenset(("a",))
             self.source.record_change()
             await trio.sleep(1.2)
-            self.assertEqual([item.removed for item in self.taken], [[]])
+            self.assertEqual([item.removed for item in self.applied], [[]])
             data = await self.source.answer(StateRequest(0))
             whole = decode_state(data, RelayedState)
             self.assertEqual((whole.servers, whole.may_lack_servers), ([], True))
@@ -158,7 +158,7 @@
             self.stale = frozenset()
             self.source.record_change()
             await trio.sleep(0.1)
-        self.assertEqual(self.taken[-1].removed, ["a"])
+        self.assertEqual(self.applied[-1].removed, ["a"])
 
     @trio_test
     async def test_following_ends_when_the_source_does_not_hear_the_store(self):
@@ -167,26 +167,26 @@
         The instance that watches the store for the others is turned away by
         it. It must say so, and the others go to the store themselves.
         """
-        async with self.following():
+        async with self.subscribed():
             self.is_fresh = False
-            self.source.wake_askers()
+            self.source.notify_subscribers()
             await trio.sleep(0.1)
             self.assertEqual(self.watches, 1)
             # Entries of servers may have lapsed meanwhile.
-            self.assertTrue(self.was_away)
+            self.assertTrue(self.was_unavailable)
 
     @trio_test
     async def test_following_ends_when_the_source_falls_silent(self):
-        async with self.following():
+        async with self.subscribed():
             self.is_silent = True
             await trio.sleep(4.5)
             self.assertEqual(self.watches, 1)
             # The store was well: a server that is missing now has left.
-            self.assertFalse(self.was_away)
+            self.assertFalse(self.was_unavailable)
 
     @trio_test
     async def test_old_state_is_passed_on_to_those_without_one(self):
-        async with self.following():
+        async with self.subscribed():
             self.is_fresh = False
             old = await self.source.answer(StateRequest(0))
             self.assertIn(b"10.0.0.1:80", old)
@@ -200,7 +200,7 @@
         It asked for a change to the version that it had. Before the answer came
         the store had brought another one, to which the change does not apply.
         """
-        async with self.following():
+        async with self.subscribed():
             self.configuration = Configuration(5, (), {}, CallerLimits())
             self.source.record_change()
             revision = decode_state(
@@ -217,14 +217,14 @@
 class StateRequestTest(unittest.TestCase):
     """What an asker says, in the target of its request."""
 
-    def asked(self, target):
+    def parse(self, target):
         return parse_state_request(
             InboundRequest(b"GET", target, "h", "", None, [], b"", 0.0)
         )
 
     def test_target_says_what_is_known(self):
         path = b"/ibisfront/state"
-        self.assertEqual(self.asked(path + b"?7&3"), StateRequest(7, 3))
-        self.assertEqual(self.asked(path + b"?0&x"), StateRequest(0))
-        self.assertEqual(self.asked(path), StateRequest(0))
-        self.assertIsNone(self.asked(b"/search/a"))
+        self.assertEqual(self.parse(path + b"?7&3"), StateRequest(7, 3))
+        self.assertEqual(self.parse(path + b"?0&x"), StateRequest(0))
+        self.assertEqual(self.parse(path), StateRequest(0))
+        self.assertIsNone(self.parse(b"/search/a"))
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -21,7 +21,7 @@
 class FewInstancesTest(unittest.TestCase):
     """Instances that each watch the store, when it turns some of them away."""
 
-    async def _heard_after_s(self, zone, instances):
+    async def _converged_after_s(self, zone, instances):
         started_s = trio.current_time()
         for _ in range(1000):
             if all(item.version == zone.version for item in instances):
@@ -42,12 +42,12 @@
             instance.is_turned_away = True
         # Until the silence shows: a watch waits up to three seconds.
         await trio.sleep(6.0)
-        heard_s = []
+        converged_s = []
         for version in range(2, 12):
             zone.put(version)
-            heard_s.append(await self._heard_after_s(zone, zone.instances))
+            converged_s.append(await self._converged_after_s(zone, zone.instances))
             await trio.sleep(1.7)
-        self.assertLess(max(heard_s), 1.0)
+        self.assertLess(max(converged_s), 1.0)
 
     @in_small_zone
     async def test_two_blind_instances_do_not_follow_each_other(self, zone, nursery):
@@ -110,7 +110,7 @@
         for instance in zone.instances:
             instance.is_turned_away = zone.store_refuses = False
         others = [item for item in zone.instances if not item.is_down]
-        self.assertLess(await self._heard_after_s(zone, others), 1.0)
+        self.assertLess(await self._converged_after_s(zone, others), 1.0)
 
 
 class SeedTest(unittest.TestCase):
@@ -124,10 +124,10 @@
         configuration, when a seed answers with what it knew before an outage.
         Its list would take the place of the newer one, and no change follows.
         """
-        clock, taken = Clock(), []
+        clock, applied = Clock(), []
 
         class Seed:
-            async def ask(self, asked, *, timeout_ms):
+            async def request(self, request, *, timeout_ms):
                 await trio.sleep(0.01)
                 known = Configuration(1, (), {}, CallerLimits())
                 state = RelayedState(1, False, known, is_whole=True)
@@ -137,20 +137,20 @@
                 pass
 
         def watch(nursery, options):
-            state_sync.away.update(KINDS)
+            state_sync.unavailable.update(KINDS)
             nursery.start_soon(list_servers)
 
         async def list_servers():
             await trio.sleep(0.005)
-            state_sync.away.discard("servers")
+            state_sync.unavailable.discard("servers")
 
         state_sync = StateSync(
             topology=RelayTopology(InstanceEntry("i0", "z0", "i0")),
             connect=lambda address: Seed(),
             watch=watch,
-            take=taken.append,
-            on_cut_off=lambda name, is_cut_off: None,
-            on_lost=lambda name: None,
+            apply=applied.append,
+            on_partitioned=lambda name, is_cut_off: None,
+            on_unreachable=lambda name: None,
             known_version=lambda: 0,
             seeds=("i1",),
             clock=clock,
@@ -158,7 +158,7 @@
         state_sync.record_listed()
         with trio.move_on_after(0.2):
             await state_sync.run()
-        self.assertEqual(taken, [])
+        self.assertEqual(applied, [])
 
 
 class StateSyncTest(unittest.TestCase):
@@ -191,7 +191,7 @@
             for instance in zone.instances[:turned_away]:
                 instance.is_turned_away = True
             zone.put(turn + 2)
-            longest_s = max(longest_s, await self.heard_after_s(zone, turned_away))
+            longest_s = max(longest_s, await self.converged_after_s(zone, turned_away))
             await trio.sleep(5.0)
             for instance in zone.instances:
                 instance.is_turned_away = False
@@ -210,18 +210,18 @@
             instance.move_to(f"z{number % 3}")
         zone.start(nursery)
         await trio.sleep(8.0)
-        blind = [item for item in zone.instances if item.entry.zone == "z0"][:3]
+        unserved = [item for item in zone.instances if item.entry.zone == "z0"][:3]
         for turn in range(12):
-            for instance in blind:
+            for instance in unserved:
                 instance.is_turned_away = instance.reaches_servers = True
             for _ in range(2):
                 zone.put(zone.version + 1)
-                self.assertLess(await self.heard_after_s(zone, 0), 5.0)
-            for instance in blind:
+                self.assertLess(await self.converged_after_s(zone, 0), 5.0)
+            for instance in unserved:
                 instance.is_turned_away = False
             await trio.sleep(10.0 + 0.173 * turn)
 
-    async def heard_after_s(self, zone, turned_away):
+    async def converged_after_s(self, zone, turned_away):
         """Return after how long all that the store serves have its version."""
         started_s = trio.current_time()
         served = zone.instances[turned_away:]
@@ -250,7 +250,7 @@
         lost = zone.instances[0]
         lost.is_down = True
         zone.start(nursery, but=lost)
-        self.assertLess(await self.heard_after_s(zone, 1), 0.5)
+        self.assertLess(await self.converged_after_s(zone, 1), 0.5)
         await trio.sleep(10.0)
         watching = [item for item in zone.instances if item.state_sync.is_fresh]
         self.assertEqual(watching, [zone.instances[1]])
@@ -270,8 +270,8 @@
         await trio.sleep(4.0)
         for _ in range(20):
             await trio.sleep(0.3)
-            heard_s = [item.cut_off_at_s for item in zone.instances[3:]]
-            self.assertLess(trio.current_time() - min(heard_s), 1.5)
+            converged_s = [item.cut_off_at_s for item in zone.instances[3:]]
+            self.assertLess(trio.current_time() - min(converged_s), 1.5)
 
     @in_zone
     async def test_cut_is_told_at_once_and_so_is_its_end(self, zone, nursery):
@@ -287,7 +287,7 @@
         for is_cut_off in (True, False):
             for instance in zone.instances[:3]:
                 instance.is_turned_away = is_cut_off
-                instance.source.wake_askers()
+                instance.source.notify_subscribers()
             await trio.sleep(0.1)
             told = {item.is_reported_cut_off for item in followers}
             self.assertEqual(told, {is_cut_off})
@@ -339,7 +339,7 @@
         await trio.sleep(5.0)
         zone.store_refuses = False
         followers = zone.instances[9:]
-        self.assertLess(await self.heard_after_s(zone, 0), 2.0)
+        self.assertLess(await self.converged_after_s(zone, 0), 2.0)
         calls = sum(item.calls for item in followers)
         self.assertEqual(calls, 0)
 
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -207,11 +207,11 @@
     def cut(self):
         self._baseline = [server.latency_ms for server in self.far_servers()]
         for server in self.far_servers():
-            server.latency_ms, server.accepts = math.inf, False
+            server.latency_ms, server.accepts_connections = math.inf, False
 
     def heal(self):
         for server, latency_ms in zip(self.far_servers(), self._baseline, strict=True):
-            server.latency_ms, server.accepts = latency_ms, True
+            server.latency_ms, server.accepts_connections = latency_ms, True
 
 
 class ZoneCutTest(unittest.TestCase):
@@ -222,7 +222,7 @@
 
         async def ask():
             asked_ms = fixture.clock.now_ms()
-            reply = await fixture.ask(deadline_ms=2000.0)
+            reply = await fixture.send_request(deadline_ms=2000.0)
             replies.append((asked_ms, fixture.clock.now_ms(), reply))
 
         while True:
@@ -333,7 +333,7 @@
             server.latency_ms = 900.0
 
         async def fetch():
-            replies.append(await fixture.ask("/fetch/a", deadline_ms=2000.0))
+            replies.append(await fixture.send_request("/fetch/a", deadline_ms=2000.0))
 
         async with fixture.running(), trio.open_nursery() as nursery:
             nursery.start_soon(self._load, fixture, nursery, [])
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -46,9 +46,9 @@
             topology=self.topology,
             connect=self.zone.client,
             watch=self.watch,
-            take=self.take,
-            on_cut_off=self.record_cut_off,
-            on_lost=lambda name: None,
+            apply=self.take,
+            on_partitioned=self.record_cut_off,
+            on_unreachable=lambda name: None,
             known_version=lambda: self.version,
             seeds=("i1",),
             clock=zone.clock,
@@ -88,23 +88,23 @@
             watch_kind,
             clock=self.zone.clock,
             options=options,
-            outage=StoreOutage(options.after_outage_ms),
+            outage=StoreOutage(options.resume_delay_ms),
         )
         for kind in sorted(KINDS):
             nursery.start_soon(run, Feed(self), self.target(kind))
 
     def target(self, kind):
         """Return what takes in a kind, as the front process does."""
-        self.state_sync.away.add(kind)
+        self.state_sync.unavailable.add(kind)
 
         def replace(listing, after_outage):
-            self.state_sync.away.discard(kind)
+            self.state_sync.unavailable.discard(kind)
             self.lists_after_outage.append(after_outage)
             self.change(())
 
         def away():
-            self.state_sync.away.add(kind)
-            self.source.wake_askers()
+            self.state_sync.unavailable.add(kind)
+            self.source.notify_subscribers()
 
         return WatchTarget(kind, replace, self.change, away)
 
@@ -157,12 +157,12 @@
     def __init__(self, instance):
         self.instance = instance
 
-    async def ask(self, asked, *, timeout_ms):
+    async def request(self, request, *, timeout_ms):
         if self.instance.is_down:
             # A machine without power does not even refuse.
             await trio.sleep(CONNECT_TIMEOUT_S)
             raise TimeoutError
-        data = await self.instance.source.answer(asked)
+        data = await self.instance.source.answer(request)
         self.instance.zone.bytes_passed_on += len(data)
         return data
 
--- a/properties/test_entry_properties.py
+++ b/properties/test_entry_properties.py
@@ -127,7 +127,7 @@
             if as_list:
                 target.replace(Listing(list(objects.values()), revision), False)
             else:
-                target.change([change])
+                target.apply_changes([change])
             asked = {
                 (server.entry.server_id, server.entry.born_ms)
                 for server in registry.of_service("s")
@@ -150,6 +150,8 @@
         observer=Observer(),
         connections=SimpleNamespace(warm_up=lambda registry: None),
         replace_servers=registry.replace,
-        state_sync=SimpleNamespace(away=set()),
-        source=SimpleNamespace(record_change=lambda: None, wake_askers=lambda: None),
+        state_sync=SimpleNamespace(unavailable=set()),
+        source=SimpleNamespace(
+            record_change=lambda: None, notify_subscribers=lambda: None
+        ),
     )
