--- a/ibisfront/gateway/state/__init__.py
+++ b/ibisfront/gateway/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the store holds, and how instances pass it on to each other."""
+"""State read from the platform's store, and its relay between instances."""
--- a/ibisfront/gateway/state/configuration.py
+++ b/ibisfront/gateway/state/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that operators write: routes, services and limits."""
+"""Configuration written by operators: routes, services and limits."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True, array_like=True):
-    """One of the services that share a route's requests.
+    """A service that receives a weighted share of a route's requests.
 
     Attributes
     ----------
     service : str
-        Its name.
+        Name of the service.
     weight : float
-        Its share, relative to the weights of the route's other services.
+        Relative to the weights of the route's other services.
     """
 
     service: str
@@ -45,22 +45,22 @@
 
 @functools.lru_cache(maxsize=64)
 def _digest(services: tuple[str, ...], top_count: int) -> str:
-    """Return a digest; kept, as hashing takes longer than a look-up."""
+    """Return a digest; cached because hashing takes longer than a lookup."""
     data = msgspec.json.encode((services, top_count))
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
 class Gathering(msgspec.Struct, frozen=True, array_like=True):
-    """How a query over many services is put together.
+    """Services and merge parameters of a scatter-gather route.
 
     Attributes
     ----------
     services : tuple of str
-        The services that each hold one part of the index.
+        Services that each hold one part of the index.
     top_count : int
-        How many of the greatest records the answer holds.
+        Number of top-ranked records in the merged reply.
     minimum_coverage : float
-        The least share of the parts that makes an answer, 0 to 1.
+        Minimum fraction of parts required for a reply, 0 to 1.
     """
 
     services: tuple[str, ...]
@@ -69,47 +69,47 @@
 
     @property
     def needed_parts(self) -> int:
-        """How many parts make an answer; at least one.
+        """Minimum number of parts required for a reply, at least one.
 
-        The bound is a share; a product such as 0.89 x 100 may come out a hair
-        above the whole number that it stands for.
+        The tolerance absorbs rounding error: 0.89 * 100 is slightly greater than 89
+        in floating point.
         """
         share = self.minimum_coverage * len(self.services)
         return max(math.ceil(share - 1e-9), 1)
 
     @property
     def digest(self) -> str:
-        """Tell gatherings apart whose answers would not be interchangeable."""
+        """Digest that is equal only where replies are interchangeable."""
         return _digest(self.services, self.top_count)
 
 
 class Route(msgspec.Struct, frozen=True, array_like=True):
-    """What becomes of the requests of one host and path prefix.
+    """How requests for one host and path prefix are handled.
 
     Exactly one of ``services`` and ``gathering`` is given.
 
     Attributes
     ----------
     name : str
-        Its name, for logs and counters.
+        Name used in logs and counters.
     host : str
-        The host that callers name, without a port, in lower case.
+        Host requested by callers, without a port, in lower case.
     path_prefix : str
         Begins and ends with a slash.
     kind : RequestKind
-        Whether its requests may be repeated.
+        Whether its requests are idempotent.
     timeout_ms : float
-        The longest time that a caller is kept waiting.
+        Maximum time until a caller gets a reply.
     objective_ms : float
-        The time within which an answer has its full worth.
+        Latency objective: a reply within this time has its full value.
     attempts : int
-        To how many backend servers one request may be sent, for each service.
+        Maximum number of backend servers that one request is sent to, per service.
     rank : int
-        0 is served first.
+        Priority; 0 is served first.
     services : tuple of WeightedService
-        The services that share its requests.
+        Services that share its requests.
     gathering : Gathering or None
-        Set if each request goes to all of a list of services.
+        Set if each request is sent to all services of a list.
     """
 
     name: str
@@ -130,25 +130,25 @@
 
     @property
     def service_names(self) -> tuple[str, ...]:
-        """Every service that its requests may reach."""
+        """All services that its requests may be sent to."""
         if self.gathering is not None:
             return self.gathering.services
         return tuple(item.service for item in self.services)
 
 
 class RoutedService(msgspec.Struct, frozen=True, array_like=True):
-    """What the configuration says of a service.
+    """Configuration of a service.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the service.
     maximum_connections : int
-        How many connections one of its servers accepts from all callers.
+        Connections that one of its servers accepts from all callers together.
     warm_up_ms : float
-        How long one of its servers is slow after it has become cold.
+        Time until a cold server reaches its normal latency.
     cold_per_s : float
-        How many requests a second a cold server bears; 0 for no bound.
+        Requests per second that a cold server can handle; 0 for no limit.
     """
 
     name: str
@@ -158,9 +158,9 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What callers may send, and how long they may take.
+    """Size limits and timeouts for requests of callers.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until a configuration is loaded.
     """
 
     maximum_header_bytes: int = 16_384
@@ -170,7 +170,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version of the configuration, in full."""
+    """A complete version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -179,24 +179,24 @@
 
 
 class RouteTable:
-    """Finds the route of a request; built once for each version.
+    """Finds the route of a request; built once per configuration version.
 
     Parameters
     ----------
     configuration : Configuration
-        The version in force.
+        The active version.
 
     Attributes
     ----------
     gathered_services : frozenset of str
-        The services that are asked by gathered queries.
+        Services of scatter-gather routes.
     service_names : frozenset of str
-        Every service that a request may reach.
+        All services that a request may be sent to.
     route_names : frozenset of str
-        Every route.
+        Names of all routes.
     distinct_routes : tuple of Route
-        One route of each target; whether it can be served holds for all routes
-        with that target, of which there may be thousands.
+        One route per target. Thousands of routes may have the same target, and all
+        of them can be served if one can.
     """
 
     __slots__ = (
@@ -212,7 +212,7 @@
         self.configuration = configuration
         self._by_host: dict[str, dict[str, Route]] = {}
         by_target: dict[str | tuple[str, ...] | Gathering, Route] = {}
-        # One pass of plain loops: built at each change, while queries wait.
+        # One pass of plain loops, since queries wait while the table is built.
         for route in configuration.routes:
             self._by_host.setdefault(route.host, {})[route.path_prefix] = route
             by_target.setdefault(_target(route), route)
@@ -230,10 +230,9 @@
         )
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, if any.
+        """Return the route with the longest matching prefix, if any.
 
-        The work grows with the depth of the path, not with the number of
-        routes.
+        The cost depends on the depth of the path, not on the number of routes.
         """
         routes = self._by_host.get(host)
         if routes is None:
@@ -248,7 +247,7 @@
 
 
 def _target(route: Route) -> str | tuple[str, ...] | Gathering:
-    """Return what tells apart routes that can be served and others that cannot."""
+    """Return the key shared by routes that are sent to the same services."""
     if route.gathering is not None:
         return route.gathering
     if len(route.services) == 1:
--- a/ibisfront/gateway/state/configuration_change.py
+++ b/ibisfront/gateway/state/configuration_change.py
@@ -1,4 +1,4 @@
-"""What differs between two versions of the configuration."""
+"""Differences between two versions of the configuration."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
 ]
 
 _MAXIMUM_EARLIER_VERSIONS = 8
-"""Versions that are remembered: who follows is a version or two behind, in a quick
-series of changes a few. They share the routes that did not change."""
+"""Earlier versions that changes can be computed from. Subscribers are one or two
+versions behind, or a few during a rapid series of changes. Versions share unchanged
+routes."""
 
 
 class ConfigurationChange(msgspec.Struct, frozen=True):
-    """What turns one version into a later one.
+    """Difference between one version and a later one.
 
     Attributes
     ----------
     before : int
-        The version that it applies to.
+        Version that it applies to.
     version : int
-        The version that it leads to.
+        Version that results.
     routes : tuple of Route
-        Routes that are new or have changed.
+        Routes that were added or changed.
     removed : tuple of str
-        The names of routes that are gone.
+        Names of removed routes.
     services : dict of str to RoutedService, or None
         All services, if one of them has changed.
     limits : CallerLimits or None
-        What callers may send, if that has changed.
+        Limits for callers, if changed.
     """
 
     before: int
@@ -51,7 +52,7 @@
 
 
 def apply_change(before: Configuration, change: ConfigurationChange) -> Configuration:
-    """Return the later version; ``before`` must be the one that the change names."""
+    """Return the later version; ``before`` must be the version named by the change."""
     routes = {route.name: route for route in before.routes}
     for name in change.removed:
         routes.pop(name, None)
@@ -69,13 +70,13 @@
 def compute_change(
     before: Configuration, after: Configuration
 ) -> ConfigurationChange | None:
-    """Return what leads from one version to a later one.
+    """Return the difference between one version and a later one.
 
     Returns
     -------
     ConfigurationChange or None
-        None if it would not lead to exactly that version, as where routes were
-        reordered or two have one name.
+        None if applying it would not reproduce ``after`` exactly, for instance if
+        routes were reordered or two routes have the same name.
     """
     before_routes = {route.name: route for route in before.routes}
     names = {route.name for route in after.routes}
@@ -93,15 +94,15 @@
 
 
 class ConfigurationHistory:
-    """The last versions, for telling others what has changed since theirs.
+    """Recent versions, from which changes for subscribers are computed.
 
-    Sent whole to each follower, one route more of thousands would fill the links on
-    which answers travel.
+    Sending thousands of routes to each subscriber when one was added would saturate
+    the links that also carry replies.
 
     Attributes
     ----------
     newest : Configuration or None
-        The newest version.
+        Newest version.
     """
 
     __slots__ = ("_changes", "_earlier", "newest")
@@ -112,7 +113,7 @@
         self._changes: dict[int, ConfigurationChange | None] = {}
 
     def add(self, configuration: Configuration) -> None:
-        """Take in a newer version; the oldest is forgotten."""
+        """Add a newer version and drop the oldest one beyond the limit."""
         if self.newest is not None:
             self._earlier[self.newest.version] = self.newest
         if len(self._earlier) >= _MAXIMUM_EARLIER_VERSIONS:
@@ -121,7 +122,7 @@
         self.newest = configuration
 
     def change_since(self, version: int) -> ConfigurationChange | None:
-        """Return what has changed since a version; None if that is not known."""
+        """Return the change since a version; None if that version was not kept."""
         before = self._earlier.get(version)
         if before is None or self.newest is None:
             return None
--- a/ibisfront/gateway/state/kind_watch.py
+++ b/ibisfront/gateway/state/kind_watch.py
@@ -1,4 +1,4 @@
-"""Keeping up with one kind of object in the platform's store."""
+"""List and watch one kind of object in the platform's store."""
 
 from __future__ import annotations
 
@@ -28,33 +28,32 @@
 _LOG = part_logger(LogPart.PLATFORM)
 
 _INITIAL_BACKOFF_DIVISOR = 4
-"""The wait before the first new try is drawn up to this part of the longest."""
+"""The first retry is delayed by at most the maximum backoff divided by this."""
 
 _MAXIMUM_BACKOFF_MS = 800.0
-"""Longest wait between tries while the store is away: within a second of its
-return the instance is up to date again, at two or three calls a second."""
+"""Maximum backoff while the store is unavailable. The instance is up to date within a
+second of the store's recovery, at a cost of two or three calls per second."""
 
 _COALESCE_MS = 200.0
-"""Pause after a change before the next watch. Changes come in series (servers
-that start, a new set of shards), and each call has its price; the bounds for
-draining and for a new configuration are ten times longer."""
-
+"""Pause after a change before the next watch call. Changes come in bursts (servers
+starting, a new set of shards) and each call has a cost. The time limits for draining
+and for a new configuration are ten times longer."""
 
 _SHARED_RETRY_TIMEOUT_MS = 3_000.0
-"""How long the watches that do not try the store wait for the one that does: it may be
-turned away for reasons of its own."""
+"""Maximum time that the other watches wait for the one that retries, which the store
+may reject for reasons that do not apply to them."""
 
 
 class StoreOutage:
-    """Lets one of several watches try a store that does not answer.
+    """Lets only one of several watches retry an unavailable store.
 
-    Each call has its price, also a refused one, and the store that answers one watch of
-    an instance answers the others too.
+    Each call has a cost, even a refused one, and a store that answers one watch of an
+    instance answers the others too.
 
     Parameters
     ----------
     resume_delay_ms : float, optional
-        How long the others wait once it is over.
+        Delay after the outage before the other watches retry.
     """
 
     __slots__ = ("_ended", "_resume_delay_ms", "_retrying")
@@ -65,16 +64,16 @@
         self._retrying: str | None = None
 
     async def wait(self, name: str, wait_ms: float, *, clock: Clock) -> None:
-        """Wait before a watch's next try.
+        """Wait before a watch's next retry.
 
         Parameters
         ----------
         name : str
-            The kind.
+            Kind that is watched.
         wait_ms : float
-            How long it waits if it is the one that tries.
+            Delay if this watch is the one that retries.
         clock : Clock
-            The tier's clock.
+            Clock of the instance.
         """
         if self._retrying is None:
             self._retrying = name
@@ -86,24 +85,24 @@
         await clock.sleep_ms(self._resume_delay_ms)
 
     def record_success(self) -> None:
-        """Take in that the store answers."""
+        """Record that the store answers, which ends the outage."""
         self._retrying = None
         self._ended.set()
         self._ended = trio.Event()
 
 
 class WatchOptions(msgspec.Struct, frozen=True):
-    """How a kind is followed.
+    """Options for watching a kind.
 
     Attributes
     ----------
     was_unavailable : bool
-        Whether the first list counts as one after an outage already.
+        Whether the first listing counts as one after an outage.
     maximum_backoff_ms : float
-        Longest wait between tries while the store is away.
+        Maximum backoff while the store is unavailable.
     resume_delay_ms : float
-        Pause after an outage before all kinds are listed: an instance that others do
-        not follow finds one to follow meanwhile, and needs no list.
+        Pause after an outage before all kinds are listed. An instance that is not a
+        source usually finds one meanwhile and needs no listing.
     """
 
     was_unavailable: bool = False
@@ -115,22 +114,22 @@
 
 
 def _ignore() -> None:
-    """Stand in for a target that need not know."""
+    """Do nothing; default for targets that ignore outages."""
 
 
 class WatchTarget(msgspec.Struct, frozen=True):
-    """What takes in the objects of a kind.
+    """Callbacks that receive the objects of a kind.
 
     Attributes
     ----------
     name : str
-        The kind, for the log.
+        Name of the kind, for the log.
     replace : callable
-        Takes a full list, and whether the store had been away.
+        Called with a full listing, and whether the store had been unavailable.
     apply_changes : callable
-        Takes changes that came together, in order.
+        Called with the changes of one watch reply, in order.
     on_unavailable : callable
-        Told when the store does not answer.
+        Called when the store does not answer.
     """
 
     name: str
@@ -149,21 +148,21 @@
 ) -> None:
     """List the objects of a kind, then watch them, until cancelled.
 
-    After any failure but a forgotten history the list counts as one after an
-    outage: what is missing from it may only have lapsed meanwhile.
+    After any failure other than an expired history, the listing counts as one after
+    an outage: entries missing from it may only have expired meanwhile.
 
     Parameters
     ----------
     client : KindClient
-        Lists and watches the kind.
+        Client that lists and watches the kind.
     target : WatchTarget
-        Takes in what it brings.
+        Receives listings and changes.
     clock : Clock
-        The tier's clock.
+        Clock of the instance.
     options : WatchOptions
-        How to begin, and how to go on in an outage.
+        Initial state, and behaviour in an outage.
     outage : StoreOutage, optional
-        What the watches of an instance share; without it each tries for itself.
+        Shared by the watches of an instance; without it each retries on its own.
     """
     outage = StoreOutage() if outage is None else outage
     backoff = Backoff(
@@ -184,7 +183,7 @@
             await _watch(client, target, listing.revision, clock)
         except StoreError as error:
             if error.kind is StoreErrorKind.HISTORY_GONE:
-                _LOG.info("The history of %s is gone: listed anew.", target.name)
+                _LOG.info("The history of %s has expired; listing again.", target.name)
                 await clock.sleep_ms(_COALESCE_MS)
                 continue
             if not was_unavailable:
--- a/ibisfront/gateway/state/relay_topology.py
+++ b/ibisfront/gateway/state/relay_topology.py
@@ -1,4 +1,4 @@
-"""Which instances watch the store for the others of their zone."""
+"""Selection of the instances that watch the store for others of their zone."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 __all__ = ["RelayTopology"]
 
 _MAXIMUM_DIRECT_WATCHERS = 12
-"""Up to so many instances each watch the store: a change then takes one way
-less, and two watches of three seconds cost each of them 0.7 calls a second."""
+"""Up to this many instances all watch the store directly: a change then takes one
+hop less, and two watches of 3 s cost each instance 0.7 calls per second."""
 
 _SOURCES_PER_ZONE = 3
-"""How many instances of a zone may be followed, in this order: a third stands
-in while one is lost and another is turned away by the store."""
+"""State sources per zone, in order of preference: the third is the standby while one
+is lost and another is rejected by the store."""
 
 
 class RelayTopology:
-    """The instances that pass the store's state on to the others.
+    """State sources that relay the store's state to other instances.
 
-    Each call of the store has a price, and its rates grow more slowly than the
-    number of instances. The first instance of each zone watches the store; the
-    next ones stand in for it, in turn. Each instance works the order out by
-    itself from the same list; a list that is some seconds old costs calls, and
-    breaks nothing, since only those that watch the store are followed.
+    Each call of the store has a cost, and the permitted call rate grows more slowly
+    than the number of instances. The first instance of each zone watches the store;
+    the next ones are its standbys, in order. Each instance computes the order on its
+    own from the same list. An outdated list costs extra calls but is harmless, since
+    instances subscribe only to those that watch the store.
 
     Parameters
     ----------
     own : InstanceEntry
-        This instance.
+        Entry of this instance.
 
     Attributes
     ----------
     sources : sequence of InstanceEntry
-        The instances to follow, the first choice first; empty for one that
-        watches the store.
+        Instances to subscribe to, in order of preference; empty for an instance
+        that watches the store.
     neighbours : sequence of InstanceEntry
-        Whom to follow for a while if the store serves neither this instance nor
-        those of its zone that it may follow: all others where each watches the
-        store, else those that may be followed in other zones.
+        Instances to subscribe to temporarily if the store serves neither this
+        instance nor the sources of its zone: all others where each instance watches
+        the store, otherwise the sources of other zones.
     is_source : bool
-        Whether others may follow this instance.
+        Whether other instances may subscribe to this one.
     is_loaded : bool
-        Whether the list of instances was read.
+        Whether the list of instances has been read.
     """
 
     __slots__ = ("_own", "is_loaded", "is_source", "neighbours", "sources")
@@ -61,11 +61,11 @@
         self.is_loaded = False
 
     def is_same_zone(self, entry: InstanceEntry) -> bool:
-        """Return whether an instance is in the zone of this one."""
+        """Return whether an instance is in the same zone as this one."""
         return entry.zone == self._own.zone
 
     def update(self, instances: Sequence[InstanceEntry]) -> None:
-        """Work them out anew from all instances that are listed."""
+        """Recompute the topology from all listed instances."""
         self.is_loaded = True
         self.sources = ()
         self.neighbours = ()
--- a/ibisfront/gateway/state/route_cache.py
+++ b/ibisfront/gateway/state/route_cache.py
@@ -1,4 +1,4 @@
-"""Routes that were decoded before, by their text."""
+"""Cache of decoded routes, by their encoded text."""
 
 from __future__ import annotations
 
@@ -13,11 +13,10 @@
 
 
 class RouteCache:
-    """Keeps the routes of the last version that was read.
+    """Reuses the decoded routes of the previous configuration version.
 
-    Routes that are written as in the version before are taken from there, and both
-    versions share them: queries wait while thousands are read anew
-    (``benchmarks.configuration_cost``).
+    Routes whose text is unchanged are shared by both versions, since queries wait
+    while thousands of routes are decoded.
     """
 
     __slots__ = ("_by_text",)
@@ -28,9 +27,9 @@
     def routes(
         self, texts: Iterable[bytes], decode: Callable[[bytes], Route]
     ) -> tuple[Route, ...]:
-        """Return the routes with these texts, decoding those that are new.
+        """Return the routes with these texts, decoding only new ones.
 
-        What the decoder raises is passed on, and the last version stays.
+        Errors of the decoder propagate and leave the cache unchanged.
         """
         routes: dict[bytes, Route] = {}
         for text in texts:
--- a/ibisfront/gateway/state/state_codec.py
+++ b/ibisfront/gateway/state/state_codec.py
@@ -1,4 +1,4 @@
-"""The encoded form of the state that instances pass on."""
+"""Encoding of the state that instances relay to each other."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 __all__ = ["MAXIMUM_STATE_BYTES", "decode_state", "encode_state"]
 
 MAXIMUM_STATE_BYTES = 8 * 1024 * 1024
-"""A larger state is an error: 35,000 servers take 4.6 MB."""
+"""Maximum decompressed size; 35,000 servers take 4.6 MB."""
 
 _COMPRESS_FROM_BYTES = 1_024
-"""Below this a message fits in a packet or so as it is."""
+"""Smaller messages fit in about one packet without compression."""
 
 _COMPRESSION_LEVEL = 1
-"""The quickest: links are short, and so is the processor time."""
+"""Fastest level: both bandwidth and processor time are scarce."""
 
 _ZLIB_FIRST_BYTE = b"\x78"
-"""First byte of a compressed message (RFC 1950); an encoded one, which is a map,
-never begins with it."""
+"""First byte of zlib data (RFC 1950). An uncompressed message is a MessagePack map,
+which never begins with it."""
 
 _T = TypeVar("_T")
 
 
 def encode_state(state: msgspec.Struct) -> bytes:
-    """Return a message, compressed if it is large.
+    """Return the encoded message, compressed if large.
 
-    Names of services and hosts stand in it hundreds of times, and the links
-    that it takes are those on which answers travel.
+    Service and host names repeat hundreds of times in it, and the links also carry
+    replies to queries.
     """
     data = msgspec.msgpack.encode(state)
     if len(data) < _COMPRESS_FROM_BYTES:
@@ -38,12 +38,12 @@
 
 
 def decode_state(data: bytes, kind: type[_T]) -> _T:
-    """Return the message.
+    """Return the decoded message.
 
     Raises
     ------
     msgspec.DecodeError
-        If it is none, or too large.
+        If the data is invalid, truncated or too large.
     """
     if data[:1] == _ZLIB_FIRST_BYTE:
         data = _decompress(data)
@@ -55,9 +55,9 @@
     try:
         decompressed = reader.decompress(data, MAXIMUM_STATE_BYTES)
     except zlib.error as error:
-        raise msgspec.DecodeError(f"not decompressed: {error}") from error
+        raise msgspec.DecodeError(f"decompression failed: {error}") from error
     if not reader.eof:
         raise msgspec.DecodeError(
-            f"cut short, or over {MAXIMUM_STATE_BYTES} bytes decompressed"
+            f"truncated, or over {MAXIMUM_STATE_BYTES} bytes decompressed"
         )
     return decompressed
--- a/ibisfront/gateway/state/store.py
+++ b/ibisfront/gateway/state/store.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the platform's store."""
+"""Interface of the platform's store, as the gateway uses it."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """One object of the store.
+    """An object in the store.
 
     Attributes
     ----------
     name : str
-        Its name within its kind.
+        Name, unique within the kind.
     revision : int
-        The store's revision at its last change.
+        Store revision at its last change.
     spec : bytes
-        Its content, as JSON.
+        Content, as JSON.
     """
 
     name: str
@@ -52,7 +52,7 @@
     objects : sequence of StoredObject
         The objects.
     revision : int
-        From where to watch on.
+        Revision from which to watch.
     """
 
     objects: Sequence[StoredObject]
@@ -60,14 +60,14 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch brought; ``revision`` is from where to go on."""
+    """Changes returned by a watch; ``revision`` is where the next watch starts."""
 
     changes: Sequence[ObjectChange]
     revision: int
 
 
 class StoreErrorKind(StrEnum):
-    """Why a call of the store failed."""
+    """Reason why a call of the store failed."""
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
@@ -76,14 +76,14 @@
 
 
 class StoreError(Exception):
-    """A call of the store that failed.
+    """Raised when a call of the store fails.
 
     Parameters
     ----------
     kind : StoreErrorKind
-        Why.
+        Reason of the failure.
     detail : str
-        What was seen.
+        Error message of the underlying failure.
     """
 
     def __init__(self, kind: StoreErrorKind, detail: str) -> None:
@@ -92,13 +92,13 @@
 
 
 class KindClient(Protocol):
-    """Reads the objects of one kind and their changes."""
+    """Lists and watches the objects of one kind."""
 
     async def list_all(self) -> Listing:
-        """Return all objects; raises ``StoreError``."""
+        """Return all objects; raise ``StoreError`` on failure."""
 
     async def watch(self, revision: int) -> Changes:
-        """Return the changes since a revision; raises ``StoreError``."""
+        """Return the changes since a revision; raise ``StoreError`` on failure."""
 
     def close(self) -> None:
         """Close the connection."""
