--- a/ibisfront/gateway/state/state_relay.py
+++ b/ibisfront/gateway/state/state_relay.py
@@ -1,4 +1,4 @@
-"""Passing the store's state on from the instances that watch it."""
+"""Relay of the store's state from the instances that watch it."""
 
 from __future__ import annotations
 
@@ -36,70 +36,71 @@
 _LOG = part_logger(LogPart.PEERS)
 
 _LONG_POLL_MS = 1_000.0
-"""How long a question waits for a change: a source that has died or gone
-silent is noticed after this and the slack."""
+"""How long a request waits for a change. A crashed or unresponsive source is detected
+after this time plus the response grace period."""
 
 _INITIAL_REVISION_RANGE = 2**48
-"""From how many numbers the first revision is drawn."""
+"""Upper bound of the random initial revision."""
 
 _MAXIMUM_REMOVED = 1_000
-"""Removed servers that are remembered, for askers that have not heard of them:
-an asker is a second behind at the most, and a thousand leave in hours."""
+"""Removed servers that are kept for subscribers that have not been notified yet. A
+subscriber is at most a second behind, and a thousand removals take hours."""
 
 _MAXIMUM_ENCODED = 8
-"""Encoded answers that are kept until the next change: followers of one instance
-know one or two revisions, and those that start know none."""
+"""Encoded responses cached until the next change. The subscribers of one source have
+one or two different revisions, and starting ones have none."""
 
 _RESPONSE_GRACE_MS = 500.0
-"""What the answer may take beyond that wait."""
+"""Time allowed for the response beyond the long-poll time."""
 
 FRESH_WAIT_MS = 700.0
-"""How long an asker is kept while this instance has not heard the store yet:
-listing two kinds takes some ten milliseconds, a start half a second."""
+"""How long a request waits while this instance has no answer of the store yet: listing
+two kinds takes some ten milliseconds, a start half a second."""
 
 _FRESH_CHECK_INTERVAL_MS = 50.0
-"""Pause between two looks whether it has."""
+"""Interval between checks for that answer."""
 
 _LOG_FROM_BYTES = 32_768
-"""An answer of this size has a line in the log: it takes 37 ms on a link of
-7 Mbit/s, in which a query's answer waits."""
+"""Responses of this size are logged: one takes 37 ms on a link of 7 Mbit/s, which
+delays replies to queries."""
 
 _COALESCE_MS = 15.0
-"""Pause between a change and the answer, so that changes that come together
-are sent together."""
+"""Pause between a change and the response, so that a burst of changes is sent
+together."""
 
 
 class RelayedState(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What an instance that watches the store knows.
+    """State of a source, relative to what the subscriber already has.
 
     Attributes
     ----------
     revision : int
-        Rises with each change at this instance; not the store's revision.
+        Increases with each change at the source; not the store's revision.
     is_fresh : bool
-        Whether the store answers the instance.
+        Whether the source watches the store and the store answers.
     configuration : Configuration or None
-        The version in force, if it is new to the asker and cannot be told as a
+        The active version, if it is new to the subscriber and cannot be sent as a
         change.
     is_whole : bool
-        Whether ``servers`` are all that there are, and not only those that
+        Whether ``servers`` is the complete list rather than only the entries that
         have changed.
     servers : list of ServerEntry
-        Servers that are new to the asker or have changed.
+        Servers that are new to the subscriber or have changed.
     removed : list of str
-        The ids of servers that are gone.
+        Ids of removed servers.
     instances : list of InstanceEntry or None
-        All instances, if the list is new to the asker.
+        All instances, if the list is new to the subscriber.
     is_cut_off : bool
-        Whether the instance cannot reach the servers, as those of its zone
-        that ask none themselves cannot either.
+        Whether the source cannot reach the servers. This also holds for instances of
+        its zone that send no requests to servers themselves.
     configuration_change : ConfigurationChange or None
-        What leads from the asker's version to the one in force.
+        Change from the subscriber's version to the active one.
     may_lack_servers : bool
-        Whether servers that live may be missing from ``servers``: the store was
-        away, and they may not have written their entries again.
+        Whether live servers may be missing from ``servers``: the store was
+        unavailable, and they may not have rewritten their entries yet.
     evacuated : list of str or None
-        All zones whose servers must get nothing, if that is new to the asker.
+        All evacuated zones, whose servers must get no requests, if the list is new
+        to the subscriber.
     """
 
     revision: int
@@ -116,21 +117,21 @@
 
     @property
     def has_configuration(self) -> bool:
-        """Whether a version is told, whole or as a change."""
+        """Whether it contains a version, in full or as a change."""
         return self.configuration is not None or self.configuration_change is not None
 
 
 class StateRequest(msgspec.Struct, frozen=True):
-    """What an instance says when it asks another one.
+    """Request of a subscriber to a source.
 
     Attributes
     ----------
     known_revision : int
-        The last revision that it had from the other one; 0 for none.
+        Last revision that the subscriber received from the source; 0 for none.
     known_version : int
-        The version of the configuration that it has in force; 0 for none. The
-        state of one that does not hear the store is of use only then: sent at
-        every look while the store is away, it would fill the links.
+        Configuration version active at the subscriber; 0 for none. Only with 0 does
+        a source that is not fresh send its state: sent at each source discovery
+        while the store is unavailable, it would saturate the links.
     """
 
     known_revision: int
@@ -138,23 +139,23 @@
 
 
 class LocalState(msgspec.Struct, frozen=True):
-    """What an instance knows now: the newest of each.
+    """Current state of this instance.
 
     Attributes
     ----------
     configuration : Configuration or None
-        The version in force, if one is known.
+        The active version, if any.
     servers : list of ServerEntry
-        The servers that the store lists.
+        Servers that the store lists.
     instances : list of InstanceEntry
         All instances.
     stale : frozenset of str
-        Servers that the store does not list and that are kept for a while, in
-        case they have not written their entries again after an outage.
+        Servers that the store does not list and that are kept for a grace period, in
+        case they have not rewritten their entries after an outage.
     may_lack_servers : bool
-        Whether servers that live may be missing from ``servers``.
+        Whether live servers may be missing from ``servers``.
     evacuated : frozenset of str or None
-        The zones whose servers must get nothing; None if that is not known.
+        Zones whose servers must get no requests; None if not loaded yet.
     """
 
     configuration: Configuration | None
@@ -166,24 +167,24 @@
 
 
 class StateSource:
-    """Answers other instances that ask for the store's state.
+    """Serves the store's state to subscribers.
 
-    An asker gets what has changed since the revision that it knows. Whole
-    lists at each change would fill a small link for seconds while a new set
-    of some hundred servers starts, and delay the queries on it.
+    A subscriber gets the changes since its revision. Complete lists at each change
+    would saturate a small link for seconds while a new set of a hundred servers
+    starts, and delay queries on it.
 
     Parameters
     ----------
     state : callable
-        Returns what this instance knows.
+        Returns the current state of this instance.
     is_fresh : callable
-        Returns whether this instance watches the store, and it answers.
+        Returns whether this instance watches the store and the store answers.
     may_become_fresh : callable
-        Returns whether that may soon be so.
+        Returns whether it may become fresh soon.
     is_cut_off : callable
         Returns whether this instance cannot reach the servers.
     clock : Clock
-        The tier's clock.
+        Clock of the instance.
     """
 
     __slots__ = (
@@ -223,8 +224,8 @@
         self._is_cut_off = is_cut_off
         self._instances: list[InstanceEntry] = []
         self._clock = clock
-        # Begins anywhere, so that a revision from before a restart is not
-        # taken for one of this process; the time of day may go backwards.
+        # Random, so that a revision from before a restart does not match one of this
+        # process. The time of day is unsuitable: it may go backwards.
         self._revision = secrets.randbelow(_INITIAL_REVISION_RANGE) + 1
         self._changed = trio.Event()
         self._entries: dict[str, ServerEntry] = {}
@@ -240,19 +241,19 @@
         self._oldest_revision = self._revision
 
     def notify_subscribers(self) -> None:
-        """Answer those that wait for a change at once.
+        """Answer all waiting requests at once.
 
-        To be called when the store serves this instance no more, so that they
-        turn elsewhere, and when it is cut off from other zones or no more: an
-        instance that gathers nothing itself would go on taking callers for the
-        second that its question may wait, and the balancer sends callers to a
-        zone as long as any of its instances is ready.
+        To be called when the store stops serving this instance, so that subscribers
+        choose another source, and when a partition from other zones begins or ends.
+        Otherwise an instance that is no coordinator would keep accepting callers for
+        the second that its request may wait, and the load balancer sends callers to
+        a zone as long as any of its instances is ready.
         """
         self._changed.set()
         self._changed = trio.Event()
 
     def record_change(self) -> None:
-        """Note that the configuration or a server may have changed."""
+        """Record a possible change of the state, and notify subscribers of it."""
         state = self._state()
         revision = self._revision + 1
         configuration = state.configuration
@@ -273,7 +274,7 @@
             self.notify_subscribers()
 
     def _record_servers(self, state: LocalState, revision: int) -> bool:
-        """Take in the servers; return whether followers must hear of a change."""
+        """Record the servers; return whether there is a change for subscribers."""
         before = (self._stale, self._may_lack_servers)
         if before != (state.stale, state.may_lack_servers):
             self._encoded.clear()
@@ -288,7 +289,7 @@
                 self._revisions[server_id] = revision
                 self._removed.pop(server_id, None)
                 changed = True
-        # Those that have only lapsed are not told to be gone.
+        # Stale servers are not reported as removed.
         for server_id in self._entries.keys() - listed.keys() - state.stale:
             del self._entries[server_id]
             del self._revisions[server_id]
@@ -297,13 +298,13 @@
         return changed
 
     def _prune_removed(self) -> None:
-        """Keep only the last removed servers; who is further back gets all."""
+        """Drop the oldest removals; subscribers behind them get complete lists."""
         while len(self._removed) > _MAXIMUM_REMOVED:
             oldest = next(iter(self._removed))
             self._oldest_revision = self._removed.pop(oldest)
 
     async def answer(self, request: StateRequest) -> bytes:
-        """Return what has changed, at once or after a wait for a change."""
+        """Return the encoded changes, waiting a while if there are none."""
         if not self._is_fresh():
             await self._wait_until_fresh()
         elif self._is_up_to_date(request):
@@ -319,19 +320,19 @@
         return 0 if newest is None else newest.version
 
     def _is_up_to_date(self, request: StateRequest) -> bool:
-        """Return whether there is nothing to tell an asker.
+        """Return whether there is no change for a subscriber.
 
-        One that asked while its version changed may have got a change to
-        another one than it had by then; it says so the next time.
+        If the subscriber's version changed while a request was pending, the change
+        sent may not apply; its next request then shows a version older than ours.
         """
         has_version = request.known_version >= self._version
         return has_version and request.known_revision == self._revision
 
     def _encoded_for(self, request: StateRequest) -> bytes:
-        """Return the encoded answer.
+        """Return the encoded response, from the cache if possible.
 
-        All followers ask for the same change at once; encoded for each, it would take
-        a source's memory and time that many times over.
+        All subscribers request the same change at once; encoding it for each would
+        multiply the source's memory use and processor time.
         """
         is_fresh = self._is_fresh()
         is_cut_off = self._is_cut_off()
@@ -347,7 +348,7 @@
         return self._encoded[key]
 
     async def _wait_until_fresh(self) -> None:
-        """Wait a moment for the store; an asker would go to the store itself."""
+        """Wait briefly for the store, which the subscriber would call otherwise."""
         until_ms = self._clock.now_ms() + FRESH_WAIT_MS
         while self._may_become_fresh() and self._clock.now_ms() < until_ms:
             await self._clock.sleep_ms(_FRESH_CHECK_INTERVAL_MS)
@@ -387,7 +388,7 @@
     def _configuration_since(
         self, version: int
     ) -> tuple[Configuration | None, ConfigurationChange | None]:
-        """Return the newest version whole, or as a change, or neither."""
+        """Return the newest version, or a change to it, or neither."""
         if version >= self._version:
             return None, None
         change = self._history.change_since(version)
@@ -395,10 +396,10 @@
 
 
 class StateClient(Protocol):
-    """Asks one other instance for its state."""
+    """Requests the state of one other instance."""
 
     async def request(self, request: StateRequest, *, timeout_ms: float) -> bytes:
-        """Return an encoded ``RelayedState``; raises ``OSError``."""
+        """Return an encoded ``RelayedState``; raise ``OSError`` on failure."""
 
     def close(self) -> None:
         """Close the connection."""
@@ -407,21 +408,21 @@
 async def request_state(
     client: StateClient, request: StateRequest, *, name: str
 ) -> RelayedState | None:
-    """Ask another instance once.
+    """Request the state of another instance once.
 
     Parameters
     ----------
     client : StateClient
-        Asks the instance.
-    asked : StateRequest
-        What is known here.
+        Client of the instance.
+    request : StateRequest
+        Revision and version that this instance has.
     name : str
-        The instance, for the log.
+        Name of the instance, for the log.
 
     Returns
     -------
     RelayedState or None
-        Its answer; None if it does not answer, which is logged.
+        The response; None if there is no valid one, which is logged.
     """
     try:
         data = await client.request(
--- a/ibisfront/gateway/state/state_sync.py
+++ b/ibisfront/gateway/state/state_sync.py
@@ -1,4 +1,4 @@
-"""Where an instance gets the store's state from: the store or another one."""
+"""Selection of the state source of an instance: the store or another instance."""
 
 from __future__ import annotations
 
@@ -33,66 +33,66 @@
 _LOG = part_logger(LogPart.PEERS)
 
 _TOPOLOGY_CHECK_INTERVAL_MS = 250.0
-"""How often an instance that watches the store looks whether others follow it
-now, or no more; a watch of a source waits for less."""
+"""How often an instance that watches the store checks whether it has become a state
+source or has ceased to be one: the watches of sources use a shorter wait."""
 
 _DISCOVERY_INTERVAL_MS = 5_000.0
-"""How often an instance that hears the store looks for one to follow. One that
-stands in for a lost one does so for as long as that one is listed."""
+"""Interval between searches for a source while the store answers. A standby of a lost
+source searches for as long as the lost one is listed."""
 
 _OUTAGE_DISCOVERY_INTERVAL_MS = 700.0
-"""The same while the store is away: it may serve another one already."""
+"""The same while the store is unavailable: it may serve other instances already."""
 
 _SUBSCRIBER_MAXIMUM_BACKOFF_MS = 3_000.0
-"""Longest wait between tries of the store for an instance that others do not
-follow. It finds out by those that are tried more often; each refused call has a
-price, and nearly all instances are such. It stays below the contact bound, in case
-all of those are lost."""
+"""Maximum backoff at the store for instances that are not sources. Nearly all
+instances are such, each refused call has a cost, and they learn of the recovery from
+the sources, which retry more often. It is below the contact time limit in case all
+sources are lost."""
 
 _STARTUP_DISCOVERY_MS = 1_000.0
-"""How long a starting instance looks for one to follow: after a loss of power
-they all start within about this time of each other."""
+"""How long a starting instance searches for a source: after a power failure all
+instances start within about this time of each other."""
 
 _STARTUP_RETRY_MS = 100.0
-"""Pause between two such looks."""
+"""Pause between two such searches."""
 
 _STANDBY_DISCOVERY_MS = 150.0
-"""How long one that others may follow looks for each of those before it: all the
-others wait for it meanwhile."""
+"""How long a starting standby searches, per source preferred to it: all other
+instances wait for it meanwhile."""
 
 _NEXT_SOURCE_DELAY_MS = 60.0
-"""After how long without an answer the next source is asked too: several ways within
-a zone, and the time in which a busy process answers."""
+"""Time without a response after which the next source is requested too: several
+network round trips within a zone, plus the response time of a busy process."""
 
 _NEIGHBOUR_SAMPLE_SIZE = 4
-"""Neighbours that are asked at once whether they hear the store: with a third of
-the instances turned away, one in eighty such looks finds none."""
+"""Neighbours that are requested concurrently: if the store rejects a third of the
+instances, one in eighty such searches finds no fresh one."""
 
 _UNSERVED_THRESHOLD = 4
-"""So many instances that answer and do not hear the store, and none that does, mean
-that the store serves nobody: three of the own zone may be turned away together."""
+"""Number of responding instances without an answer of the store, and none with one,
+that indicates a complete outage: three of the own zone may be rejected together."""
 
 _OUTAGE_WAIT_MS = 6_000.0
-"""How long an instance that others do not follow leaves such a store alone."""
+"""How long an instance that is no source does not call the store in such an outage."""
 
 _NEIGHBOUR_SUBSCRIPTION_MS = 5_000.0
-"""How long a neighbour is followed before the store is tried again. Outages of
-single instances last seconds, and each refused call has a price."""
+"""How long an instance subscribes to a neighbour before it retries the store. Outages
+that affect single instances last seconds, and each refused call has a cost."""
 
 
 class _Source(msgspec.Struct):
-    """An instance that was found to hear the store.
+    """An instance that responded with fresh state.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the instance.
     client : StateClient
-        Asks it; to be closed by who takes it.
+        Client of the instance; closed by the subscriber.
     state : RelayedState
-        What it said.
+        Its response.
     is_same_zone : bool
-        Whether it is in the zone of this one.
+        Whether it is in the same zone as this instance.
     """
 
     name: str
@@ -107,7 +107,7 @@
 
 
 class _Mode(Enum):
-    """What the instance does now."""
+    """Current mode of the instance."""
 
     SEEKING = "seeking"
     SUBSCRIBED = "following"
@@ -117,38 +117,38 @@
 class StateSync:
     """Keeps the configuration, the servers and the instances up to date.
 
-    It follows one of the instances that watch the store. While none can be
-    followed, because they are lost, silent or turned away by the store, it
-    watches the store itself.
+    It subscribes to one of the instances that watch the store. While no source is
+    available, because all are lost, unresponsive or rejected by the store, it watches
+    the store itself.
 
     Parameters
     ----------
     topology : RelayTopology
-        Whom to follow.
+        Sources of this instance.
     connect : callable
-        Returns a client that asks the instance at an address.
+        Returns a client for the instance at an address.
     watch : callable
         Watches the store for as long as the nursery runs, with these options.
     apply : callable
-        Takes in a state that another instance passed on.
+        Applies a state relayed by another instance.
     on_partitioned : callable
-        Told with each answer of an instance of the zone its name, and whether it is
-        cut off from the servers.
+        Called with each response of an instance of the zone: its name, and whether
+        it is partitioned from the servers.
     on_unreachable : callable
-        Told the name of an instance that does not answer any more.
+        Called with the name of an instance that has stopped responding.
     known_version : callable
-        Returns the version of the configuration in force; 0 for none.
+        Returns the active configuration version; 0 for none.
     seeds : sequence of str
         Addresses of some other instances, for a start without the store.
     clock : Clock
-        The tier's clock.
+        Clock of the instance.
     is_first_start : bool, optional
-        Whether all instances start for the first time, and nobody calls yet.
+        Whether all instances start for the first time, before any caller traffic.
 
     Attributes
     ----------
     unavailable : set of str
-        The kinds for which the store does not answer, and those not read yet.
+        Kinds for which the store does not answer, and those not listed yet.
     """
 
     __slots__ = (
@@ -203,29 +203,29 @@
         self._watch_started_ms = -math.inf
         self._kind_count = 0
         self._is_reported_partitioned = False
-        # Who answered the last look without hearing the store.
+        # Instances that responded to the last search without an answer of the store.
         self._unserved: set[str] = set()
         self.unavailable: set[str] = set()
-        # Entries lapse while the store is away: servers that are missing from
-        # the next list may live.
+        # Entries expire while the store is unavailable: servers missing from the
+        # next listing may be live.
         self._store_was_unavailable = False
 
     @property
     def is_fresh(self) -> bool:
-        """Whether others may follow: only one that hears the store itself.
+        """Whether others may subscribe: only while the store answers this instance.
 
-        Two instances that followed each other would both seem up to date for
-        ever.
+        Two instances subscribed to each other would both appear up to date
+        indefinitely.
         """
         return self._mode is _Mode.WATCHING and not self.unavailable
 
     @property
     def may_become_fresh(self) -> bool:
-        """Whether it is worth to wait for this one.
+        """Whether requests should wait for this instance to become fresh.
 
-        One that was turned away by the store, or has waited for its first
-        answer for a while, must not hold up those that ask it: a change is
-        due at them although it is not here.
+        An instance that the store rejects, or that has waited a while for the first
+        answer, must not delay its subscribers: they need changes that it does not
+        get.
         """
         if self._mode is _Mode.WATCHING:
             age_ms = self._clock.now_ms() - self._watch_started_ms
@@ -234,15 +234,15 @@
 
     @property
     def watches_store(self) -> bool:
-        """Whether the list of instances must be read here too."""
+        """Whether this instance must also read the list of instances."""
         return self._mode is not _Mode.SUBSCRIBED
 
     @property
     def _accepts_stale_state(self) -> bool:
-        """Whether what another instance knew earlier is better than nothing.
+        """Whether outdated state of another instance is better than none.
 
-        Once the store has listed one kind, the older list of another instance
-        would take the place of the newer one, and no change would follow.
+        Once the store has listed one kind, an older list from another instance would
+        replace the newer one, and no change would correct it.
         """
         has_listed = (
             self._mode is _Mode.WATCHING and len(self.unavailable) < self._kind_count
@@ -250,11 +250,11 @@
         return not has_listed and not self._known_version()
 
     def record_listed(self) -> None:
-        """Note that the list of instances was read, or could not be."""
+        """Record that the list of instances was read, or that reading it failed."""
         self._instances_listed.set()
 
     async def run(self) -> None:
-        """Keep up to date until cancelled."""
+        """Keep the state up to date until cancelled."""
         await self._instances_listed.wait()
         async with trio.open_nursery() as nursery:
             if not self._topology.is_loaded:
@@ -278,18 +278,18 @@
                 source = await self._find_source() if self._topology.sources else None
 
     async def _request_seeds(self) -> None:
-        """Take what other instances know while the store is away at the start.
+        """Apply the state of other instances if the store is unavailable at start.
 
-        Without a configuration every caller would be refused until the store
-        is back. The store is looked for meanwhile: seeds that are lost or cut
-        off answer nothing for a second each.
+        Without a configuration all callers would be rejected until the store
+        recovers. The store is tried concurrently, since each lost or partitioned
+        seed takes a second to time out.
         """
         async with trio.open_nursery() as nursery:
             for address in self._seeds:
                 nursery.start_soon(self._request_seed, address)
 
     async def _request_seed(self, address: Address) -> None:
-        # Perhaps of another zone: not to be followed.
+        # Possibly in another zone: no subscription.
         source = await self._request(address, address, is_same_zone=False)
         if source is None:
             return
@@ -298,7 +298,7 @@
                 self._apply(source.state)
 
     async def _find_source_at_start(self) -> _Source | None:
-        """Look for an instance to follow while all may be starting."""
+        """Search for a source while all instances may be starting."""
         if self._topology.is_source and not self._is_first_start:
             return await self._find_source_as_standby()
         until_ms = self._clock.now_ms() + _STARTUP_DISCOVERY_MS
@@ -310,7 +310,7 @@
         return None
 
     async def _find_source_as_standby(self) -> _Source | None:
-        """Look for one to follow, and give up soon: others wait for this one."""
+        """Search for a source only briefly, since other instances wait for this one."""
         source = None
         with self._clock.timeout_ms(
             _STANDBY_DISCOVERY_MS * len(self._topology.sources)
@@ -320,20 +320,20 @@
                 if source is None:
                     await self._clock.sleep_ms(_STARTUP_RETRY_MS)
         if source is None:
-            # Those before it may have been slower to start.
+            # The preferred sources may have been slower to start.
             self._next_discovery_ms = self._clock.now_ms() + _STARTUP_DISCOVERY_MS
         return source
 
     async def _find_source(self) -> _Source | None:
-        """Return a source that hears the store; None if none does."""
+        """Return an instance with fresh state; None if there is none."""
         self._unserved.clear()
         self._is_reported_partitioned = False
         source = await self._request_in_order(self._topology.sources)
         if source is not None:
             return source
         if self._is_reported_partitioned:
-            # Nobody elsewhere can be reached; asking them would put off the next
-            # look, and with it what keeps this instance out of rotation.
+            # Other zones are unreachable; requests to them would delay the next search,
+            # whose reports keep this instance out of rotation.
             return None
         if self.unavailable or self._mode is not _Mode.WATCHING:
             return await self._find_neighbour()
@@ -342,10 +342,10 @@
     async def _request_in_order(
         self, entries: Sequence[InstanceEntry]
     ) -> _Source | None:
-        """Return the first to answer that hears the store; None if none does.
+        """Return the first instance to respond with fresh state; None if none does.
 
-        Load pattern: a zone has lost power. Its first source is back last, or not at
-        all, and does not even refuse; all others would wait for it in a row.
+        After a power failure in a zone, its first source may recover last or never,
+        and does not even refuse connections; all others would wait for its timeout.
         """
         found: list[_Source] = []
         with ExitStack() as stack:
@@ -371,11 +371,11 @@
         return None
 
     async def _find_source_in_outage(self) -> _Source | None:
-        """Look for a source without the store, while it seems to serve nobody.
+        """Search for a source without calling the store, during a complete outage.
 
-        Nearly all instances are followers. Each would try the store again and again,
-        and list all servers as soon as it is back, although those that watch it for
-        the others know them a moment later.
+        Nearly all instances are subscribers. Each would retry the store repeatedly
+        and list all servers on its recovery, although the sources relay them a moment
+        later.
         """
         until_ms = self._clock.now_ms() + _OUTAGE_WAIT_MS
         while (
@@ -390,10 +390,10 @@
         return None
 
     async def _find_neighbour(self) -> _Source | None:
-        """Return a neighbour that hears the store; None if none that is asked does.
+        """Return a sampled neighbour with fresh state; None if there is none.
 
-        The store may turn away some instances and serve the others. Those
-        turned away would go by the servers and the version that they had.
+        The store may reject some instances and serve others. The rejected ones would
+        continue with outdated servers and configuration.
         """
         found: list[_Source] = []
 
@@ -420,7 +420,7 @@
     async def _request(
         self, name: str, address: Address, *, is_same_zone: bool
     ) -> _Source | None:
-        """Ask an instance; return it if it hears the store."""
+        """Request the state of an instance; return it as source if fresh."""
         client = self._connect(address)
         with ExitStack() as stack:
             stack.callback(client.close)
@@ -435,7 +435,7 @@
     def _record_response(
         self, name: str, state: RelayedState | None, *, is_same_zone: bool
     ) -> None:
-        """Take in what an answer, or none, says besides what the store holds."""
+        """Record what a response, or a missing one, says of the instance itself."""
         if state is None:
             self._on_unreachable(name)
             return
@@ -452,7 +452,7 @@
                 self._apply(state)
 
     async def _subscribe(self, source: _Source) -> None:
-        """Take in an instance's state until it fails or hears no store."""
+        """Apply an instance's state until it fails or is no longer fresh."""
         with closing(source.client):
             _LOG.info("The state comes from %s from now on.", source.name)
             self._mode = _Mode.SUBSCRIBED
@@ -480,10 +480,10 @@
         )
 
     async def _watch_until_source_found(self) -> _Source | None:
-        """Watch the store until there is an instance to follow.
+        """Watch the store until a source is found.
 
-        The watch goes on during a look: others may follow this instance, and
-        would all turn away from it, and fetch the whole state elsewhere.
+        The watch continues during a search: otherwise the subscribers of this
+        instance would all switch sources and fetch the complete state there.
         """
         source = None
         async with trio.open_nursery() as nursery:
@@ -494,7 +494,7 @@
             self._watch(nursery, self._options())
             self._kind_count = len(self.unavailable)
             discovered_ms = self._watch_started_ms
-            # Others follow this instance now, or no more: it watches anew.
+            # Restart the watch when this instance becomes or ceases to be a source.
             while source is None and self._topology.is_source is is_source:
                 await self._clock.sleep_ms(_TOPOLOGY_CHECK_INTERVAL_MS)
                 pause_ms = (
