--- a/ibisfront/testing/gateway_fixture.py
+++ b/ibisfront/testing/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A gateway over stand-in backend servers, without sockets, in any clock."""
+"""A gateway with fake backend servers, without sockets, on any clock."""
 
 from __future__ import annotations
 
@@ -59,37 +59,37 @@
 ]
 
 HOST = "search.example"
-"""The host of the routes."""
+"""Host of the routes."""
 
 CONNECT_MS = 1.0
-"""How long connecting to a stand-in takes."""
+"""Time that connecting to a fake server takes."""
 
 
 class FakeServer:
-    """A backend server that does what a test sets.
+    """A fake backend server whose behaviour is set by a test.
 
     Attributes
     ----------
     latency_ms : float
-        How long a reply takes; infinite for silence.
+        Time until it replies; infinite for no reply.
     status : int
-        The status of its replies.
+        Status of its replies.
     not_run : bool
-        Whether it says that it did not run what it was sent.
-    loses : bool
+        Whether it reports that it did not execute the request.
+    drops_connections : bool
         Whether it closes the connection instead of replying.
-    accepts : bool
-        Whether connections to it open.
+    accepts_connections : bool
+        Whether it accepts connections.
     body : bytes
-        The body of its replies.
+        Body of its replies.
     received : list of Exchange
-        What reached it, in order.
-    left_ms : list of float
-        How much time each request said was left.
+        Received exchanges, in order.
+    remaining_ms : list of float
+        Remaining time stated by each request.
     running, connections, opened : int
-        Requests at work now, connections now, and connections ever.
+        Requests in progress, open connections, and connections ever opened.
     cancelled : int
-        How many requests were cut by closing their connection.
+        Requests cancelled by closing their connection.
     """
 
     __slots__ = (
@@ -125,7 +125,7 @@
 
 
 class InMemoryConnection:
-    """What connections without sockets share; see ``ServerConnection``."""
+    """Base class of connections without sockets; see ``ServerConnection``."""
 
     __slots__ = ("_exchange", "_scope", "_sent", "expires_at_ms")
 
@@ -137,7 +137,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it can take an exchange."""
+        """Whether an exchange can be sent on it."""
         return self._exchange is None and not self._scope.cancel_called
 
     def close(self) -> None:
@@ -146,7 +146,7 @@
 
 
 class _FakeServerConnection(InMemoryConnection):
-    """A connection to a stand-in server."""
+    """A connection to a fake server."""
 
     __slots__ = ("_server",)
 
@@ -155,7 +155,7 @@
         self._server = server
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
-        """Take an exchange to the server."""
+        """Send an exchange to the server."""
         payload = exchange.payload(now_ms)
         remaining = payload.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]
         self._server.remaining_ms.append(float(remaining))
@@ -211,7 +211,7 @@
 
 
 def connect_to(server: FakeServer) -> ServerConnection:
-    """Return an open connection to a stand-in server."""
+    """Return an open connection to a fake server."""
     server.opened += 1
     return _FakeServerConnection(server)
 
@@ -219,7 +219,7 @@
 def gather_route(
     services: int, *, minimum: float = 0.75, prefix: str = "part", **changes: object
 ) -> Route:
-    """Return a route over services ``part-0`` and so on."""
+    """Return a scatter-gather route to services ``part-0`` and so on."""
     names = tuple(f"{prefix}-{number}" for number in range(services))
     fields: dict[str, object] = {
         "name": "search",
@@ -252,27 +252,27 @@
 
 
 class GatewayFixture:
-    """A gateway with two stand-in servers for each service of its routes.
+    """A gateway with fake servers for each service of its routes.
 
     Parameters
     ----------
     routes : Route
         The routes.
     latency_ms : float
-        How long a server's reply takes at first.
+        Initial latency of the servers.
     servers : int
-        How many servers each service has.
+        Number of servers of each service.
     allowance : float
-        Extra sub-requests that a service may get besides its share.
+        Extra attempts that a service may get in addition to its ratio.
     zone : str
-        The availability zone of the servers; the gateway is in ``z0``.
+        Availability zone of the servers; the gateway is in ``z0``.
 
     Attributes
     ----------
     monitors_zone_paths : bool
-        Whether ways to other zones are found cut; to be set before it runs.
+        Whether partitions of other zones are detected; set before it runs.
     zone_changes : int
-        How often one was found cut, or open again.
+        Number of times that a partition was detected or found to have ended.
     """
 
     def __init__(
@@ -300,7 +300,7 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[Gateway]:
-        """Run the gateway for the length of the block."""
+        """Run the gateway for the duration of the block."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             paths = ZonePaths("z0")
@@ -344,7 +344,7 @@
     async def send_request(
         self, path: str = "/search/a", *, deadline_ms: float = 1000.0
     ) -> CallerReply:
-        """Ask the gateway as a caller would."""
+        """Send a request to the gateway as a caller."""
         request = InboundRequest(
             method=b"GET",
             target=path.encode(),
@@ -358,7 +358,7 @@
         return await self.gateway.answer(request)
 
     def accept_requests_after(self, service: str, delay_s: float) -> None:
-        """Let the servers of a service take work again after a while."""
+        """Let the servers of a service execute requests again after a delay."""
         self._nursery.start_soon(self._accept_requests, service, delay_s)
 
     async def _accept_requests(self, service: str, delay_s: float) -> None:
@@ -367,7 +367,7 @@
             server.not_run = False
 
     def all_servers(self) -> list[FakeServer]:
-        """Return every stand-in."""
+        """Return all fake servers."""
         return [server for servers in self.servers.values() for server in servers]
 
     def _add(self, service: str, number: int, latency_ms: float) -> None:
--- a/ibisfront/tests/test_gateway_configuration_change.py
+++ b/ibisfront/tests/test_gateway_configuration_change.py
@@ -1,4 +1,4 @@
-"""Tests of what differs between two versions of the configuration."""
+"""Tests of the differences between two versions of the configuration."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def random_configuration(version, rng):
-    """Return a version with routes drawn from a few, in any order."""
+    """Return a version with random routes of a small set, in random order."""
     names = rng.sample("abcdefgh", rng.randrange(9))
     routes = tuple(route(name, rng.choice((1000.0, 2000.0))) for name in names)
     services = {"s": RoutedService("s", rng.choice((10, 20)))}
@@ -46,9 +46,9 @@
 
 
 class ChangeTest(unittest.TestCase):
-    """A change leads to exactly the version that it was made from."""
+    """Applying a change reproduces the later version exactly."""
 
-    def test_one_route_more_is_all_that_is_told(self):
+    def test_change_contains_only_the_added_route(self):
         before = configuration(1, "abc")
         after = configuration(2, "abcd")
         change = compute_change(before, after)
@@ -58,7 +58,7 @@
         )
         self.assertEqual(apply_change(before, change), after)
 
-    def test_route_that_is_gone_is_told(self):
+    def test_change_contains_the_removed_route(self):
         before = configuration(1, "abc")
         after = configuration(2, "ac")
         change = compute_change(before, after)
@@ -76,16 +76,16 @@
                 self.assertEqual(apply_change(before, change), after)
         self.assertGreater(applied, 0)
 
-    def test_what_cannot_be_told_as_a_change_is_not(self):
+    def test_no_change_if_it_would_not_reproduce_the_version(self):
         before = configuration(1, "ab")
         self.assertIsNone(compute_change(before, configuration(2, "ba")))
         self.assertIsNone(compute_change(before, configuration(2, "abb")))
 
 
 class HistoryTest(unittest.TestCase):
-    """Versions that others may still have."""
+    """Changes since versions that subscribers may still have."""
 
-    def test_change_is_told_since_each_version_that_is_kept(self):
+    def test_changes_exist_since_each_kept_version(self):
         history = ConfigurationHistory()
         for version in range(1, 30):
             history.add(configuration(version, "abcdefgh"[: version % 9]))
@@ -94,7 +94,7 @@
         self.assertEqual(kept[-1], newest.version - 1)
         self.assertLess(len(kept), 10)
 
-    def test_version_that_is_not_known_gets_no_change(self):
+    def test_no_change_since_an_unknown_version(self):
         history = ConfigurationHistory()
         self.assertIsNone(history.change_since(1))
         history.add(configuration(3, "a"))
--- a/ibisfront/tests/test_gateway_kind_watch.py
+++ b/ibisfront/tests/test_gateway_kind_watch.py
@@ -1,4 +1,4 @@
-"""Tests of keeping up with the store, in mock time."""
+"""Tests of watching the store, in mock time."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 _KINDS = ("configuration", "servers", "evacuations")
 _OUTAGES = 60
-"""Outages whose calls are counted: the waits are drawn at random."""
+"""Number of outages whose calls are counted, since backoff is random."""
 
 
 class Store:
-    """A store that may be away; counts its calls."""
+    """A fake store that may be unavailable; counts its calls."""
 
     def __init__(self):
         self.is_unavailable = True
@@ -39,10 +39,10 @@
 
 
 class OutageTest(unittest.TestCase):
-    """What an instance asks of a store that is away."""
+    """Calls of an instance to an unavailable store."""
 
     async def _outage(self, kinds, *, for_s=6.0):
-        """Return the calls of an outage, and after how long all kinds are back."""
+        """Return the calls in an outage, and the time until all kinds are listed."""
         store = Store()
         listed_s = []
 
@@ -67,8 +67,8 @@
         return calls, max(listed_s) - back_s
 
     @trio_test
-    async def test_one_feed_tries_a_store_that_is_away(self):
-        """Guards against an outage that costs more calls with each kind."""
+    async def test_only_one_watch_retries_an_unavailable_store(self):
+        """Guards against calls in an outage that multiply with the number of kinds."""
         shared, alone = 0, 0
         for _ in range(_OUTAGES):
             calls, back_s = await self._outage(_KINDS)
--- a/ibisfront/tests/test_gateway_state_codec.py
+++ b/ibisfront/tests/test_gateway_state_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the encoded form of the state that instances pass on."""
+"""Tests of the encoding of relayed state."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
 
 class StateCodecTest(unittest.TestCase):
-    """Small and large states, and bytes that are none."""
+    """Small and large states, and invalid bytes."""
 
-    def test_small_and_large_states_survive(self):
+    def test_small_and_large_states_round_trip(self):
         for servers in (0, 1, 2000):
             with self.subTest(servers):
                 data = encode_state(state(servers))
                 self.assertEqual(decode_state(data, RelayedState), state(servers))
 
-    def test_large_state_takes_a_fraction(self):
+    def test_large_state_is_compressed(self):
         plain = len(msgspec.msgpack.encode(state(2000)))
         self.assertLess(len(encode_state(state(2000))), plain / 4)
 
-    def test_bytes_that_are_no_state_are_refused(self):
-        whole = encode_state(state(2000))
+    def test_invalid_bytes_are_rejected(self):
+        encoded = encode_state(state(2000))
         bomb = zlib.compress(bytes(MAXIMUM_STATE_BYTES + 1))
-        cut = (whole[:-2], whole[:-20])
-        for data in (b"", b"\x78", *cut, b"\x78\x01zzzz", bomb, b"\xc1"):
+        truncated = (encoded[:-2], encoded[:-20])
+        for data in (b"", b"\x78", *truncated, b"\x78\x01zzzz", bomb, b"\xc1"):
             with self.subTest(data[:8]), self.assertRaises(msgspec.DecodeError):
                 decode_state(data, RelayedState)
--- a/ibisfront/tests/test_gateway_state_relay.py
+++ b/ibisfront/tests/test_gateway_state_relay.py
@@ -1,4 +1,4 @@
-"""Tests of passing the store's state on, in mock time."""
+"""Tests of the relay of the store's state, in mock time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DirectClient:
-    """Asks a source without a network."""
+    """A fake client that calls a source without a network."""
 
     def __init__(self, test):
         self.test = test
@@ -45,7 +45,7 @@
 
 
 class StateRelayTest(unittest.TestCase):
-    """An instance follows another one instead of the store."""
+    """An instance subscribes to another one instead of watching the store."""
 
     def setUp(self):
         self.servers = [ServerEntry("a", "s", "10.0.0.1:80", "z1", 2)]
@@ -60,7 +60,7 @@
 
     @asynccontextmanager
     async def subscribed(self):
-        """Run an instance that may follow the source, for the block."""
+        """Run an instance that may subscribe to the source, for the block."""
         clock = Clock()
         self.source = StateSource(
             state=self.state,
@@ -100,13 +100,13 @@
         self.watches += 1
         self.was_unavailable = options.was_unavailable
 
-    def test_state_survives_the_codec(self):
+    def test_state_round_trips_through_msgpack(self):
         state = RelayedState(3, True, self.configuration, True, self.servers, ["x"])
         data = msgspec.msgpack.encode(state)
         self.assertEqual(msgspec.msgpack.decode(data, type=RelayedState), state)
 
     @trio_test
-    async def test_changes_arrive_and_quiet_costs_one_question_a_second(self):
+    async def test_changes_arrive_and_idle_costs_one_request_a_second(self):
         async with self.subscribed():
             await trio.sleep(5.0)
             self.assertEqual(len(self.applied), 1)
@@ -114,15 +114,15 @@
             self.servers.append(ServerEntry("b", "s", "10.0.0.2:80", "z1", 2))
             self.source.record_change()
             await trio.sleep(0.1)
-        whole, change = self.applied
-        self.assertEqual((whole.is_whole, len(whole.servers)), (True, 1))
-        self.assertIsNotNone(whole.configuration)
+        complete, change = self.applied
+        self.assertEqual((complete.is_whole, len(complete.servers)), (True, 1))
+        self.assertIsNotNone(complete.configuration)
         self.assertEqual((change.is_whole, len(change.servers)), (False, 1))
         self.assertIsNone(change.configuration)
         self.assertEqual(self.watches, 0)
 
     @trio_test
-    async def test_removed_server_is_told_of(self):
+    async def test_removed_server_is_reported(self):
         async with self.subscribed():
             self.servers.clear()
             self.source.record_change()
@@ -130,13 +130,13 @@
         self.assertEqual(self.applied[-1].removed, ["a"])
 
     @trio_test
-    async def test_lapsed_server_is_not_passed_on_nor_told_to_be_gone(self):
-        """A service has no server for seconds after an outage of the store.
+    async def test_stale_server_is_neither_relayed_nor_reported_as_removed(self):
+        """Guards against a service without servers for seconds after an outage.
 
-        Its server lives, and has not written its entry again yet. Told to be gone,
-        it would be missed by all that follow; told to be listed, a removed one would
-        come back to those that know better. Those that ask anew must hear that the
-        list may lack some, and of the server once it is back.
+        Its server is live but has not rewritten its entry yet. Reported as removed, it
+        would be dropped by all subscribers; relayed as listed, a removed server would
+        reappear at subscribers that had dropped it. New subscribers must learn that
+        the list may lack servers, and get the server once it is listed again.
         """
         async with self.subscribed():
             self.stale = frozenset(("a",))
@@ -144,14 +144,14 @@
             await trio.sleep(1.2)
             self.assertEqual([item.removed for item in self.applied], [[]])
             data = await self.source.answer(StateRequest(0))
-            whole = decode_state(data, RelayedState)
-            self.assertEqual((whole.servers, whole.may_lack_servers), ([], True))
+            complete = decode_state(data, RelayedState)
+            self.assertEqual((complete.servers, complete.may_lack_servers), ([], True))
             self.stale = frozenset()
             self.source.record_change()
-            data = await self.source.answer(StateRequest(whole.revision, 1))
-            told = decode_state(data, RelayedState)
-            self.assertEqual((told.servers, told.removed), (self.servers, []))
-            self.assertFalse(told.may_lack_servers)
+            data = await self.source.answer(StateRequest(complete.revision, 1))
+            relisted = decode_state(data, RelayedState)
+            self.assertEqual((relisted.servers, relisted.removed), (self.servers, []))
+            self.assertFalse(relisted.may_lack_servers)
             self.stale = frozenset(("a",))
             self.source.record_change()
             self.servers.clear()
@@ -161,31 +161,31 @@
         self.assertEqual(self.applied[-1].removed, ["a"])
 
     @trio_test
-    async def test_following_ends_when_the_source_does_not_hear_the_store(self):
-        """A zone keeps an old configuration because one instance is cut off.
+    async def test_subscription_ends_when_the_source_is_not_fresh(self):
+        """Guards against an outdated configuration in a zone whose source is rejected.
 
-        The instance that watches the store for the others is turned away by
-        it. It must say so, and the others go to the store themselves.
+        The store rejects the instance that watches it for the others. It must report
+        this, and the others must watch the store themselves.
         """
         async with self.subscribed():
             self.is_fresh = False
             self.source.notify_subscribers()
             await trio.sleep(0.1)
             self.assertEqual(self.watches, 1)
-            # Entries of servers may have lapsed meanwhile.
+            # Server entries may have expired meanwhile.
             self.assertTrue(self.was_unavailable)
 
     @trio_test
-    async def test_following_ends_when_the_source_falls_silent(self):
+    async def test_subscription_ends_when_the_source_is_unresponsive(self):
         async with self.subscribed():
             self.is_silent = True
             await trio.sleep(4.5)
             self.assertEqual(self.watches, 1)
-            # The store was well: a server that is missing now has left.
+            # The store was available: a server that is missing now was removed.
             self.assertFalse(self.was_unavailable)
 
     @trio_test
-    async def test_old_state_is_passed_on_to_those_without_one(self):
+    async def test_stale_state_is_relayed_to_instances_without_any(self):
         async with self.subscribed():
             self.is_fresh = False
             old = await self.source.answer(StateRequest(0))
@@ -194,11 +194,11 @@
             self.assertNotIn(b"10.0.0.1:80", bare)
 
     @trio_test
-    async def test_change_that_did_not_apply_is_told_again_at_once(self):
-        """One instance serves an old version until the next change, hours later.
+    async def test_change_that_did_not_apply_is_resent_at_once(self):
+        """Guards against an outdated version until the next change, hours later.
 
-        It asked for a change to the version that it had. Before the answer came
-        the store had brought another one, to which the change does not apply.
+        An instance requests a change to its version. Before the response arrives it
+        gets another version from the store, to which the change does not apply.
         """
         async with self.subscribed():
             self.configuration = Configuration(5, (), {}, CallerLimits())
@@ -215,14 +215,14 @@
 
 
 class StateRequestTest(unittest.TestCase):
-    """What an asker says, in the target of its request."""
+    """State requests encoded in the target of an HTTP request."""
 
     def parse(self, target):
         return parse_state_request(
             InboundRequest(b"GET", target, "h", "", None, [], b"", 0.0)
         )
 
-    def test_target_says_what_is_known(self):
+    def test_target_contains_revision_and_version(self):
         path = b"/ibisfront/state"
         self.assertEqual(self.parse(path + b"?7&3"), StateRequest(7, 3))
         self.assertEqual(self.parse(path + b"?0&x"), StateRequest(0))
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -1,4 +1,4 @@
-"""Tests of following another instance or the store, in mock time."""
+"""Tests of the choice between the store and a state source, in mock time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FewInstancesTest(unittest.TestCase):
-    """Instances that each watch the store, when it turns some of them away."""
+    """Instances that each watch the store, while it rejects some of them."""
 
     async def _converged_after_s(self, zone, instances):
         started_s = trio.current_time()
@@ -30,17 +30,18 @@
         return trio.current_time() - started_s
 
     @in_small_zone
-    async def test_instances_turned_away_hold_the_newest_version(self, zone, nursery):
-        """A third of the callers get old answers, or none, for nine seconds.
+    async def test_rejected_instances_get_the_newest_version(self, zone, nursery):
+        """Guards against instances with outdated state while the store rejects them.
 
-        The store turns three of eight instances away. They keep the version and
-        the servers that they had, and send requests to servers that are gone.
+        The store rejects three of eight instances. They kept their version and sent
+        requests to removed servers; a third of the callers got outdated replies, or
+        none, for nine seconds.
         """
         zone.start(nursery)
         await trio.sleep(5.0)
         for instance in zone.instances[:3]:
             instance.is_turned_away = True
-        # Until the silence shows: a watch waits up to three seconds.
+        # Until the timeout: a watch waits up to three seconds.
         await trio.sleep(6.0)
         converged_s = []
         for version in range(2, 12):
@@ -50,7 +51,9 @@
         self.assertLess(max(converged_s), 1.0)
 
     @in_small_zone
-    async def test_two_blind_instances_do_not_follow_each_other(self, zone, nursery):
+    async def test_rejected_instances_do_not_subscribe_to_each_other(
+        self, zone, nursery
+    ):
         zone.start(nursery)
         await trio.sleep(5.0)
         for instance in zone.instances:
@@ -65,11 +68,13 @@
         self.assertEqual({item.version for item in zone.instances}, {2})
 
     @in_small_zone
-    async def test_cut_of_another_zone_is_not_taken_for_this_ones(self, zone, nursery):
-        """An instance of a sound zone refuses its callers for a second and a half.
+    async def test_partition_of_another_zone_is_not_attributed_to_this_one(
+        self, zone, nursery
+    ):
+        """Guards against an instance of a healthy zone that rejects its callers.
 
-        The store turned it away, and one of the neighbours that it asks is in a
-        zone that is cut off from the servers, and says so.
+        The store rejects it, and it requests the state of a neighbour in a zone that
+        reports a partition from the servers. Callers were rejected for 1.5 seconds.
         """
         for instance in zone.instances[1:]:
             instance.move_to("z1")
@@ -81,7 +86,7 @@
         self.assertFalse(zone.instances[0].is_reported_cut_off)
 
     @in_small_zone
-    async def test_watch_is_taken_up_again_when_the_store_serves(self, zone, nursery):
+    async def test_watch_resumes_when_the_store_recovers(self, zone, nursery):
         zone.start(nursery)
         await trio.sleep(5.0)
         zone.instances[0].is_turned_away = True
@@ -95,11 +100,11 @@
     async def test_restart_in_an_outage_does_not_wait_for_lost_seeds(
         self, zone, nursery
     ):
-        """All callers are refused for two seconds after the store is back.
+        """Guards against callers rejected for two seconds after the store recovers.
 
-        All machines lost power while the store was away. Each asked the seeds
-        of its settings one after the other, which are down or cut off, before
-        it looked at the store again.
+        All machines restart during an outage of the store. Each requested the state
+        of its seeds, which are down or partitioned, one after the other before it
+        called the store again.
         """
         zone.instances[1].is_down = True
         for instance in zone.instances:
@@ -114,23 +119,24 @@
 
 
 class SeedTest(unittest.TestCase):
-    """Seeds that are asked beside the store."""
+    """Seeds that are requested concurrently with the store."""
 
     @trio_test
-    async def test_old_state_of_a_seed_does_not_replace_what_the_store_listed(self):
-        """A new server gets no requests for hours, a removed one gets them.
+    async def test_stale_state_of_a_seed_does_not_replace_listed_state(self):
+        """Guards against a stale server list that stays in use for hours.
 
-        At a start the store has listed the servers and not yet the
-        configuration, when a seed answers with what it knew before an outage.
-        Its list would take the place of the newer one, and no change follows.
+        At start the store has listed the servers but not yet the configuration when a
+        seed responds with its state from before an outage. Its list would replace the
+        newer one, and no change would correct it: a new server gets no requests, and
+        a removed one does.
         """
         clock, applied = Clock(), []
 
         class Seed:
             async def request(self, request, *, timeout_ms):
                 await trio.sleep(0.01)
-                known = Configuration(1, (), {}, CallerLimits())
-                state = RelayedState(1, False, known, is_whole=True)
+                configuration = Configuration(1, (), {}, CallerLimits())
+                state = RelayedState(1, False, configuration, is_whole=True)
                 return msgspec.msgpack.encode(state)
 
             def close(self):
@@ -162,7 +168,7 @@
 
 
 class StateSyncTest(unittest.TestCase):
-    """Who watches the store, and what the others do."""
+    """Instances that watch the store, and subscribers of them."""
 
     @in_zone
     async def test_one_instance_of_a_zone_watches(self, zone, nursery):
@@ -174,44 +180,43 @@
         self.assertEqual({item.version for item in zone.instances}, {1})
 
     @in_zone
-    async def test_change_reaches_all_while_sources_are_turned_away(
-        self, zone, nursery
-    ):
-        """A zone serves an old configuration since one instance is cut off.
+    async def test_change_reaches_all_while_sources_are_rejected(self, zone, nursery):
+        """Guards against an outdated configuration in a zone whose sources fail.
 
-        The store says nothing to the instance that watches it for the others,
-        nor to those that would stand in for it. The others must have a new
-        version within five seconds all the same.
+        The store does not answer the instance that watches it for the others, nor its
+        standbys. The others must still get a new version within five seconds.
         """
         zone.start(nursery)
         await trio.sleep(8.0)
         longest_s = 0.0
-        for turn in range(66):
-            turned_away = 1 + turn % 3
-            for instance in zone.instances[:turned_away]:
+        for trial in range(66):
+            rejected_count = 1 + trial % 3
+            for instance in zone.instances[:rejected_count]:
                 instance.is_turned_away = True
-            zone.put(turn + 2)
-            longest_s = max(longest_s, await self.converged_after_s(zone, turned_away))
+            zone.put(trial + 2)
+            longest_s = max(
+                longest_s, await self.converged_after_s(zone, rejected_count)
+            )
             await trio.sleep(5.0)
             for instance in zone.instances:
                 instance.is_turned_away = False
-            await trio.sleep(10.0 + 0.173 * (turn % 11))  # another phase of the watch
+            await trio.sleep(10.0 + 0.173 * (trial % 11))  # vary the phase of the watch
         self.assertLess(longest_s, 4.0)
 
     @functools.partial(in_zone, instances=45)
-    async def test_blind_zone_hears_from_another(self, zone, nursery):
-        """A zone refuses every query for seconds, and its callers come again in vain.
+    async def test_rejected_zone_subscribes_to_another_zone(self, zone, nursery):
+        """Guards against a zone that rejects all queries, even retried, for seconds.
 
-        The store turns away all that watch it for a zone. They asked only each other
-        and kept the old version. Those that gather the zone's queries were among
-        them, while those that follow had the new one from the store.
+        The store rejects all sources of a zone. They requested state only from each
+        other and kept the old version. The zone's coordinators were among them, while
+        the subscribers got the new version from the store.
         """
         for number, instance in enumerate(zone.instances):
             instance.move_to(f"z{number % 3}")
         zone.start(nursery)
         await trio.sleep(8.0)
         unserved = [item for item in zone.instances if item.entry.zone == "z0"][:3]
-        for turn in range(12):
+        for trial in range(12):
             for instance in unserved:
                 instance.is_turned_away = instance.reaches_servers = True
             for _ in range(2):
@@ -219,12 +224,12 @@
                 self.assertLess(await self.converged_after_s(zone, 0), 5.0)
             for instance in unserved:
                 instance.is_turned_away = False
-            await trio.sleep(10.0 + 0.173 * turn)
+            await trio.sleep(10.0 + 0.173 * trial)
 
-    async def converged_after_s(self, zone, turned_away):
-        """Return after how long all that the store serves have its version."""
+    async def converged_after_s(self, zone, rejected_count):
+        """Return the time until all instances served by the store have its version."""
         started_s = trio.current_time()
-        served = zone.instances[turned_away:]
+        served = zone.instances[rejected_count:]
         for _ in range(1000):
             if all(instance.version == zone.version for instance in served):
                 break
@@ -246,22 +251,22 @@
     async def test_restarted_zone_does_not_wait_for_a_source_that_is_down(
         self, zone, nursery
     ):
-        """Guards against callers refused until a lost source's silence shows."""
-        lost = zone.instances[0]
-        lost.is_down = True
-        zone.start(nursery, but=lost)
+        """Guards against callers rejected until requests to a lost source time out."""
+        lost_source = zone.instances[0]
+        lost_source.is_down = True
+        zone.start(nursery, but=lost_source)
         self.assertLess(await self.converged_after_s(zone, 1), 0.5)
         await trio.sleep(10.0)
         watching = [item for item in zone.instances if item.state_sync.is_fresh]
         self.assertEqual(watching, [zone.instances[1]])
 
     @in_zone
-    async def test_cut_is_told_to_those_that_ask_no_servers(self, zone, nursery):
-        """Callers go on to be sent to instances of a zone that is cut off.
+    async def test_partition_is_reported_to_all_subscribers(self, zone, nursery):
+        """Guards against callers sent to instances of a partitioned zone.
 
-        Only those that ask servers see the cut. The store is behind it too, so
-        that nobody is followed meanwhile; the others must still hear of it
-        again and again.
+        Only instances that send requests to servers detect the partition. The store
+        is unreachable too, so that there are no subscriptions; the other instances
+        must still get the report repeatedly.
         """
         zone.start(nursery)
         await trio.sleep(8.0)
@@ -274,31 +279,31 @@
             self.assertLess(trio.current_time() - min(converged_s), 1.5)
 
     @in_zone
-    async def test_cut_is_told_at_once_and_so_is_its_end(self, zone, nursery):
-        """Callers are refused in a cut zone for a second longer than need be.
+    async def test_partition_and_its_end_are_reported_at_once(self, zone, nursery):
+        """Guards against callers rejected in a partitioned zone for a second longer.
 
-        The balancer sends callers to a zone as long as any of its instances is
-        ready. Those that gather know of the cut at once; the others hear of it
-        when the answer to their next question is due.
+        The load balancer sends callers to a zone as long as any of its instances is
+        ready. Coordinators detect the partition at once; the others got the report
+        only when their pending request ended.
         """
         zone.start(nursery)
         await trio.sleep(8.0)
-        followers = zone.instances[3:]
+        subscribers = zone.instances[3:]
         for is_cut_off in (True, False):
             for instance in zone.instances[:3]:
                 instance.is_turned_away = is_cut_off
                 instance.source.notify_subscribers()
             await trio.sleep(0.1)
-            told = {item.is_reported_cut_off for item in followers}
-            self.assertEqual(told, {is_cut_off})
+            reports = {item.is_reported_cut_off for item in subscribers}
+            self.assertEqual(reports, {is_cut_off})
 
     @in_zone
-    async def test_outage_of_the_store_is_not_met_by_all_at_once(self, zone, nursery):
-        """An outage costs more calls than a day without one.
+    async def test_outage_does_not_multiply_store_calls(self, zone, nursery):
+        """Guards against an outage that costs more calls than a day without one.
 
-        While the store is away nobody is worth following. Each instance of
-        many would then call the store again and again, and refused calls have
-        a price too. The few that others follow may look for it more often.
+        While the store is unavailable there is no fresh source, and each of many
+        instances would retry the store repeatedly. Refused calls have a cost too.
+        Only the few sources may retry more often.
         """
         zone.start(nursery)
         await trio.sleep(8.0)
@@ -320,13 +325,11 @@
         self.assertEqual({item.version for item in zone.instances}, {7})
 
     @functools.partial(in_zone, instances=45)
-    async def test_followers_leave_a_store_that_serves_nobody_alone(
-        self, zone, nursery
-    ):
-        """The store is called by all instances at once the moment it is back.
+    async def test_subscribers_do_not_call_the_store_in_an_outage(self, zone, nursery):
+        """Guards against calls by all instances at once when the store recovers.
 
-        It was down for five seconds. Each of 45 instances tried it again and again,
-        and then listed all servers, although three instances a zone do so for the
+        The store is down for five seconds. Each of 45 instances retried it repeatedly
+        and then listed all servers, although three sources per zone do so for the
         others.
         """
         for number, instance in enumerate(zone.instances):
@@ -338,18 +341,18 @@
         zone.put(2)
         await trio.sleep(5.0)
         zone.store_refuses = False
-        followers = zone.instances[9:]
+        subscribers = zone.instances[9:]
         self.assertLess(await self.converged_after_s(zone, 0), 2.0)
-        calls = sum(item.calls for item in followers)
+        calls = sum(item.calls for item in subscribers)
         self.assertEqual(calls, 0)
 
     @in_zone
-    async def test_watcher_that_stands_in_for_a_lost_one_is_kept(self, zone, nursery):
-        """The links of a zone are full for hours after one machine was removed.
+    async def test_standby_of_a_lost_source_remains_the_source(self, zone, nursery):
+        """Guards against saturated links for hours after one machine was removed.
 
-        The first instance of a zone never comes back, and the next one watches
-        the store. When it stops watching to look for the first, all others
-        lose it, look for another source, and fetch the whole state again.
+        The first instance of a zone never recovers, and its standby watches the
+        store. If the standby stops its watch to search for the first, all others lose
+        it, search for another source and fetch the complete state again.
         """
         zone.instances[0].is_down = True
         zone.start(nursery, but=zone.instances[0])
@@ -361,11 +364,11 @@
         self.assertEqual(sum(item.calls > 0 for item in zone.instances), 1)
 
     @in_zone
-    async def test_list_after_an_outage_counts_as_one(self, zone, nursery):
-        """All searches fail for seconds just as the store is back.
+    async def test_listing_after_an_outage_is_marked(self, zone, nursery):
+        """Guards against searches that all fail for seconds when the store recovers.
 
-        Entries of servers lapse while the store is away. Whoever lists them
-        first must know that it was, or it drops servers that live.
+        Server entries expire while the store is unavailable. The first listing must
+        be marked as one after an outage, or live servers are dropped.
         """
         zone.start(nursery)
         await trio.sleep(8.0)
@@ -381,13 +384,11 @@
         self.assertTrue(all(lists))
 
     @in_zone
-    async def test_state_is_not_passed_on_again_and_again_in_an_outage(
-        self, zone, nursery
-    ):
-        """The links of a zone are full as long as the store is away.
+    async def test_state_is_not_relayed_repeatedly_in_an_outage(self, zone, nursery):
+        """Guards against saturated links while the store is unavailable.
 
-        Everybody looks for an instance that hears the store. Each of them
-        knows the same state; none must send it along at every look.
+        All instances search for a fresh source, and all have the same state; none may
+        send it in each response.
         """
         zone.start(nursery)
         await trio.sleep(8.0)
@@ -399,7 +400,7 @@
         self.assertLess(zone.bytes_passed_on, 100_000)
 
     @in_zone
-    async def test_following_goes_back_to_one_after_an_outage(self, zone, nursery):
+    async def test_one_instance_watches_again_after_an_outage(self, zone, nursery):
         zone.start(nursery)
         await trio.sleep(8.0)
         for instance in zone.instances:
@@ -413,36 +414,36 @@
         self.assertLess(zone.take_calls(), 25)
 
     @in_zone
-    async def test_start_without_the_store_asks_a_seed(self, zone, nursery):
-        """A restarted instance refuses everything until the store is back.
+    async def test_start_without_the_store_requests_a_seed(self, zone, nursery):
+        """Guards against a restarted instance that rejects all requests in an outage.
 
-        The store is away when it starts, so that not even the list of the
-        other instances can be read. They still know the configuration.
+        The store is unavailable at its start, so that not even the list of instances
+        can be read. The other instances still have the configuration.
         """
         for instance in zone.instances:
             instance.is_turned_away = True
             instance.version = 1
             instance.source.record_change()
-        late = zone.instances[-1]
-        late.version = 0
+        restarted = zone.instances[-1]
+        restarted.version = 0
         zone.start(nursery, is_listed=False)
         await trio.sleep(3.0)
-        self.assertEqual(late.version, 1)
+        self.assertEqual(restarted.version, 1)
 
     @in_zone
-    async def test_seed_is_asked_and_not_followed(self, zone, nursery):
-        """A restarted instance hears of the store through another zone for good.
+    async def test_seed_is_requested_but_not_subscribed_to(self, zone, nursery):
+        """Guards against a permanent subscription to a seed in another zone.
 
-        The store turns it away at its start, and serves the seed. What it is
-        told lets it serve at once; it must go on to look for the store.
+        The store rejects a restarted instance and serves the seed. With the seed's
+        state it can serve at once, but it must continue to call the store.
         """
-        late = zone.instances[-1]
-        zone.start(nursery, is_listed=False, but=late)
+        restarted = zone.instances[-1]
+        zone.start(nursery, is_listed=False, but=restarted)
         await trio.sleep(3.0)
-        late.is_turned_away = True
-        late.state_sync.record_listed()
-        nursery.start_soon(late.state_sync.run)
+        restarted.is_turned_away = True
+        restarted.state_sync.record_listed()
+        nursery.start_soon(restarted.state_sync.run)
         await trio.sleep(0.1)
-        self.assertEqual(late.version, 1)
+        self.assertEqual(restarted.version, 1)
         await trio.sleep(2.0)
-        self.assertGreater(late.calls, 0)
+        self.assertGreater(restarted.calls, 0)
--- a/properties/test_state_properties.py
+++ b/properties/test_state_properties.py
@@ -1,4 +1,4 @@
-"""Properties of passing the store's state on, for any history of changes."""
+"""Properties of the state relay, for arbitrary histories of changes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 )
 
 HISTORIES = 400
-FOLLOWERS = st.integers(0, 1)
+SUBSCRIBERS = st.integers(0, 1)
 STEPS = st.one_of(
     st.tuples(
         st.just("version"),
@@ -39,18 +39,18 @@
         st.integers(1, 3),
     ),
     st.tuples(st.just("server"), st.sampled_from(("i-1", "i-2")), st.integers(0, 2)),
-    st.tuples(st.just("ask"), FOLLOWERS, st.just(True)),
-    st.tuples(st.just("ask"), FOLLOWERS, st.just(False)),
-    st.tuples(st.just("take"), FOLLOWERS, st.none()),
-    st.tuples(st.just("elsewhere"), FOLLOWERS, st.integers(1, 2)),
-    st.tuples(st.just("race"), FOLLOWERS, st.none()),
-    st.tuples(st.just("turn"), FOLLOWERS, st.none()),
+    st.tuples(st.just("ask"), SUBSCRIBERS, st.just(True)),
+    st.tuples(st.just("ask"), SUBSCRIBERS, st.just(False)),
+    st.tuples(st.just("take"), SUBSCRIBERS, st.none()),
+    st.tuples(st.just("elsewhere"), SUBSCRIBERS, st.integers(1, 2)),
+    st.tuples(st.just("race"), SUBSCRIBERS, st.none()),
+    st.tuples(st.just("turn"), SUBSCRIBERS, st.none()),
     st.tuples(st.just("restart"), st.none(), st.none()),
 )
 
 
 def configuration_of(version, names):
-    """Return a version; the timeouts of its routes tell the version's parity."""
+    """Return a version; the timeouts of its routes encode the version's parity."""
     routes = tuple(_route(name, 1000.0 + version % 2) for name in names)
     services = {"s": RoutedService("s", 10 + version % 3)}
     return Configuration(version, routes, services, CallerLimits())
@@ -62,14 +62,14 @@
     return Route(name, "h", f"/{name}/", kind, timeout_ms, 100.0, 2, 0, services)
 
 
-class Follower:
-    """A front process that asks one source; answers may be taken late."""
+class Subscriber:
+    """A front process subscribed to one source; responses may be applied late."""
 
     def __init__(self, clock, nursery):
         local = GatewaySettings("f", "z", "", "", "")
         self.process = FrontProcess(local, clock=clock, nursery=nursery)
         self.revision = 0
-        self.waiting = None
+        self.pending = None
 
     @property
     def configuration(self):
@@ -80,23 +80,25 @@
     def servers(self):
         return {server.entry for server in self.process.registry.servers()}
 
-    def asked(self):
-        known = self.configuration
-        return StateRequest(self.revision, 0 if known is None else known.version)
+    def request(self):
+        configuration = self.configuration
+        return StateRequest(
+            self.revision, 0 if configuration is None else configuration.version
+        )
 
-    def take(self, state):
+    def apply(self, state):
         self.process.take_state(state)
         self.revision = state.revision
 
 
-class Play:
-    """One history: the store's state, its source and those that follow it."""
+class Scenario:
+    """One history: the store's state, a source and its subscribers."""
 
     def __init__(self, nursery):
         self.clock = Clock()
         self.versions = [configuration_of(1, "ab")]
         self.servers = {}
-        self.followers = [Follower(self.clock, nursery) for _ in range(2)]
+        self.subscribers = [Subscriber(self.clock, nursery) for _ in range(2)]
         self.restart()
 
     @property
@@ -104,7 +106,7 @@
         return self.versions[-1]
 
     def restart(self):
-        """Replace the source by one that has only just started."""
+        """Replace the source by one that has just started."""
         self.source = StateSource(
             state=lambda: LocalState(
                 self.configuration, list(self.servers.values()), []
@@ -129,79 +131,83 @@
             del self.servers[server_id]
         self.source.record_change()
 
-    async def ask(self, follower):
-        data = await self.source.answer(follower.asked())
+    async def request_state(self, subscriber):
+        data = await self.source.answer(subscriber.request())
         return decode_state(data, RelayedState)
 
 
 class StateHistoryProperties(unittest.TestCase):
-    """Whoever has asked last holds what the store holds."""
+    """After its last request a subscriber has the same state as the store."""
 
     def setUp(self):
-        # Thousands of versions are put in force, and each is logged.
+        # Thousands of versions are activated, and each is logged.
         log = logging.getLogger("ibisfront")
         self.addCleanup(log.setLevel, log.level)
         log.setLevel(logging.CRITICAL)
 
     @settings(max_examples=HISTORIES, deadline=None, derandomize=True)
     @given(st.lists(STEPS, min_size=12, max_size=30))
-    def test_follower_that_asks_holds_what_the_store_holds(self, history):
-        """An instance serves a mixture of two versions, or an old one for good.
+    def test_subscriber_converges_to_the_store(self, history):
+        """Guards against a mixture of two versions, or an old one for good.
 
-        Versions and servers change while answers are on their way; a follower
-        gets a version from elsewhere meanwhile, or turns to the source anew, and
-        the source restarts and knows no earlier version.
+        Versions and servers change while responses are pending. Meanwhile a subscriber
+        gets a version from another source or starts a new subscription, and the source
+        restarts without earlier versions.
         """
-        trio.run(self._play, history, clock=MockClock(autojump_threshold=0.0))
+        trio.run(self._run_scenario, history, clock=MockClock(autojump_threshold=0.0))
 
-    async def _play(self, history):
+    async def _run_scenario(self, history):
         async with trio.open_nursery() as nursery:
-            play = Play(nursery)
+            scenario = Scenario(nursery)
             for step in history:
-                await self._step(play, *step)
-            for follower in play.followers:
-                follower.revision = 0
-                follower.take(await play.ask(follower))
-                self._check(play, follower)
+                await self._step(scenario, *step)
+            for subscriber in scenario.subscribers:
+                subscriber.revision = 0
+                subscriber.apply(await scenario.request_state(subscriber))
+                self._check(scenario, subscriber)
             nursery.cancel_scope.cancel()
 
-    async def _step(self, play, kind, first, second):
+    async def _step(self, scenario, kind, first, second):
         if kind == "version":
-            play.put_version(first, second)
+            scenario.put_version(first, second)
         elif kind == "server":
-            play.put_server(first, second)
+            scenario.put_server(first, second)
         elif kind == "restart":
-            play.restart()
+            scenario.restart()
         else:
-            await self._follow(play, kind, play.followers[first], second)
+            await self._subscriber_step(
+                scenario, kind, scenario.subscribers[first], second
+            )
 
-    async def _follow(self, play, kind, follower, how):
+    async def _subscriber_step(self, scenario, kind, subscriber, argument):
         if kind == "ask":
-            state = await play.ask(follower)
-            if how:
-                follower.take(state)
-                self._check(play, follower)
+            state = await scenario.request_state(subscriber)
+            if argument:
+                subscriber.apply(state)
+                self._check(scenario, subscriber)
             else:
-                follower.waiting = state
-        elif kind == "take" and follower.waiting is not None:
-            before = follower.configuration
-            follower.take(follower.waiting)
-            follower.waiting = None
+                subscriber.pending = state
+        elif kind == "take" and subscriber.pending is not None:
+            before = subscriber.configuration
+            subscriber.apply(subscriber.pending)
+            subscriber.pending = None
             if before is not None:
-                self.assertGreaterEqual(follower.configuration.version, before.version)
+                self.assertGreaterEqual(
+                    subscriber.configuration.version, before.version
+                )
         elif kind == "elsewhere":
-            # From one that may be a version behind.
-            follower.process.use_configuration(play.versions[-how:][0])
+            # From another source, which may be a version behind.
+            subscriber.process.use_configuration(scenario.versions[-argument:][0])
         elif kind == "race":
-            # A version from elsewhere overtakes the change to the one after it.
-            play.put_version("abc", 1)
-            play.put_version("abd", 1)
-            state = await play.ask(follower)
-            follower.process.use_configuration(play.versions[-2])
-            follower.take(state)
+            # A version from another source arrives before the change to the next one.
+            scenario.put_version("abc", 1)
+            scenario.put_version("abd", 1)
+            state = await scenario.request_state(subscriber)
+            subscriber.process.use_configuration(scenario.versions[-2])
+            subscriber.apply(state)
         elif kind == "turn":
-            follower.revision = 0
+            subscriber.revision = 0
 
-    def _check(self, play, follower):
-        self.assertEqual(follower.configuration, play.configuration)
-        self.assertEqual(follower.servers, set(play.servers.values()))
+    def _check(self, scenario, subscriber):
+        self.assertEqual(subscriber.configuration, scenario.configuration)
+        self.assertEqual(subscriber.servers, set(scenario.servers.values()))
