--- a/ibisfront/gateway/state/state_sync.py
+++ b/ibisfront/gateway/state/state_sync.py
@@ -493,7 +493,7 @@
             _LOG.info("The store is watched from here from now on.")
             self._watch(nursery, self._options())
             self._kind_count = len(self.unavailable)
-            discovered_ms = self._watch_started_ms
+            last_discovery_ms = self._watch_started_ms
             # Restart the watch when this instance becomes or ceases to be a source.
             while source is None and self._topology.is_source is is_source:
                 await self._clock.sleep_ms(_TOPOLOGY_CHECK_INTERVAL_MS)
@@ -503,10 +503,10 @@
                     else _DISCOVERY_INTERVAL_MS
                 )
                 now_ms = self._clock.now_ms()
-                if now_ms >= min(discovered_ms + pause_ms, self._next_discovery_ms):
+                if now_ms >= min(last_discovery_ms + pause_ms, self._next_discovery_ms):
                     self._next_discovery_ms = math.inf
                     source = await self._find_source()
-                    discovered_ms = self._clock.now_ms()
+                    last_discovery_ms = self._clock.now_ms()
             nursery.cancel_scope.cancel()
         self._store_was_unavailable = bool(self.unavailable)
         self._mode = _Mode.SEEKING
