--- a/ibisfront/adapters/peer_codec.py
+++ b/ibisfront/adapters/peer_codec.py
@@ -11,11 +11,11 @@
 
 from ibisfront.core.heartbeat import Heartbeat
 from ibisfront.core.hello import Hello
-from ibisfront.core.ledger_messages import AttemptAnswer, AttemptQuestion
+from ibisfront.core.ledger_messages import AttemptStatusReply, AttemptStatusRequest
 from ibisfront.core.membership import MemberNews, ViewsCompared
 from ibisfront.core.peers import PeerMessage
-from ibisfront.core.quarantine import CrashSeen
-from ibisfront.core.server_signs import ServerSignNews
+from ibisfront.core.quarantine import CrashReport
+from ibisfront.core.server_status import ServerStatusUpdate
 from ibisfront.core.share_messages import ShareGrants, ShareReport
 from ibisfront.core.spread import NewestKnown, ObjectsChanged, ObjectsWanted
 from ibisfront.core.status import StatusReply, StatusRequest
@@ -36,14 +36,14 @@
     | ObjectsChanged
     | ObjectsWanted
     | NewestKnown
-    | ServerSignNews
-    | CrashSeen
+    | ServerStatusUpdate
+    | CrashReport
     | ShareReport
     | ShareGrants
     | StatusRequest
     | StatusReply
-    | AttemptQuestion
-    | AttemptAnswer
+    | AttemptStatusRequest
+    | AttemptStatusReply
 )
 
 
--- a/ibisfront/core/claim_answers.py
+++ b/ibisfront/core/claim_answers.py
@@ -1,4 +1,4 @@
-"""What a caller is told of the record of its key."""
+"""Answers and errors for callers, made from claim records."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ibisfront.core.errors import ErrorKind, IbisfrontError, Ran
 from ibisfront.core.query import PerformAnswer
 
-__all__ = ["answer_of", "not_run_error", "outcome_unknown"]
+__all__ = ["answer_from_record", "not_run_error", "outcome_unknown_error"]
 
 _NO_SERVER_REASONS = (
     MissingReason.NO_SERVER.value,
@@ -17,15 +17,15 @@
 )
 
 
-def answer_of(
+def answer_from_record(
     record: ClaimRecord, *, request_id: str, key: str, repeated: bool
 ) -> PerformAnswer:
-    """Return the answer of a request that ran.
+    """Return the answer to a request that ran.
 
     Raises
     ------
     IbisfrontError
-        If it did not run to a result, with what is known.
+        If there is no result; its ``ran`` states whether the request ran.
     """
     if record.state is ClaimState.RAN:
         result = record.result_json
@@ -36,16 +36,16 @@
             repeated=repeated,
             result_kept=result is not None,
         )
-    raise _error_of(record, key)
+    raise _error_from_record(record, key)
 
 
-def outcome_unknown(key: str, detail: str) -> IbisfrontError:
-    """Return the error of a request that may have run."""
+def outcome_unknown_error(key: str, detail: str) -> IbisfrontError:
+    """Return the error for a request that may have run."""
     return IbisfrontError(ErrorKind.OUTCOME_UNKNOWN, f"{key}: {detail}")
 
 
 def not_run_error(record: ClaimRecord, key: str) -> IbisfrontError:
-    """Return the error of a copy that was claimed and did not run."""
+    """Return the error for a copy that was claimed and did not run."""
     if record.reason == MissingReason.TIMED_OUT:
         return IbisfrontError(
             ErrorKind.DEADLINE_TOO_SHORT, f"{key} was not sent before its deadline"
@@ -53,7 +53,7 @@
     if record.reason == MissingReason.QUARANTINED:
         return IbisfrontError(
             ErrorKind.QUARANTINED,
-            f"{key} was not run: its body crashed backend servers before",
+            f"{key} was not run: its body has crashed backend servers",
             ran=Ran.NO,
         )
     kind = ErrorKind.BACKEND_REFUSED
@@ -62,7 +62,7 @@
     return IbisfrontError(kind, f"{key} was not run: {record.reason}")
 
 
-def _error_of(record: ClaimRecord, key: str) -> IbisfrontError:
+def _error_from_record(record: ClaimRecord, key: str) -> IbisfrontError:
     match record.state:
         case ClaimState.FAILED:
             return IbisfrontError(
@@ -73,6 +73,6 @@
         case ClaimState.NOT_RUN:
             return not_run_error(record, key)
         case ClaimState.UNKNOWN:
-            return outcome_unknown(key, f"its answer was lost: {record.reason}")
+            return outcome_unknown_error(key, f"its reply was lost: {record.reason}")
         case _:
-            return outcome_unknown(key, "another copy holds the claim")
+            return outcome_unknown_error(key, "another copy holds the claim")
