--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -83,7 +83,7 @@
             watch_kind,
             clock=self.zone.clock,
             options=options,
-            outage=StoreOutage(options.after_outage_ms),
+            outage=StoreOutage(options.resume_delay_ms),
         )
         for kind, target in (
             ("config", configuration_target(self.process)),
@@ -100,11 +100,11 @@
         self.client_front = client_front
         self.source_front = client_front.zone.front(address)
 
-    async def ask(self, asked, *, timeout_ms):
+    async def request(self, request, *, timeout_ms):
         with trio.move_on_after(timeout_ms / 1000.0):
             if self.source_front.is_cut_off or self.client_front.is_cut_off:
                 await trio.sleep_forever()
-            data = await self.source_front.process.source.answer(asked)
+            data = await self.source_front.process.source.answer(request)
             if self.source_front.is_cut_off or self.client_front.is_cut_off:
                 await trio.sleep_forever()
             self.client_front.received_bytes += len(data)
