--- a/ibisfront/testing/gateway_fixture.py
+++ b/ibisfront/testing/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A gateway over stand-in backend servers, without sockets, in any clock."""
+"""A gateway with fake backend servers, without sockets, on any clock."""
 
 from __future__ import annotations
 
@@ -50,60 +50,60 @@
 __all__ = [
     "CONNECT_MS",
     "HOST",
+    "FakeServer",
     "GatewayFixture",
-    "StandInConnection",
-    "StandInServer",
+    "InMemoryConnection",
     "connect_to",
     "forward_route",
     "gather_route",
 ]
 
 HOST = "search.example"
-"""The host of the routes."""
+"""Host of the routes."""
 
 CONNECT_MS = 1.0
-"""How long connecting to a stand-in takes."""
+"""Time that connecting to a fake server takes."""
 
 
-class StandInServer:
-    """A backend server that does what a test sets.
+class FakeServer:
+    """A fake backend server whose behaviour is set by a test.
 
     Attributes
     ----------
     latency_ms : float
-        How long a reply takes; infinite for silence.
+        Time until it replies; infinite for no reply.
     status : int
-        The status of its replies.
+        Status of its replies.
     not_run : bool
-        Whether it says that it did not run what it was sent.
-    loses : bool
+        Whether it reports that it did not execute the request.
+    drops_connections : bool
         Whether it closes the connection instead of replying.
-    accepts : bool
-        Whether connections to it open.
+    accepts_connections : bool
+        Whether it accepts connections.
     body : bytes
-        The body of its replies.
+        Body of its replies.
     received : list of Exchange
-        What reached it, in order.
-    left_ms : list of float
-        How much time each request said was left.
+        Received exchanges, in order.
+    remaining_ms : list of float
+        Remaining time stated by each request.
     running, connections, opened : int
-        Requests at work now, connections now, and connections ever.
+        Requests in progress, open connections, and connections ever opened.
     cancelled : int
-        How many requests were cut by closing their connection.
+        Requests cancelled by closing their connection.
     """
 
     __slots__ = (
-        "accepts",
+        "accepts_connections",
         "body",
         "cancelled",
         "connections",
+        "drops_connections",
         "entry",
         "latency_ms",
-        "left_ms",
-        "loses",
         "not_run",
         "opened",
         "received",
+        "remaining_ms",
         "running",
         "status",
     )
@@ -113,31 +113,31 @@
         self.latency_ms = latency_ms
         self.status = 200
         self.not_run = False
-        self.loses = False
-        self.accepts = True
+        self.drops_connections = False
+        self.accepts_connections = True
         self.body = b""
         self.received: list[Exchange] = []
-        self.left_ms: list[float] = []
+        self.remaining_ms: list[float] = []
         self.running = 0
         self.connections = 0
         self.opened = 0
         self.cancelled = 0
 
 
-class StandInConnection:
-    """What connections without sockets share; see ``ServerConnection``."""
+class InMemoryConnection:
+    """Base class of connections without sockets; see ``ServerConnection``."""
 
-    __slots__ = ("_exchange", "_scope", "_taken", "expires_at_ms")
+    __slots__ = ("_exchange", "_scope", "_sent", "expires_at_ms")
 
     def __init__(self) -> None:
         self._exchange: Exchange | None = None
         self._scope = trio.CancelScope()
-        self._taken = trio.Event()
+        self._sent = trio.Event()
         self.expires_at_ms = math.inf
 
     @property
     def is_idle(self) -> bool:
-        """Whether it can take an exchange."""
+        """Whether an exchange can be sent on it."""
         return self._exchange is None and not self._scope.cancel_called
 
     def close(self) -> None:
@@ -145,24 +145,24 @@
         self._scope.cancel()
 
 
-class _StandInServerConnection(StandInConnection):
-    """A connection to a stand-in server."""
+class _FakeServerConnection(InMemoryConnection):
+    """A connection to a fake server."""
 
     __slots__ = ("_server",)
 
-    def __init__(self, server: StandInServer) -> None:
+    def __init__(self, server: FakeServer) -> None:
         super().__init__()
         self._server = server
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
-        """Take an exchange to the server."""
+        """Send an exchange to the server."""
         payload = exchange.payload(now_ms)
-        left = payload.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]
-        self._server.left_ms.append(float(left))
+        remaining = payload.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]
+        self._server.remaining_ms.append(float(remaining))
         self._server.received.append(exchange)
         exchange.sent_at_ms = now_ms
         self._exchange = exchange
-        self._taken.set()
+        self._sent.set()
         return True
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
@@ -173,7 +173,7 @@
             with self._scope:
                 while True:
                     await self._serve_one()
-                    if server.loses:
+                    if server.drops_connections:
                         return
                     on_idle(self)
         finally:
@@ -186,14 +186,14 @@
 
     async def _serve_one(self) -> None:
         server = self._server
-        await self._taken.wait()
-        self._taken = trio.Event()
+        await self._sent.wait()
+        self._sent = trio.Event()
         server.running += 1
         try:
             await trio.sleep(server.latency_ms / 1000.0)
         finally:
             server.running -= 1
-        if server.loses:
+        if server.drops_connections:
             return
         exchange, self._exchange = self._exchange, None
         assert exchange is not None
@@ -210,16 +210,16 @@
         )
 
 
-def connect_to(server: StandInServer) -> ServerConnection:
-    """Return an open connection to a stand-in server."""
+def connect_to(server: FakeServer) -> ServerConnection:
+    """Return an open connection to a fake server."""
     server.opened += 1
-    return _StandInServerConnection(server)
+    return _FakeServerConnection(server)
 
 
 def gather_route(
     services: int, *, minimum: float = 0.75, prefix: str = "part", **changes: object
 ) -> Route:
-    """Return a route over services ``part-0`` and so on."""
+    """Return a scatter-gather route to services ``part-0`` and so on."""
     names = tuple(f"{prefix}-{number}" for number in range(services))
     fields: dict[str, object] = {
         "name": "search",
@@ -252,27 +252,27 @@
 
 
 class GatewayFixture:
-    """A gateway with two stand-in servers for each service of its routes.
+    """A gateway with fake servers for each service of its routes.
 
     Parameters
     ----------
     routes : Route
         The routes.
     latency_ms : float
-        How long a server's reply takes at first.
+        Initial latency of the servers.
     servers : int
-        How many servers each service has.
+        Number of servers of each service.
     allowance : float
-        Extra sub-requests that a service may get besides its share.
+        Extra attempts that a service may get in addition to its ratio.
     zone : str
-        The availability zone of the servers; the gateway is in ``z0``.
+        Availability zone of the servers; the gateway is in ``z0``.
 
     Attributes
     ----------
-    watches_zones : bool
-        Whether ways to other zones are found cut; to be set before it runs.
+    monitors_zone_paths : bool
+        Whether partitions of other zones are detected; set before it runs.
     zone_changes : int
-        How often one was found cut, or open again.
+        Number of times that a partition was detected or found to have ended.
     """
 
     def __init__(
@@ -284,11 +284,11 @@
         zone: str = "z0",
     ) -> None:
         self._zone = zone
-        self.watches_zones = True
+        self.monitors_zone_paths = True
         self.zone_changes = 0
         self.clock = Clock()
         self.routes = routes
-        self.servers: dict[str, list[StandInServer]] = {}
+        self.servers: dict[str, list[FakeServer]] = {}
         names = {name for route in routes for name in route.service_names}
         for service in sorted(names):
             for number in range(servers):
@@ -300,14 +300,14 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[Gateway]:
-        """Run the gateway for the length of the block."""
+        """Run the gateway for the duration of the block."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             paths = ZonePaths("z0")
             self.registry = ServerRegistry(
                 clock=self.clock, make_pool=self._make_pool, zone="z0", paths=paths
             )
-            if self.watches_zones:
+            if self.monitors_zone_paths:
                 nursery.start_soon(self._zone_path_monitor(paths).run)
             for servers in self.servers.values():
                 for server in servers:
@@ -341,10 +341,10 @@
     def _record_zone_change(self) -> None:
         self.zone_changes += 1
 
-    async def ask(
+    async def send_request(
         self, path: str = "/search/a", *, deadline_ms: float = 1000.0
     ) -> CallerReply:
-        """Ask the gateway as a caller would."""
+        """Send a request to the gateway as a caller."""
         request = InboundRequest(
             method=b"GET",
             target=path.encode(),
@@ -357,24 +357,24 @@
         )
         return await self.gateway.answer(request)
 
-    def make_room_after(self, service: str, delay_s: float) -> None:
-        """Let the servers of a service take work again after a while."""
-        self._nursery.start_soon(self._make_room, service, delay_s)
+    def accept_requests_after(self, service: str, delay_s: float) -> None:
+        """Let the servers of a service execute requests again after a delay."""
+        self._nursery.start_soon(self._accept_requests, service, delay_s)
 
-    async def _make_room(self, service: str, delay_s: float) -> None:
+    async def _accept_requests(self, service: str, delay_s: float) -> None:
         await trio.sleep(delay_s)
         for server in self.servers[service]:
             server.not_run = False
 
-    def all_servers(self) -> list[StandInServer]:
-        """Return every stand-in."""
+    def all_servers(self) -> list[FakeServer]:
+        """Return all fake servers."""
         return [server for servers in self.servers.values() for server in servers]
 
     def _add(self, service: str, number: int, latency_ms: float) -> None:
         name = f"{service}-{number}"
         entry = ServerEntry(name, service, name, self._zone, 2)
-        stand_in = StandInServer(entry, latency_ms=latency_ms)
-        self.servers.setdefault(service, []).append(stand_in)
+        server = FakeServer(entry, latency_ms=latency_ms)
+        self.servers.setdefault(service, []).append(server)
 
     def _make_pool(self, server: Server) -> ServerPool:
         return ServerPool(
@@ -390,6 +390,6 @@
             item for item in self.all_servers() if item.entry.address == address
         )
         await trio.sleep(CONNECT_MS / 1000.0)
-        if not server.accepts:
+        if not server.accepts_connections:
             raise ConnectionRefusedError(address)
         return connect_to(server)
--- a/ibisfront/tests/test_front_readiness.py
+++ b/ibisfront/tests/test_front_readiness.py
@@ -55,7 +55,7 @@
 
     def apply_reported_partition(self, process, name, *, is_cut_off):
         state = RelayedState(1, False, is_cut_off=is_cut_off)
-        process.state_sync._heed(name, state, is_near=True)
+        process.state_sync._record_response(name, state, is_same_zone=True)
 
     @trio_test
     async def test_report_of_a_non_coordinator_does_not_end_a_partition(self):
