--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -275,7 +275,7 @@
         await trio.sleep(4.0)
         for _ in range(20):
             await trio.sleep(0.3)
-            converged_s = [item.cut_off_at_s for item in zone.instances[3:]]
+            converged_s = [item.partitioned_at_s for item in zone.instances[3:]]
             self.assertLess(trio.current_time() - min(converged_s), 1.5)
 
     @in_zone
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -39,15 +39,15 @@
         # If set, only the store rejects it; otherwise it is partitioned from all.
         self.reaches_servers = False
         self.is_down = False
-        self.cut_off_at_s = -1e9
+        self.partitioned_at_s = -1e9
         self.is_reported_cut_off = False
         self.lists_after_outage = []
         self.state_sync = StateSync(
             topology=self.topology,
             connect=self.zone.client,
             watch=self.watch,
-            apply=self.take,
-            on_partitioned=self.record_cut_off,
+            apply=self.apply,
+            on_partitioned=self.record_partition,
             on_unreachable=lambda name: None,
             known_version=lambda: self.version,
             seeds=("i1",),
@@ -73,15 +73,15 @@
         servers = self.zone.servers if self.version else []
         return LocalState(configuration if self.version else None, servers, [])
 
-    def take(self, state):
+    def apply(self, state):
         for configuration in (state.configuration, state.configuration_change):
             if configuration is not None:
                 self.version = max(self.version, configuration.version)
 
-    def record_cut_off(self, name, is_cut_off):
-        self.is_reported_cut_off = is_cut_off
-        if is_cut_off:
-            self.cut_off_at_s = trio.current_time()
+    def record_partition(self, name, is_partitioned):
+        self.is_reported_cut_off = is_partitioned
+        if is_partitioned:
+            self.partitioned_at_s = trio.current_time()
 
     def watch(self, nursery, options):
         run = functools.partial(
@@ -102,11 +102,11 @@
             self.lists_after_outage.append(after_outage)
             self.change(())
 
-        def away():
+        def on_unavailable():
             self.state_sync.unavailable.add(kind)
             self.source.notify_subscribers()
 
-        return WatchTarget(kind, replace, self.change, away)
+        return WatchTarget(kind, replace, self.change, on_unavailable)
 
     def change(self, changes):
         self.version = self.zone.version
