--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -1,4 +1,4 @@
-"""The parts of one front process, put together."""
+"""Assembles the components of one front process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from ibisfront.gateway.servers.server_event_log import ServerEventLog
 from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.configuration import CallerLimits, RouteTable
-from ibisfront.gateway.state.configuration_change import changed_configuration
+from ibisfront.gateway.state.configuration_change import apply_change
 from ibisfront.gateway.state.relay_topology import RelayTopology
 from ibisfront.gateway.state.state_relay import LocalState, RelayedState, StateSource
 from ibisfront.gateway.state.state_sync import StateSync
@@ -56,15 +56,15 @@
 _BALANCER_LOG = part_logger(LogPart.INSTANCE)
 
 _PEER_HEADER_BYTES = 1_024
-"""What an instance adds to a caller's headers: four short ones, and a bit for
-each service."""
+"""Size of what an instance adds to a caller's headers: four short ones, and one
+bit per service."""
 
-_UPKEEP_MS = 100.0
-"""How often stale entries and servers out of reach are looked at."""
+_MAINTENANCE_INTERVAL_MS = 100.0
+"""Interval at which stale entries and unreachable servers are processed."""
 
 
 class FrontProcess:
-    """One front process: its parts, and what feeds them.
+    """One front process: its components, and the updates that they receive.
 
     Parameters
     ----------
@@ -82,23 +82,23 @@
     registry, peers : ServerRegistry
         The backend servers and the other instances.
     budgets : RetryBudgets
-        The budgets of extra sub-requests.
+        The budgets of extra attempts.
     connections : Connections
-        How many connections there are to whom.
+        Connection limits of servers and instances.
     observer : Observer
         Counters and latencies.
     own : InstanceEntry
-        What this instance says of itself.
+        The entry under which this instance registers.
     coordinators : Coordinators
-        Which instances gather for the others.
+        Which instances coordinate queries for the others.
     source : StateSource
-        Passes the store's state on to other instances.
+        Relays the store's state to other instances.
     topology : RelayTopology
         Which instances watch the store for the others.
     state_sync : StateSync
         Keeps the store's state up to date.
     zone_path_monitor : ZonePathMonitor
-        Finds out which other zones are cut off.
+        Detects which other zones are partitioned.
     is_stopping : bool
         Whether a planned stop has begun.
     """
@@ -106,7 +106,7 @@
     __slots__ = (
         "_clock",
         "_event_log",
-        "_was_ready",
+        "_reported_ready",
         "budgets",
         "connections",
         "coordinators",
@@ -156,7 +156,7 @@
         paths = ZonePaths(zone)
         self.registry = ServerRegistry(
             clock=clock,
-            make_pool=self.connections.server_pool,
+            make_pool=self.connections.create_server_pool,
             zone=zone,
             paths=paths,
             event_log=self._event_log,
@@ -164,7 +164,7 @@
         )
         self.peers = ServerRegistry(
             clock=clock,
-            make_pool=self.connections.peer_pool,
+            make_pool=self.connections.create_peer_pool,
             zone=zone,
             paths=paths,
             event_log=self._event_log,
@@ -174,7 +174,7 @@
             servers=self.registry,
             peers=self.peers,
             counters=self.observer.counters,
-            on_change=lambda: self.source.wake_askers(),
+            on_change=lambda: self.source.notify_subscribers(),
             clock=clock,
         )
         self.topology = RelayTopology(own)
@@ -182,10 +182,12 @@
             topology=self.topology,
             connect=HttpStateClient,
             watch=partial(watch_store, self, clock=clock),
-            take=self.take_state,
-            on_cut_off=self._record_cut_off,
-            on_lost=self._record_peer_lost,
-            known_version=lambda: self._version if self.gateway.is_informed else 0,
+            apply=self.apply_state,
+            on_partitioned=self._record_partition,
+            on_unreachable=self._record_peer_unreachable,
+            known_version=lambda: (
+                self._version if self.gateway.has_initial_state else 0
+            ),
             seeds=settings.seeds,
             clock=clock,
             is_first_start=settings.is_first_start,
@@ -194,7 +196,7 @@
             state=self._state,
             is_fresh=lambda: self.state_sync.is_fresh,
             may_become_fresh=lambda: self.state_sync.may_become_fresh,
-            is_cut_off=lambda: self.gateway.is_cut_off,
+            is_cut_off=lambda: self.gateway.is_partitioned,
             clock=clock,
         )
         self.gateway = Gateway(
@@ -214,38 +216,38 @@
             ),
         )
         self.is_stopping = False
-        self._was_ready = False
+        self._reported_ready = False
 
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send callers here."""
         return self.gateway.is_ready and not self.is_stopping
 
-    def tell_readiness(self) -> bool:
-        """Return what the balancer is told, and note when that changes."""
-        is_ready = self.gateway.tell_readiness() and not self.is_stopping
-        if is_ready is not self._was_ready:
-            self._was_ready = is_ready
-            word = "ready" if is_ready else "not ready"
+    def report_readiness(self) -> bool:
+        """Return what is reported to the balancer, and log changes of it."""
+        is_ready = self.gateway.report_readiness() and not self.is_stopping
+        if is_ready is not self._reported_ready:
+            self._reported_ready = is_ready
+            readiness = "ready" if is_ready else "not ready"
             fields = {
                 "version": self._version,
                 "stopping": self.is_stopping,
-                "found_cut_off": self.gateway.is_cut_off,
-                "told_cut_off": self.gateway.is_reported_cut_off,
+                "found_cut_off": self.gateway.is_partitioned,
+                "told_cut_off": self.gateway.is_reported_partitioned,
             }
-            _BALANCER_LOG.info("The balancer is told %s.", word, extra=fields)
+            _BALANCER_LOG.info("The balancer is told %s.", readiness, extra=fields)
         return is_ready
 
     def limits(self) -> CallerLimits:
-        """Return what callers may send."""
+        """Return the limits of callers' requests."""
         table = self.gateway.table
         return CallerLimits() if table is None else table.configuration.limits
 
     def peer_limits(self) -> CallerLimits:
-        """Return what other instances may send: callers' requests, and a little.
+        """Return the limits of other instances' requests, with room for extra headers.
 
-        A caller's request that is just within its limit would be refused by
-        the other instance for the headers that go along with it.
+        Otherwise a caller's request just within its limit would be refused by
+        the other instance because of the headers added to it.
         """
         limits = self.limits()
         return msgspec.structs.replace(
@@ -255,13 +257,13 @@
 
     async def answer_ready(self, request: InboundRequest) -> CallerReply:
         """Answer the balancer."""
-        return CallerReply(200 if self.tell_readiness() else 503, [], b"", "ready")
+        return CallerReply(200 if self.report_readiness() else 503, [], b"", "ready")
 
     async def answer_peer(self, request: InboundRequest) -> CallerReply:
         """Answer another instance."""
-        asked = parse_state_request(request)
-        if asked is not None:
-            state = await self.source.answer(asked)
+        state_request = parse_state_request(request)
+        if state_request is not None:
+            state = await self.source.answer(state_request)
             counters = self.observer.counters
             counters.add(CounterKind.PEER_BYTES, "state_sent", len(state))
             return CallerReply(200, [], state, "state")
@@ -277,14 +279,14 @@
         return CallerReply(200, headers, text.encode(), "metrics")
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Put changed settings in force, as far as that needs no restart."""
+        """Apply changed settings, except for those that need a restart."""
         self.settings = settings
-        self.budgets.use(settings.bounds, self._clock.now_ms())
+        self.budgets.set_bounds(settings.bounds, self._clock.now_ms())
 
-    def take_instances(self, listed: Sequence[InstanceEntry]) -> None:
-        """Take in the list of instances."""
+    def apply_instances(self, listed: Sequence[InstanceEntry]) -> None:
+        """Apply a new list of instances."""
         before = (self.budgets.instances, self.coordinators.is_coordinator)
-        is_first = not self.topology.is_known
+        is_first = not self.topology.is_loaded
         self.budgets.instances = max(len(listed), 1)
         self.peers.replace(
             [peer_entry(item) for item in listed if item.name != self.own.name],
@@ -292,41 +294,41 @@
         )
         self.topology.update(listed)
         self.coordinators.update(listed, self.gateway.table)
-        self._share_allowances()
+        self._update_coordinator_count()
         after = (self.budgets.instances, self.coordinators.is_coordinator)
         if is_first or after != before:
-            self.connections.share(self.registry)
+            self.connections.update_limits(self.registry)
             self.connections.warm_up(self.registry)
         self.source.record_change()
 
-    def _record_cut_off(self, name: str, is_cut_off: bool) -> None:
-        """Take in whether another instance of the zone is cut off.
+    def _record_partition(self, name: str, is_cut_off: bool) -> None:
+        """Record whether another instance of the zone reports a partition.
 
-        One that gathers nothing asks no servers, and does not know that the cut goes
-        on. Taken at its word, an instance would be in rotation again, and with it the
-        whole zone: the balancer uses all of a zone as long as any of it is ready.
+        An instance that coordinates nothing sends no requests to servers and cannot
+        detect that a partition lasts. If its report counted, this instance would be
+        ready again, and the balancer uses a whole zone while any of it is ready.
         """
         if self.coordinators.is_coordinator:
             return
         if is_cut_off or name in self.coordinators.of_zone(self.own.zone):
-            self.gateway.record_cut_off(is_cut_off)
+            self.gateway.record_reported_partition(is_cut_off)
 
-    def _record_peer_lost(self, name: str) -> None:
-        """Take in that another instance does not answer any more."""
+    def _record_peer_unreachable(self, name: str) -> None:
+        """Record that another instance no longer answers."""
         for peer in self.peers.servers():
             if peer.entry.server_id == name:
                 peer.record_unreachable(self._clock.now_ms())
 
-    def take_state(self, state: RelayedState) -> None:
-        """Take in the store's state as another instance passed it on."""
+    def apply_state(self, state: RelayedState) -> None:
+        """Apply the store's state as relayed by another instance."""
         if state.instances:
-            self.take_instances(state.instances)
+            self.apply_instances(state.instances)
         if state.configuration is not None:
-            self.use_configuration(state.configuration)
+            self.apply_configuration(state.configuration)
         if state.configuration_change is not None:
-            self._change_configuration(state.configuration_change)
+            self._apply_configuration_change(state.configuration_change)
         if state.evacuated is not None:
-            self.use_evacuations(frozenset(state.evacuated))
+            self.apply_evacuations(frozenset(state.evacuated))
         if state.is_whole:
             self.replace_servers(state.servers, after_outage=state.may_lack_servers)
         else:
@@ -337,30 +339,30 @@
         self.connections.warm_up(self.registry)
         self.source.record_change()
 
-    def _change_configuration(self, change: ConfigurationChange) -> None:
-        """Put what a change leads to in force, if it applies here.
+    def _apply_configuration_change(self, change: ConfigurationChange) -> None:
+        """Apply a configuration change if it starts from the version in force.
 
-        The store may have brought another version since the change was asked
-        for; the next question says which.
+        The store may have delivered another version since the change was
+        requested; the next request states which.
         """
         table = self.gateway.table
         if table is None or table.configuration.version != change.before:
             self.observer.counters.add(CounterKind.TABLE_CHANGES, "not_applicable")
             return
-        self.use_configuration(changed_configuration(table.configuration, change))
+        self.apply_configuration(apply_change(table.configuration, change))
 
     @property
     def _version(self) -> int:
-        """The version in force; 0 for none."""
+        """The configuration version in force; 0 for none."""
         table = self.gateway.table
         return 0 if table is None else table.configuration.version
 
     def _state(self) -> LocalState:
-        """Return what may be passed on.
+        """Return the state that may be relayed to other instances.
 
-        A server that is kept although its entry is missing is this instance's
-        guess. Passed on as listed, it would be used again by those that know that
-        it has gone, for as long as it is kept here.
+        A server kept although its entry is missing is only assumed to exist. If it
+        were relayed as listed, instances that have seen its removal would use it
+        again, for as long as it is kept here.
         """
         table = self.gateway.table
         stale = self.registry.stale()
@@ -372,20 +374,20 @@
                 if not server.is_stale
             ],
             instances=list(self.coordinators.instances)
-            if self.topology.is_known
+            if self.topology.is_loaded
             else [],
             stale=stale,
             may_lack_servers=self.registry.may_lack_servers,
             evacuated=self.registry.evacuated,
         )
 
-    async def keep_up(self) -> None:
-        """Look after what is known of servers, until cancelled."""
+    async def run_maintenance(self) -> None:
+        """Remove stale servers and probe unreachable ones, until cancelled."""
         while True:
-            await self._clock.sleep_ms(_UPKEEP_MS)
+            await self._clock.sleep_ms(_MAINTENANCE_INTERVAL_MS)
             if self.registry.remove_stale():
                 self.source.record_change()
-            self._event_log.tell()
+            self._event_log.flush()
             self.registry.probe_unreachable()
             self.peers.probe_unreachable()
 
@@ -396,13 +398,13 @@
         after_outage: bool,
         unreadable: Collection[str] = (),
     ) -> None:
-        """Take in a full list of servers; see ``ServerRegistry.replace``."""
+        """Apply a full list of servers; see ``ServerRegistry.replace``."""
         self.registry.replace(entries, after_outage=after_outage, unreadable=unreadable)
         self.connections.warm_up(self.registry)
-        self.gateway.record_learnt()
+        self.gateway.resume_waiting_requests()
 
-    def use_evacuations(self, zones: frozenset[str]) -> None:
-        """Send nothing more to the servers of these zones."""
+    def apply_evacuations(self, zones: frozenset[str]) -> None:
+        """Stop sending to the servers of these zones, and only these."""
         if zones == self.registry.evacuated:
             return
         counters = self.observer.counters
@@ -412,16 +414,16 @@
         for server in released:
             server.return_cold(now_ms, warm_up_share=random.random())
         self.connections.warm_up(self.registry)
-        self.gateway.record_learnt()
+        self.gateway.resume_waiting_requests()
 
-    def use_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force if it is newer than the one that is."""
+    def apply_configuration(self, configuration: Configuration) -> None:
+        """Apply a configuration if it is newer than the one in force."""
         counters = self.observer.counters
         known = self.gateway.table
         version = configuration.version
         if known is not None and known.configuration.version >= version:
             # A read after a reconnection may be older than what a watch
-            # brought; versions never fall within a process.
+            # delivered; versions never decrease within a process.
             counters.add(CounterKind.TABLE_CHANGES, "not_newer")
             return
         before = None if known is None else known.configuration.version
@@ -430,12 +432,12 @@
         fields = {"version": version, "before": before}
         _TABLE_LOG.info("Configuration %d is in force.", version, extra=fields)
         self.coordinators.update(self.coordinators.instances, self.gateway.table)
-        self._share_allowances()
-        self.connections.share(self.registry)
+        self._update_coordinator_count()
+        self.connections.update_limits(self.registry)
         self.connections.warm_up(self.registry)
 
-    def _share_allowances(self) -> None:
-        """Have those that gather share the allowances of gathered services."""
+    def _update_coordinator_count(self) -> None:
+        """Divide the retry budgets of gathered services among coordinators only."""
         table = self.gateway.table
         services: frozenset[str] = frozenset()
         if table is not None and self.coordinators.uses_coordinators:
@@ -448,7 +450,7 @@
     def _gauges(self) -> list[Gauge]:
         servers = list(self.registry.servers())
         now_ms = self._clock.now_ms()
-        lost = sum(not server.is_reachable(now_ms) for server in servers)
+        unreachable = sum(not server.is_reachable(now_ms) for server in servers)
         return [
             Gauge(
                 "ready", "Whether the balancer may send callers here.", self.is_ready
@@ -460,6 +462,6 @@
                 "Zones whose servers get nothing.",
                 len(self.registry.evacuated or ()),
             ),
-            Gauge("servers_out_of_reach", "Of these, silent or refusing.", lost),
+            Gauge("servers_out_of_reach", "Of these, silent or refusing.", unreachable),
             Gauge("instances", "Instances listed.", self.budgets.instances),
         ]
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -1,4 +1,4 @@
-"""Taking in what the platform's store lists: configuration, servers, evacuations."""
+"""Applies what the platform's store lists: configuration, servers, evacuations."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
 _TABLE_LOG = part_logger(LogPart.TABLE)
 _BACKEND_LOG = part_logger(LogPart.BACKEND)
 
-_REPORTED_KEPT = 1_000
-"""Entries that name no server whose report is remembered, so that each is
-logged once a change; a thousand names take 0.1 MB."""
+_MAX_REPORTED_ENTRIES = 1_000
+"""Invalid entries whose last report is kept, so that each is logged once per
+change; a thousand names take 0.1 MB."""
 
 
 def configuration_target(process: FrontProcess) -> WatchTarget:
-    """Return what takes in the configuration."""
+    """Return the target that applies the configuration."""
     cache = RouteCache()
 
-    def take(item: StoredObject) -> None:
+    def apply(item: StoredObject) -> None:
         if item.name == CONFIGURATION_NAME:
             _put_configuration(process, cache, item.spec)
 
     def replace(listing: Listing, after_outage: bool) -> None:
         for item in listing.objects:
-            take(item)
+            apply(item)
 
     def change(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
             if not item.is_removed:
-                take(item.object)
+                apply(item.object)
 
     return _target(process, "configuration", replace, change)
 
 
 def servers_target(process: FrontProcess) -> WatchTarget:
-    """Return what takes in the backend servers' entries."""
+    """Return the target that applies the backend servers' entries."""
     reported: dict[str, int] = {}
 
-    def read(item: StoredObject) -> ServerEntry | None:
-        """Return a server's entry; None if it names no server.
+    def decode_entry(item: StoredObject) -> ServerEntry | None:
+        """Return a server's entry; None if it is invalid.
 
-        One odd entry must not keep the others from being taken in. It is
-        logged once a change: a list repeats it.
+        One invalid entry must not prevent the others from being applied. It is
+        logged once per change, as each list repeats it.
         """
         try:
             return server_entry_from(item.name, item.spec)
@@ -75,7 +75,7 @@
             return None
 
     def replace(listing: Listing, after_outage: bool) -> None:
-        entries = {item.name: read(item) for item in listing.objects}
+        entries = {item.name: decode_entry(item) for item in listing.objects}
         process.replace_servers(
             [entry for entry in entries.values() if entry is not None],
             after_outage=after_outage,
@@ -84,7 +84,7 @@
 
     def change(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
-            entry = None if item.is_removed else read(item.object)
+            entry = None if item.is_removed else decode_entry(item.object)
             if entry is not None:
                 process.registry.put(entry)
             else:
@@ -95,9 +95,9 @@
 
 
 def evacuations_target(process: FrontProcess) -> WatchTarget:
-    """Return what takes in which zones are evacuated.
+    """Return the target that applies which zones are evacuated.
 
-    An object's name is the zone, and its being there is all that it says.
+    An object's name is the zone; its content has no meaning.
     """
     zones: set[str] = set()
 
@@ -111,7 +111,7 @@
         zones.clear()
         for item in listing.objects:
             add(item)
-        process.use_evacuations(frozenset(zones))
+        process.apply_evacuations(frozenset(zones))
 
     def change(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
@@ -119,16 +119,16 @@
                 zones.discard(item.object.name)
             else:
                 add(item.object)
-        process.use_evacuations(frozenset(zones))
+        process.apply_evacuations(frozenset(zones))
 
     return _target(process, "evacuations", replace, change)
 
 
 def _record_reported(reported: dict[str, int], item: StoredObject) -> None:
-    """Note that an entry was reported; the oldest notes are dropped."""
+    """Record that an entry was reported; the oldest records are dropped."""
     reported.pop(item.name, None)
     reported[item.name] = item.revision
-    if len(reported) > _REPORTED_KEPT:
+    if len(reported) > _MAX_REPORTED_ENTRIES:
         del reported[next(iter(reported))]
 
 
@@ -138,23 +138,23 @@
     replace: Callable[[Listing, bool], None],
     change: Callable[[Sequence[ObjectChange]], None],
 ) -> WatchTarget:
-    """Return a target that also tells the other instances of changes."""
-    process.state_sync.away.add(name)
+    """Return a target that also notifies other instances of changes."""
+    process.state_sync.unavailable.add(name)
 
-    def replace_and_tell(listing: Listing, after_outage: bool) -> None:
-        process.state_sync.away.discard(name)
+    def replace_and_notify(listing: Listing, after_outage: bool) -> None:
+        process.state_sync.unavailable.discard(name)
         replace(listing, after_outage)
         process.source.record_change()
 
-    def change_and_tell(changes: Sequence[ObjectChange]) -> None:
+    def change_and_notify(changes: Sequence[ObjectChange]) -> None:
         change(changes)
         process.source.record_change()
 
-    def away() -> None:
-        process.state_sync.away.add(name)
-        process.source.wake_askers()
+    def mark_unavailable() -> None:
+        process.state_sync.unavailable.add(name)
+        process.source.notify_subscribers()
 
-    return WatchTarget(name, replace_and_tell, change_and_tell, away)
+    return WatchTarget(name, replace_and_notify, change_and_notify, mark_unavailable)
 
 
 def _put_configuration(process: FrontProcess, cache: RouteCache, spec: bytes) -> None:
@@ -165,4 +165,4 @@
         counters.add(CounterKind.TABLE_CHANGES, "unreadable")
         _TABLE_LOG.error("The configuration cannot be read: %s.", error)
         return
-    process.use_configuration(configuration)
+    process.apply_configuration(configuration)
--- a/ibisfront/gateway/queries/coordinated_query.py
+++ b/ibisfront/gateway/queries/coordinated_query.py
@@ -1,4 +1,4 @@
-"""A query that another instance gathers whole."""
+"""A query whose scatter-gather another instance runs."""
 
 from __future__ import annotations
 
@@ -16,73 +16,73 @@
 
 __all__ = ["CoordinatedQuery", "NextCoordinator", "StartRemoteCall"]
 
-_MOST_REFUSALS = 4
-"""Coordinators that may refuse one query: both of the own zone may be behind with the
-configuration, and so may one of another."""
+_MAX_REFUSALS = 4
+"""Refusals before a query is abandoned: both coordinators of the own zone may have an
+older configuration, and so may one of another zone."""
 
-_MOST_UNREACHABLE = 2
-"""Coordinators that may say that they cannot reach the servers: two of a zone mean that
-the zone is cut off. Others are behind the cut too; asking them would only hold up the
-caller, who has little time to come again elsewhere."""
+_MAX_UNREACHABLE = 2
+"""Coordinators that may report the servers unreachable: two in a zone mean that the
+zone is partitioned. Other coordinators are behind the partition too; trying them
+would only use up the time that the caller has left to retry in another zone."""
 
 StartRemoteCall: TypeAlias = (
     "Callable[[RemotePlan, bool, Callable[[], None]], RemoteCall]"
 )
-"""Asks an instance, told whether another one may have gathered the query already."""
+"""Sends a query to an instance, with whether another may have run it already."""
 
 NextCoordinator: TypeAlias = "Callable[[Sequence[Server]], RemotePlan | None]"
-"""Returns an instance to ask that was not tried yet."""
+"""Returns a plan for a coordinator that was not tried yet, or None."""
 
 
 class CoordinatedQuery:
-    """One query while another instance gathers it; used once.
+    """One query while another instance coordinates it; used once.
 
-    An instance that refuses the query is replaced at once. One that is lost with it
-    is replaced once, if servers may be asked a second time; otherwise the caller is
-    told while there is time to come again.
+    A coordinator that refuses the query is replaced at once. One that is lost while it
+    runs the query is replaced once, if the query may be retried; otherwise the caller
+    gets an error while there is time to retry.
 
     Parameters
     ----------
     gathering : Gathering
-        Which services, and how many are enough.
+        The services and the minimum coverage.
     context : CallContext
-        What answering the request takes.
+        The context of the request.
     start_liveness_probe : callable
-        Returns what finds out whether an instance is lost.
+        Starts the liveness probe of an instance.
     plan : RemotePlan
-        Whom to ask first.
-    ask : callable
-        Asks an instance.
+        The first coordinator.
+    start_remote : callable
+        Sends the query to a coordinator.
     next_plan : callable
-        Finds another one.
+        Returns the next coordinator.
     give_up_at_ms : float
-        When the query is given up.
-    may_ask_twice : bool
-        Whether servers may be asked again after an instance was lost.
+        When the query is abandoned.
+    may_retry : bool
+        Whether the query may run again after a coordinator was lost.
 
     Attributes
     ----------
     remote : RemoteCall
-        The instance that was asked last.
-    found_silence : bool
-        Whether it was given up since that one showed no life.
+        The call to the coordinator that was tried last.
+    ended_unresponsive : bool
+        Whether it was abandoned because that coordinator failed its liveness probe.
     """
 
     __slots__ = (
-        "_ask",
         "_context",
         "_gathering",
         "_give_up_at_ms",
-        "_has_asked_twice",
-        "_may_ask_twice",
+        "_has_retried",
         "_may_have_run",
+        "_may_retry",
         "_next_plan",
         "_plan",
         "_start_liveness_probe",
+        "_start_remote",
         "_tried",
         "_unreachable",
         "_woken",
-        "found_silence",
+        "ended_unresponsive",
         "remote",
     )
 
@@ -93,41 +93,41 @@
         *,
         start_liveness_probe: StartLivenessProbe,
         plan: RemotePlan,
-        ask: StartRemoteCall,
+        start_remote: StartRemoteCall,
         next_plan: NextCoordinator,
         give_up_at_ms: float,
-        may_ask_twice: bool,
+        may_retry: bool,
     ) -> None:
         self._gathering = gathering
         self._context = context
         self._start_liveness_probe = start_liveness_probe
         self._plan = plan
-        self._ask = ask
+        self._start_remote = start_remote
         self._next_plan = next_plan
         self._give_up_at_ms = give_up_at_ms
-        self._may_ask_twice = may_ask_twice
-        self._has_asked_twice = False
+        self._may_retry = may_retry
+        self._has_retried = False
         self._may_have_run = False
         self._unreachable = 0
         self._tried: list[Server] = []
         self._woken = trio.Event()
-        self.found_silence = False
+        self.ended_unresponsive = False
         self.remote: RemoteCall | None = None
 
     @property
-    def total(self) -> int:
-        """How many parts the answer would have."""
+    def total_parts(self) -> int:
+        """Number of parts of a complete answer."""
         return len(self._gathering.services)
 
     @property
-    def answered(self) -> int:
-        """How many parts are in."""
+    def received_parts(self) -> int:
+        """Number of parts received."""
         return 0 if self.remote is None else len(self.remote.signatures)
 
     @property
-    def is_enough(self) -> bool:
-        """Whether the parts that are in make an answer."""
-        return self.answered >= self._gathering.needed_parts
+    def has_enough_parts(self) -> bool:
+        """Whether the parts received suffice for an answer."""
+        return self.received_parts >= self._gathering.needed_parts
 
     @property
     def was_sent(self) -> bool:
@@ -141,19 +141,19 @@
         return self.remote is not None and self.remote.is_open
 
     @property
-    def missing(self) -> list[ServiceCall]:
-        """The services asked from here that have no answer: none is asked."""
+    def missing_calls(self) -> list[ServiceCall]:
+        """Always empty: this instance sends no sub-requests itself."""
         return []
 
     def answer(self) -> tuple[list[bytes], list[bytes]]:
-        """Return the signatures of the parts that are in, and their records."""
+        """Return the signatures and the records of the parts received."""
         if self.remote is None:
             return [], []
         return self.remote.signatures, [self.remote.records]
 
     async def run(self) -> None:
-        """Have the query gathered, until there is an answer or none can come."""
-        remote = self._start(self._plan)
+        """Run the query until it is answered or cannot be."""
+        remote = self._start_call(self._plan)
         while True:
             is_lost = await self._wait_for(remote)
             has_time = self._context.clock.now_ms() < self._give_up_at_ms
@@ -161,65 +161,65 @@
                 return
             plan = self._plan_after(remote)
             if plan is None:
-                self.found_silence = is_lost
+                self.ended_unresponsive = is_lost
                 return
             remote.end(at_once=True)
-            remote = self._start(plan)
+            remote = self._start_call(plan)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for no answer any more.
+        """Stop waiting for the answer.
 
-        Closing tells the other instance to stop its work, whatever ``at_once`` says;
-        its parts cannot be waited for one by one.
+        The coordinator sends all parts in one reply, so the connection is closed
+        whatever ``at_once`` says, which cancels its work.
         """
         if self.remote is not None:
             self.remote.end(at_once=True)
 
-    def _start(self, plan: RemotePlan) -> RemoteCall:
-        remote = self._ask(plan, self._may_have_run, self._wake)
+    def _start_call(self, plan: RemotePlan) -> RemoteCall:
+        remote = self._start_remote(plan, self._may_have_run, self._wake)
         self.remote = remote
         return remote
 
     def _plan_after(self, remote: RemoteCall) -> RemotePlan | None:
-        """Return whom to ask after an instance that brought no answer."""
+        """Return the plan after a coordinator without an answer, or None to stop."""
         self._tried.append(remote.peer)
         if remote.may_have_run:
             self._may_have_run = True
-            if self._has_asked_twice or not self._may_ask_twice:
+            if self._has_retried or not self._may_retry:
                 return None
-            self._has_asked_twice = True
+            self._has_retried = True
         self._unreachable += remote.is_unreachable
-        if self._unreachable >= _MOST_UNREACHABLE:
+        if self._unreachable >= _MAX_UNREACHABLE:
             return None
-        if len(self._tried) >= _MOST_REFUSALS:
+        if len(self._tried) >= _MAX_REFUSALS:
             return None
         plan = self._next_plan(self._tried)
         if plan is not None:
-            why = "refused" if remote.is_refused else "lost"
+            cause = "refused" if remote.is_refused else "lost"
             name = plan.peer.entry.server_id
             now_ms = self._context.clock.now_ms()
-            self._context.trace.record(now_ms, "gathered_again", "", name, why)
+            self._context.trace.record(now_ms, "gathered_again", "", name, cause)
         return plan
 
     async def _wait_for(self, remote: RemoteCall) -> bool:
-        """Wait for an instance's answer; return whether it was found lost."""
+        """Wait for a coordinator's answer; return whether the coordinator was lost."""
         clock = self._context.clock
-        check = self._start_liveness_probe(remote, self._wake)
+        probe = self._start_liveness_probe(remote, self._wake)
         try:
             while remote.is_open:
                 now_ms = clock.now_ms()
                 if now_ms >= self._give_up_at_ms:
                     return False
-                if check.is_lost(now_ms):
+                if probe.is_lost(now_ms):
                     remote.peer.record_liveness_failure(now_ms)
                     return True
-                until_ms = min(check.next_at_ms, self._give_up_at_ms)
+                until_ms = min(probe.next_at_ms, self._give_up_at_ms)
                 with clock.timeout_ms(until_ms - now_ms):
                     await self._woken.wait()
                 if self._woken.is_set():
                     self._woken = trio.Event()
         finally:
-            check.end()
+            probe.end()
         return False
 
     def _wake(self) -> None:
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -1,4 +1,4 @@
-"""A query over many services: ask all, put the parts together."""
+"""Scatter-gather: a query sent to many services, with the parts merged."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 __all__ = ["GatherRun"]
 
-_LAST_HEDGE_FACTOR = 1.15
-"""A hedged request is sent while at least this many baseline latencies are left
-before the query ends; later ones would come too late."""
+_MIN_HEDGE_BASELINES = 1.15
+"""Least time before the end of a query at which it is hedged, in baseline latencies;
+replies to later hedged requests would arrive too late."""
 
-_READ_FIRST_MS = 1.0
-"""Pause in which replies that lie unread are read."""
+_READ_PAUSE_MS = 1.0
+"""Pause in which buffered replies are read."""
 
 
 class GatherRun:
@@ -40,55 +40,55 @@
     Parameters
     ----------
     gathering : Gathering
-        Which services, and how many are enough.
+        The services and the minimum coverage.
     context : CallContext
-        What its sub-requests share.
+        The context of its sub-requests.
     plan : GatherPlan
-        When it acts.
+        When the query hedges, ends and is abandoned.
     remote_plan : RemotePlan, optional
-        Which services another instance is asked for.
+        The services delegated to another instance.
     start_remote : callable, optional
-        Asks it.
+        Sends the delegated query.
     start_liveness_probe : callable, optional
-        Returns what finds out whether that instance is lost, given it and what to
-        call. Without it the parts are asked from here as soon as it is late.
+        Starts the liveness probe of that instance, given the call and a callback.
+        Without it the parts are requested directly as soon as the instance is late.
 
     Attributes
     ----------
     calls : list of ServiceCall
-        One for each service that is asked from here.
-    found_silence : bool
-        Whether it was given up since no server replied anything.
+        One for each service that is queried directly.
+    ended_unresponsive : bool
+        Whether it was abandoned because no server replied.
     remote : RemoteCall or None
-        What another instance was asked for.
+        The call for the delegated parts.
     """
 
     __slots__ = (
         "_all_calls",
+        "_awaiting_retry",
         "_context",
+        "_direct_parts",
         "_failed",
+        "_fallback_calls",
         "_fallback_parts",
         "_gathering",
-        "_has_lost_parts",
+        "_has_withheld_retries",
         "_hedge_at_ms",
         "_is_falling_back",
         "_is_past_end",
         "_liveness_probe",
-        "_lost",
         "_needed",
-        "_own_parts",
         "_plan",
-        "_remote_calls",
         "_remote_plan",
         "_remote_started_ms",
-        "_resend_at_ms",
+        "_retry_at_ms",
         "_start_liveness_probe",
         "_start_remote",
         "_started_ms",
         "_wake_at_ms",
         "_woken",
         "calls",
-        "found_silence",
+        "ended_unresponsive",
         "remote",
     )
 
@@ -109,26 +109,26 @@
         self._plan = plan
         self._woken = trio.Event()
         self._failed: list[ServiceCall] = []
-        self._lost: list[ServiceCall] = []
-        self._resend_at_ms = math.inf
-        self._remote_calls: list[ServiceCall] = []
+        self._awaiting_retry: list[ServiceCall] = []
+        self._retry_at_ms = math.inf
+        self._fallback_calls: list[ServiceCall] = []
         self._is_falling_back = False
         self._is_past_end = False
-        self._has_lost_parts = False
-        self._own_parts = 0
+        self._has_withheld_retries = False
+        self._direct_parts = 0
         self._fallback_parts = 0
-        elsewhere: frozenset[str] = frozenset()
+        delegated: frozenset[str] = frozenset()
         if remote_plan is not None:
-            elsewhere = frozenset(remote_plan.services)
+            delegated = frozenset(remote_plan.services)
         self.calls = [
-            ServiceCall(name, context, self._changed)
+            ServiceCall(name, context, self._on_call_change)
             for name in gathering.services
-            if name not in elsewhere
+            if name not in delegated
         ]
         self._all_calls = list(self.calls)
         self._needed = gathering.needed_parts
         self._started_ms = context.clock.now_ms()
-        self.found_silence = False
+        self.ended_unresponsive = False
         self.remote: RemoteCall | None = None
         self._remote_plan = remote_plan
         self._start_remote = start_remote
@@ -137,19 +137,19 @@
         self._hedge_at_ms = plan.hedge_at_ms
 
     @property
-    def total(self) -> int:
-        """How many parts the answer would have."""
+    def total_parts(self) -> int:
+        """Number of parts of a complete answer."""
         return len(self._gathering.services)
 
     @property
-    def answered(self) -> int:
-        """How many parts are in."""
-        return self._own_parts + max(self._remote_parts, self._fallback_parts)
+    def received_parts(self) -> int:
+        """Number of parts received."""
+        return self._direct_parts + max(self._remote_parts, self._fallback_parts)
 
     @property
-    def is_enough(self) -> bool:
-        """Whether the parts that are in make an answer."""
-        return self.answered >= self._needed
+    def has_enough_parts(self) -> bool:
+        """Whether the parts received suffice for an answer."""
+        return self.received_parts >= self._needed
 
     @property
     def was_sent(self) -> bool:
@@ -160,21 +160,21 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether any part may still come."""
+        """Whether any part may still arrive."""
         if self.remote is not None and self.remote.is_open:
             return True
         return any(call.is_open for call in self._all_calls)
 
     @property
-    def missing(self) -> list[ServiceCall]:
-        """The services asked from here that have no answer."""
+    def missing_calls(self) -> list[ServiceCall]:
+        """The services queried directly that have not answered."""
         return [call for call in self._all_calls if not call.is_settled]
 
     def answer(self) -> tuple[list[bytes], list[bytes]]:
-        """Return the signatures of the parts that are in, and their records.
+        """Return the signatures and the records of the parts received.
 
-        The records that another instance merged cannot be told apart by
-        service; they are taken whole, or the parts asked from here instead.
+        The records merged by another instance cannot be separated by service: they
+        are used whole, or the parts requested directly replace all of them.
         """
         replies = [call.reply for call in self.calls if call.reply is not None]
         bodies: list[bytes] = []
@@ -183,54 +183,54 @@
             signatures += self.remote.signatures
             bodies.append(self.remote.records)
         else:
-            replies += _replies(self._remote_calls)
+            replies += _replies(self._fallback_calls)
         signatures += [item.signature or b"" for item in replies]
         bodies += [item.body for item in replies]
         return signatures, bodies
 
     async def run(self) -> None:
-        """Ask every service until the plan says to stop."""
+        """Query every service until the plan ends the query."""
         if self._remote_plan is not None:
-            self._ask_remote(self._remote_plan)
+            self._start_remote_call(self._remote_plan)
         self._start(self.calls)
-        while not self._is_over():
+        while not self._is_done():
             now_ms = self._context.clock.now_ms()
             if now_ms > self._wake_at_ms + OVERSLEPT_MS:
-                # The processor was away: replies may lie unread, and every
-                # part would look late. They are read first.
+                # The process was not scheduled in time. Buffered replies are read
+                # first; otherwise every part would look late.
                 self._wake_at_ms = math.inf
-                await self._context.clock.sleep_ms(_READ_FIRST_MS)
+                await self._context.clock.sleep_ms(_READ_PAUSE_MS)
                 continue
-            self._check_remote(now_ms)
-            if now_ms >= self._resend_at_ms:
-                self._failed += self._lost
-                self._lost = []
+            self._replace_failed_remote(now_ms)
+            if now_ms >= self._retry_at_ms:
+                self._failed += self._awaiting_retry
+                self._awaiting_retry = []
             if self._failed:
                 self._retry_failed(now_ms)
             if now_ms >= self._hedge_at_ms:
                 self._hedge_at_ms = math.inf
                 self._hedge(now_ms)
-            if self._is_silent(now_ms):
-                self.found_silence = True
+            if self._is_unresponsive(now_ms):
+                self.ended_unresponsive = True
                 return
-            if not self._is_over():
+            if not self._is_done():
                 await self._wait(now_ms)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for no more parts."""
+        """Stop waiting for parts."""
         for call in self._all_calls:
             if call.is_open:
                 call.end(at_once=at_once)
         if self._liveness_probe is not None:
             self._liveness_probe.end()
         if self.remote is not None:
-            # Closing tells the other instance to stop its work; its parts
-            # cannot be waited for one by one.
+            # The other instance sends all parts in one reply; closing the connection
+            # cancels its work.
             self.remote.end(at_once=True)
 
     @property
     def _waits_for_remote(self) -> bool:
-        """Whether the other instance's answer may still be replaced."""
+        """Whether the other instance's answer is pending and may still be replaced."""
         if self.remote is None or self._is_falling_back:
             return False
         return self.remote.is_open
@@ -240,39 +240,39 @@
         return 0 if self.remote is None else len(self.remote.signatures)
 
     def _start(self, calls: list[ServiceCall]) -> None:
-        # The clock is read once for all parts: reading it costs as much as a step of
-        # sending one.
+        # One clock reading serves all parts; a reading costs as much as a step of
+        # sending a part.
         now_ms = self._context.clock.now_ms()
         for call in calls:
             if not call.start(now_ms):
                 self._failed.append(call)
 
-    def _is_over(self) -> bool:
+    def _is_done(self) -> bool:
         now_ms = self._context.clock.now_ms()
         if now_ms >= self._plan.give_up_at_ms:
             return True
         self._is_past_end = now_ms >= self._plan.end_at_ms
-        if self._is_past_end and self.is_enough:
+        if self._is_past_end and self.has_enough_parts:
             return True
         if self._failed or self._must_replace_remote():
             return False
-        if self._resend_at_ms < math.inf:
+        if self._retry_at_ms < math.inf:
             return False
-        return not self.is_open or self.answered == self.total
+        return not self.is_open or self.received_parts == self.total_parts
 
     async def _wait(self, now_ms: float) -> None:
         plan = self._plan
-        moments_ms = [plan.give_up_at_ms, self._hedge_at_ms, self._resend_at_ms]
+        times_ms = [plan.give_up_at_ms, self._hedge_at_ms, self._retry_at_ms]
         if now_ms < plan.end_at_ms:
-            moments_ms.append(plan.end_at_ms)
-        moments_ms += [
+            times_ms.append(plan.end_at_ms)
+        times_ms += [
             at_ms
             for at_ms in (plan.silent_at_ms, plan.remote_silent_at_ms)
             if now_ms < at_ms
         ]
         if self._waits_for_remote:
-            moments_ms.append(self._remote_due_at_ms())
-        self._wake_at_ms = min(moments_ms)
+            times_ms.append(self._remote_check_at_ms())
+        self._wake_at_ms = min(times_ms)
         with self._context.clock.timeout_ms(self._wake_at_ms - now_ms):
             await self._woken.wait()
         if self._woken.is_set():
@@ -281,17 +281,21 @@
     def _wake(self) -> None:
         self._woken.set()
 
-    def _changed(self, call: ServiceCall) -> None:
+    def _on_call_change(self, call: ServiceCall) -> None:
         if not call.is_settled:
             self._failed.append(call)
             self._wake()
             return
         call.end(at_once=self._context.baseline.is_loaded)
-        if self._remote_calls and call in self._remote_calls:
+        if self._fallback_calls and call in self._fallback_calls:
             self._fallback_parts += 1
         else:
-            self._own_parts += 1
-        if self._is_past_end or self._has_lost_parts or self.answered == self.total:
+            self._direct_parts += 1
+        if (
+            self._is_past_end
+            or self._has_withheld_retries
+            or self.received_parts == self.total_parts
+        ):
             self._wake()
 
     def _retry_failed(self, now_ms: float) -> None:
@@ -300,107 +304,108 @@
             if call.is_settled or call.is_open:
                 continue
             if not call.send_extra_attempt():
-                self._has_lost_parts = True
-                self._lost.append(call)
-        self._resend_at_ms = self._next_resend_ms(now_ms)
+                self._has_withheld_retries = True
+                self._awaiting_retry.append(call)
+        self._retry_at_ms = self._next_retry_at_ms(now_ms)
 
-    def _next_resend_ms(self, now_ms: float) -> float:
-        """Return when to ask again for parts without which the query fails.
+    def _next_retry_at_ms(self, now_ms: float) -> float:
+        """Return when to retry parts without which the query fails.
 
-        Load pattern: servers turn work away, or have crashed and are back in a
-        moment. A query that ended with its last failed part would lose all others
-        with most of its time left. One that cannot have enough in time ends at once.
+        Servers that reject requests or restart are often available again soon. A
+        query that ended at its last failed part would discard all others with most
+        of its deadline left. One that cannot get enough parts in time ends at once.
         """
         open_parts = sum(call.is_open for call in self._all_calls)
         if self.remote is not None and self.remote.is_open:
             open_parts += len(self.remote.services)
-        lacking = self._needed - self.answered - open_parts
-        if lacking <= 0:
+        shortfall = self._needed - self.received_parts - open_parts
+        if shortfall <= 0:
             return math.inf
         latest_ms = self._plan.give_up_at_ms - self._context.baseline.median_ms
-        moments_ms = [call.may_send_again_at_ms(now_ms) for call in self._lost]
-        if sum(at_ms <= latest_ms for at_ms in moments_ms) < lacking:
+        times_ms = [call.next_retry_at_ms(now_ms) for call in self._awaiting_retry]
+        if sum(at_ms <= latest_ms for at_ms in times_ms) < shortfall:
             return math.inf
-        return min(moments_ms)
+        return min(times_ms)
 
     def _hedge(self, now_ms: float) -> None:
         baseline_ms = self._context.baseline.median_ms
-        if now_ms + _LAST_HEDGE_FACTOR * baseline_ms > self._plan.end_at_ms:
+        if now_ms + _MIN_HEDGE_BASELINES * baseline_ms > self._plan.end_at_ms:
             return
         for call in self._all_calls:
             if not call.is_settled and call.is_open:
                 call.send_extra_attempt()
 
-    def _remote_due_at_ms(self) -> float:
-        """Return when the other instance is to be looked at next."""
+    def _remote_check_at_ms(self) -> float:
+        """Return when to check the other instance next."""
         if self.remote is None:
             return math.inf
         if self._liveness_probe is not None:
             return self._liveness_probe.next_at_ms
         return self._remote_started_ms + self.remote.late_ms
 
-    def _is_given_up(self, remote: RemoteCall, now_ms: float) -> bool:
-        """Return whether the parts of an open remote call are asked from here."""
+    def _is_remote_lost(self, remote: RemoteCall, now_ms: float) -> bool:
+        """Return whether an open remote call is to be replaced by direct requests."""
         if self._liveness_probe is None:
-            return now_ms >= self._remote_due_at_ms()
+            return now_ms >= self._remote_check_at_ms()
         if not self._liveness_probe.is_lost(now_ms):
             return False
         remote.peer.record_liveness_failure(now_ms)
-        # Nothing comes any more; counted as open it would hold up a query whose
+        # No answer will arrive; a call left open would delay the end of a query whose
         # other parts have failed.
         remote.end(at_once=True)
         return True
 
     def _must_replace_remote(self) -> bool:
-        """Return whether the other instance has failed and was not replaced."""
+        """Return whether the other instance has failed and was not yet replaced."""
         if self.remote is None or self._is_falling_back or self.remote.is_open:
             return False
         return not self.remote.signatures
 
-    def _ask_remote(self, plan: RemotePlan) -> None:
+    def _start_remote_call(self, plan: RemotePlan) -> None:
         assert self._start_remote is not None
         self._remote_started_ms = self._context.clock.now_ms()
         self.remote = self._start_remote(plan, False, self._wake)
         if self._start_liveness_probe is not None:
             self._liveness_probe = self._start_liveness_probe(self.remote, self._wake)
 
-    def _check_remote(self, now_ms: float) -> None:
-        """Ask from here if the other instance refuses, fails or is silent.
+    def _replace_failed_remote(self, now_ms: float) -> None:
+        """Request the parts directly if the other instance refuses, fails or is lost.
 
-        It may have asked its servers already, so that asking them again
-        counts as extra and must not reach more servers than the route allows;
-        that holds if a service has no more of them.
+        It may have queried its servers already. Direct requests then count as extra
+        attempts and must not reach more servers than the route allows attempts, which
+        holds if a service has no more servers than that.
         """
         remote = self.remote
         if remote is None or self._is_falling_back:
             return
-        is_given_up = remote.is_open and self._is_given_up(remote, now_ms)
-        if not is_given_up and not self._must_replace_remote():
+        is_lost = remote.is_open and self._is_remote_lost(remote, now_ms)
+        if not is_lost and not self._must_replace_remote():
             return
         self._is_falling_back = True
-        # The first choice may be a server that has fallen silent together with
-        # the instance; these parts are hedged in their turn.
+        # The preferred server may have become unresponsive together with the
+        # instance, so that these parts need a hedge of their own.
         self._hedge_at_ms = now_ms + self._context.baseline.late_ms
-        self._remote_calls = [
-            ServiceCall(name, self._context, self._changed) for name in remote.services
+        self._fallback_calls = [
+            ServiceCall(name, self._context, self._on_call_change)
+            for name in remote.services
         ]
-        self._all_calls += self._remote_calls
+        self._all_calls += self._fallback_calls
         if not remote.may_have_run:
-            # It may still wait for a connection, and would go out later.
+            # The request may be queued for a connection and must not be sent later.
             remote.end(at_once=True)
-            self._start(self._remote_calls)
+            self._start(self._fallback_calls)
             return
-        for call in self._remote_calls:
-            if call.has_no_more_servers_than_attempts:
+        for call in self._fallback_calls:
+            if call.attempts_cover_all_servers:
                 call.send_extra_attempt()
 
-    def _is_silent(self, now_ms: float) -> bool:
-        """Return whether no server that was asked has replied anything.
+    def _is_unresponsive(self, now_ms: float) -> bool:
+        """Return whether none of the queried servers has sent any reply.
 
-        An instance that was asked for parts replies only once, near the end; until
-        then its silence says nothing.
+        An instance replies to a delegated query only once, near the end; until then
+        a missing reply is no evidence.
         """
-        if self.answered or now_ms < self._plan.silent_at_ms:
+        if self.received_parts or now_ms < self._plan.silent_at_ms:
             return False
         remote = self.remote
         if remote is not None and remote.is_open:
--- a/ibisfront/tests/test_front_evacuations.py
+++ b/ibisfront/tests/test_front_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of zones whose servers must get nothing, in mock time."""
+"""Tests of evacuated zones, whose servers must receive no requests, in mock time."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from ibisfront.tests.front_zone import BOUNDS, FrontZone, two_zones_spec
 
 _SERVERS = 12
-_LOOK_S = 0.01
-_BOUND_S = BOUNDS.evacuation_ms / 1000.0
+_POLL_INTERVAL_S = 0.01
+_EVACUATION_BOUND_S = BOUNDS.evacuation_ms / 1000.0
 
 
 def _zone(nursery, instances):
     return FrontZone(nursery, instances, servers=_SERVERS, spec=two_zones_spec)
 
 
-def _asked_zones(front):
-    """Return the zones in which an instance would ask servers."""
+def _zones_in_use(front):
+    """Return the zones whose servers an instance would use."""
     servers = front.process.registry.servers()
     return {server.entry.zone for server in servers if server.is_usable}
 
 
 async def _until(condition, *, at_most_s):
-    """Wait until a condition holds; return how long that took."""
+    """Wait until a condition holds; return the time that took."""
     started_s = trio.current_time()
-    for _ in range(int(at_most_s / _LOOK_S)):
+    for _ in range(int(at_most_s / _POLL_INTERVAL_S)):
         if condition():
             break
-        await trio.sleep(_LOOK_S)
+        await trio.sleep(_POLL_INTERVAL_S)
     return trio.current_time() - started_s
 
 
 class EvacuationTest(unittest.TestCase):
-    """An evacuated zone, at a few instances and at hundreds."""
+    """Evacuation of a zone, with a few and with hundreds of instances."""
 
     async def _check_evacuation(self, instances):
         async with trio.open_nursery() as nursery:
@@ -47,54 +47,58 @@
             await trio.sleep(4.0)
             zone.evacuate("z1")
 
-            def is_heeded():
-                return all(_asked_zones(front) == {"z0"} for front in zone.fronts)
+            def is_evacuated():
+                return all(_zones_in_use(front) == {"z0"} for front in zone.fronts)
 
-            self.assertLess(await _until(is_heeded, at_most_s=10.0), _BOUND_S)
-            zone.take_back("z1")
+            self.assertLess(
+                await _until(is_evacuated, at_most_s=10.0), _EVACUATION_BOUND_S
+            )
+            zone.end_evacuation("z1")
 
-            def is_over():
-                return all(_asked_zones(front) == {"z0", "z1"} for front in zone.fronts)
+            def is_ended():
+                return all(
+                    _zones_in_use(front) == {"z0", "z1"} for front in zone.fronts
+                )
 
-            self.assertLess(await _until(is_over, at_most_s=10.0), _BOUND_S)
+            self.assertLess(await _until(is_ended, at_most_s=10.0), _EVACUATION_BOUND_S)
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_three_instances_heed_an_evacuation(self):
-        """Guards against requests to servers of a zone that is being emptied."""
+    async def test_evacuation_with_three_instances(self):
+        """Guards against requests to servers of an evacuated zone."""
         await self._check_evacuation(3)
 
     @trio_test
-    async def test_two_hundred_instances_heed_an_evacuation(self):
-        """Guards against an evacuation that followers hear of too late."""
+    async def test_evacuation_with_two_hundred_instances(self):
+        """Guards against an evacuation that reaches subscribers too late."""
         await self._check_evacuation(200)
 
     @trio_test
-    async def test_evacuation_outlasts_an_outage_of_the_store(self):
-        """Guards against use of an evacuated zone while the store is away."""
+    async def test_evacuation_persists_during_a_store_outage(self):
+        """Guards against use of an evacuated zone while the store is unavailable."""
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             zone.start(nursery)
             await trio.sleep(4.0)
             zone.evacuate("z1")
-            await trio.sleep(_BOUND_S)
+            await trio.sleep(_EVACUATION_BOUND_S)
             for front in zone.fronts:
                 front.is_cut_off = True
             await trio.sleep(10.0)
-            self.assertEqual([_asked_zones(f) for f in zone.fronts], [{"z0"}] * 3)
+            self.assertEqual([_zones_in_use(f) for f in zone.fronts], [{"z0"}] * 3)
             for front in zone.fronts:
                 front.is_cut_off = False
             await trio.sleep(5.0)
-            self.assertEqual([_asked_zones(f) for f in zone.fronts], [{"z0"}] * 3)
+            self.assertEqual([_zones_in_use(f) for f in zone.fronts], [{"z0"}] * 3)
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_started_instance_serves_nobody_before_it_knows(self):
-        """Guards against a restarted instance that asks an evacuated zone."""
+    async def test_started_instance_rejects_requests_until_evacuations_are_loaded(self):
+        """Guards against a restarted instance that uses an evacuated zone."""
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             process = zone.fronts[0].process
-            process.take_instances([process.own])
+            process.apply_instances([process.own])
             objects, revision = zone.objects("config")
             configuration_target(process).replace(Listing(objects, revision), False)
             self.assertFalse(process.is_ready)
@@ -102,14 +106,14 @@
             reply = await process.gateway.answer(request)
             self.assertEqual((reply.status, reply.reason), (503, "no_configuration"))
             process.replace_servers([], after_outage=False)
-            self.assertFalse(process.gateway.is_informed)
-            process.use_evacuations(frozenset())
-            self.assertTrue(process.gateway.is_informed)
+            self.assertFalse(process.gateway.has_initial_state)
+            process.apply_evacuations(frozenset())
+            self.assertTrue(process.gateway.has_initial_state)
             nursery.cancel_scope.cancel()
 
     @trio_test
-    async def test_zone_that_is_not_known_is_left_aside(self):
-        """Guards against a misspelt zone that hides those spelt right."""
+    async def test_unknown_zone_is_ignored(self):
+        """Guards against a misspelt zone that prevents evacuation of valid ones."""
         async with trio.open_nursery() as nursery:
             zone = _zone(nursery, 3)
             zone.start(nursery)
@@ -119,6 +123,6 @@
                 await trio.sleep(1.0)
             self.assertIn("z9", logs.output[0])
             zone.evacuate("z1")
-            await trio.sleep(_BOUND_S)
-            self.assertEqual(_asked_zones(zone.fronts[0]), {"z0"})
+            await trio.sleep(_EVACUATION_BOUND_S)
+            self.assertEqual(_zones_in_use(zone.fronts[0]), {"z0"})
             nursery.cancel_scope.cancel()
