--- a/ibisfront/core/latencies.py
+++ b/ibisfront/core/latencies.py
@@ -121,7 +121,7 @@
             recorder = self._recorders[key] = _DurationRecorder()
         recorder.record_ms(duration_ms)
 
-    def keep(self, routes: Container[str]) -> None:
+    def retain(self, routes: Container[str]) -> None:
         """Remove all routes except the given ones."""
         for route, reason in list(self._recorders):
             if route not in routes and route != _OTHER_ROUTES:
--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -82,7 +82,7 @@
     def table(self, table: RouteTable) -> None:
         self._request_services.apply_table(table)
         self._reachability.retain(table.route_names)
-        self._round_robin.keep(table.route_names)
+        self._round_robin.retain(table.route_names)
         if self._delegation is not None:
             self._delegation.retain(table.route_names)
         self.resume_waiting_requests()
--- a/ibisfront/gateway/load/weighted_round_robin.py
+++ b/ibisfront/gateway/load/weighted_round_robin.py
@@ -43,6 +43,6 @@
         credits[chosen] -= total
         return chosen
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Drop the credits of all routes except these."""
         retain_routes(self._credits, names)
--- a/ibisfront/gateway/request_services.py
+++ b/ibisfront/gateway/request_services.py
@@ -94,8 +94,8 @@
     def apply_table(self, table: RouteTable) -> None:
         """Apply a new route table; drop the state of routes that it lacks."""
         self.table = table
-        self.states.keep(table.route_names)
-        self._observer.latencies.keep(table.route_names)
+        self.states.retain(table.route_names)
+        self._observer.latencies.retain(table.route_names)
 
     def context(
         self, request: InboundRequest, route: Route, *, is_repeat: bool = False
--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -99,7 +99,7 @@
             state = self._by_name[route.name] = RouteState(route)
         return state
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Drop the states of all routes except these."""
         retain_routes(self._by_name, names)
 
--- a/ibisfront/tests/test_gateway_many_routes.py
+++ b/ibisfront/tests/test_gateway_many_routes.py
@@ -79,7 +79,7 @@
             latencies.record_ms(route.name, "answered", 1.0)
             round_robin.next_service(msgspec.structs.replace(route, services=weighted))
         for per_route in (states, latencies, round_robin):
-            per_route.keep(table.route_names)
+            per_route.retain(table.route_names)
         self.assertEqual(states._by_name.keys(), table.route_names)
         self.assertEqual(round_robin._credits.keys(), table.route_names)
         recorded = {sample.labels[0].value for sample in latencies.samples()}
