--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -235,7 +235,9 @@
                 "found_cut_off": self.gateway.is_partitioned,
                 "told_cut_off": self.gateway.is_reported_partitioned,
             }
-            _BALANCER_LOG.info("The balancer is told %s.", readiness, extra=fields)
+            _BALANCER_LOG.info(
+                "Reporting %s to the load balancer.", readiness, extra=fields
+            )
         return is_ready
 
     def limits(self) -> CallerLimits:
--- a/ibisfront/front/stopping.py
+++ b/ibisfront/front/stopping.py
@@ -41,7 +41,7 @@
     callers.is_stopping = True
     started_ms = clock.now_ms()
     deadline_ms = started_ms + process.settings.bounds.stop_grace_ms - _GRACE_MARGIN_MS
-    _LOG.info("The stop begins with %d connections.", callers.connections)
+    _LOG.info("Graceful shutdown started with %d connections.", callers.connections)
     while clock.now_ms() < deadline_ms:
         await clock.sleep_ms(_POLL_MS)
         if clock.now_ms() - started_ms < _OUT_OF_ROTATION_MS:
@@ -55,7 +55,7 @@
                 break
     callers.stop_accepting()
     _LOG.info(
-        "The stop ends after %.0f ms with %d requests in flight.",
+        "Graceful shutdown ended after %.0f ms with %d requests in flight.",
         clock.now_ms() - started_ms,
         callers.busy,
     )
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -70,7 +70,7 @@
             if reported.get(item.name) != item.revision:
                 _record_reported(reported, item)
                 _BACKEND_LOG.error(
-                    "The entry of %.80s names no server: %s.", item.name, error
+                    "Ignoring the invalid server entry %.80s: %s.", item.name, error
                 )
             return None
 
@@ -105,7 +105,7 @@
         if item.name in process.settings.zones:
             zones.add(item.name)
             return
-        _BACKEND_LOG.error("The evacuated zone %.80s is not known here.", item.name)
+        _BACKEND_LOG.error("Ignoring the evacuation of unknown zone %.80s.", item.name)
 
     def replace(listing: Listing, after_outage: bool) -> None:
         zones.clear()
--- a/ibisfront/gateway/instances/zone_path_monitor.py
+++ b/ibisfront/gateway/instances/zone_path_monitor.py
@@ -126,7 +126,9 @@
         for registry in (self._servers, self._peers):
             for endpoint in self._endpoints(registry, zone):
                 ended += endpoint.fail_in_flight()
-        _LOG.warning("Zone %s is cut off from here; %d requests end.", zone, ended)
+        _LOG.warning(
+            "Zone %s is unreachable; failing %d requests in flight.", zone, ended
+        )
 
     def _restore(self, zone: str) -> None:
         """Use a zone's endpoints again, ignoring failures during the partition."""
@@ -134,7 +136,7 @@
         for registry in (self._servers, self._peers):
             for endpoint in self._endpoints(registry, zone):
                 endpoint.clear_failures()
-        _LOG.info("Zone %s is within reach again.", zone)
+        _LOG.info("Zone %s is reachable again.", zone)
 
     def _endpoints(self, registry: ServerRegistry, zone: str) -> list[Server]:
         return [server for server in registry.servers() if server.entry.zone == zone]
--- a/ibisfront/gateway/observability.py
+++ b/ibisfront/gateway/observability.py
@@ -168,7 +168,7 @@
             "extras": trace.extras,
             **trace.as_fields(),
         }
-        _LOG.info("The asker left.", extra=fields)
+        _LOG.info("The requester disconnected.", extra=fields)
 
     def record_refused(
         self, request: InboundRequest, reply: CallerReply, *, version: int | None
--- a/ibisfront/gateway/servers/pool.py
+++ b/ibisfront/gateway/servers/pool.py
@@ -258,7 +258,7 @@
     def _record_unreachable(self, error: OSError) -> None:
         entry = self._server.entry
         reason = error.strerror or type(error).__name__
-        event = f"Cannot be reached, {reason}"
+        event = f"Unreachable, {reason}"
         self._event_log.record(event, entry.server_id, entry.service, is_fault=True)
         self._server.record_unreachable(self._clock.now_ms())
         if not self.size:
--- a/ibisfront/gateway/servers/server_registry.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -123,7 +123,7 @@
             servers = self._of_zone(zone)
             for server in servers:
                 server.is_evacuated = False
-            _LOG.info("Zone %s is evacuated no more: %d servers.", zone, len(servers))
+            _LOG.info("Zone %s is no longer evacuated: %d servers.", zone, len(servers))
             released += servers
         return released
 
@@ -176,7 +176,7 @@
             # A stale read, or an instance that lags behind, may still list the
             # previous incarnation. Applying it would drop the running server and
             # send requests to a dead one.
-            _LOG.info("Ignoring an entry of an earlier start of %s.", server_id)
+            _LOG.info("Ignoring an entry of an earlier incarnation of %s.", server_id)
             return
         current = self._by_id.get(server_id)
         if current is not None:
@@ -189,7 +189,7 @@
             return
         if current is not None:
             is_restart = entry.born_ms > current.entry.born_ms
-            reason = "it has restarted" if is_restart else "it has moved"
+            reason = "server restarted" if is_restart else "address or service changed"
             self._remove(server_id, reason, is_restart=is_restart)
         self._add(entry)
 
@@ -205,7 +205,7 @@
         server.is_evacuated = entry.zone in (self._evacuated or ())
         self._by_id[entry.server_id] = server
         self._by_service.setdefault(entry.service, []).append(server)
-        self._event_log.record("Listed", entry.server_id, entry.service)
+        self._event_log.record("Added", entry.server_id, entry.service)
 
     def _newest_start_ms(self, server_id: str) -> int:
         """Return the latest known start of a present or removed server, or 0."""
@@ -224,7 +224,7 @@
 
     def remove(self, server_id: str) -> None:
         """Apply the removal of an entry, made while the store was available."""
-        self._remove(server_id, "its entry was removed")
+        self._remove(server_id, "entry deleted")
 
     def replace(
         self,
@@ -258,7 +258,7 @@
                 self._stale.setdefault(server_id, self._complete_at_ms)
                 self._by_id[server_id].is_stale = True
             else:
-                self._remove(server_id, "it is no longer listed")
+                self._remove(server_id, "no longer listed")
 
     def remove_stale(self) -> bool:
         """Drop servers whose entries were not renewed in time.
@@ -271,7 +271,7 @@
         now_ms = self._clock.now_ms()
         due = [name for name, at_ms in self._stale.items() if at_ms <= now_ms]
         for server_id in due:
-            self._remove(server_id, "its entry expired and was not renewed")
+            self._remove(server_id, "entry expired and was not renewed")
         is_complete_now = self.may_lack_servers and now_ms >= self._complete_at_ms
         if is_complete_now:
             self._complete_at_ms = -math.inf
@@ -294,4 +294,4 @@
             server.pool.retire()
         elif server.pool is not None:
             server.pool.close()
-        self._event_log.record(f"Gone, {reason}", server_id, server.entry.service)
+        self._event_log.record(f"Removed, {reason}", server_id, server.entry.service)
--- a/ibisfront/gateway/state/kind_watch.py
+++ b/ibisfront/gateway/state/kind_watch.py
@@ -177,7 +177,7 @@
             outage.record_success()
             target.replace(listing, was_unavailable)
             if was_unavailable:
-                _LOG.info("The store answers again for %s.", target.name)
+                _LOG.info("The store is available again for %s.", target.name)
             was_unavailable = False
             backoff.reset()
             await _watch(client, target, listing.revision, clock)
@@ -187,7 +187,7 @@
                 await clock.sleep_ms(_COALESCE_MS)
                 continue
             if not was_unavailable:
-                _LOG.warning("The store does not serve %s: %s.", target.name, error)
+                _LOG.warning("The store is unavailable for %s: %s.", target.name, error)
             was_unavailable = True
             target.on_unavailable()
             client.close()
--- a/ibisfront/gateway/state/state_relay.py
+++ b/ibisfront/gateway/state/state_relay.py
@@ -429,8 +429,8 @@
             request, timeout_ms=_LONG_POLL_MS + _RESPONSE_GRACE_MS
         )
         if len(data) >= _LOG_FROM_BYTES:
-            _LOG.info("%s passed on %d bytes.", name, len(data))
+            _LOG.info("%s sent %d bytes of state.", name, len(data))
         return decode_state(data, RelayedState)
     except (OSError, msgspec.DecodeError) as error:
-        _LOG.warning("%s does not pass on the state: %s.", name, error)
+        _LOG.warning("No valid state from %s: %s.", name, error)
         return None
--- a/ibisfront/gateway/state/state_sync.py
+++ b/ibisfront/gateway/state/state_sync.py
@@ -445,7 +445,7 @@
                 state.is_cut_off or self._is_reported_partitioned
             )
         if not state.is_fresh:
-            _LOG.info("%s does not hear the store.", name)
+            _LOG.info("%s has no fresh state of the store.", name)
             self._unserved.add(name)
             self._store_was_unavailable = True
             if self._accepts_stale_state:
@@ -454,7 +454,7 @@
     async def _subscribe(self, source: _Source) -> None:
         """Apply an instance's state until it fails or is no longer fresh."""
         with closing(source.client):
-            _LOG.info("The state comes from %s from now on.", source.name)
+            _LOG.info("Subscribed to the state of %s.", source.name)
             self._mode = _Mode.SUBSCRIBED
             self._store_was_unavailable = False
             state: RelayedState | None = source.state
@@ -490,7 +490,7 @@
             self._mode = _Mode.WATCHING
             is_source = self._topology.is_source
             self._watch_started_ms = self._clock.now_ms()
-            _LOG.info("The store is watched from here from now on.")
+            _LOG.info("Watching the store directly.")
             self._watch(nursery, self._options())
             self._kind_count = len(self.unavailable)
             last_discovery_ms = self._watch_started_ms
--- a/ibisfront/http1/caller_connection.py
+++ b/ibisfront/http1/caller_connection.py
@@ -301,7 +301,7 @@
 
     async def _refuse(self, status: int, detail: str) -> None:
         """Answer an unreadable request after those before it, then close."""
-        _LOG.warning("A request cannot be read: %s; answered %d.", detail, status)
+        _LOG.warning("Cannot read a request: %s; answered %d.", detail, status)
         while self._answer_scope is not None:
             await self._answered.wait()
         if not self._is_closing:
--- a/ibisfront/http1/client.py
+++ b/ibisfront/http1/client.py
@@ -96,7 +96,7 @@
         """
         received = self._reader.body_bytes
         return TimeoutError(
-            f"no reply within {timeout_ms:.0f} ms, or not whole: {received} bytes came"
+            f"no reply in {timeout_ms:.0f} ms, or stalled: {received} bytes received"
         )
 
     def close(self) -> None:
--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -282,7 +282,7 @@
     try:
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
-        _LOG.warning("An answer of the store is not valid JSON: %s.", error)
+        _LOG.warning("A reply from the store is not valid JSON: %s.", error)
     return _decode(made_proper(raw), kind)
 
 
--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -126,7 +126,7 @@
             await trio.sleep(0.01)
             running = sum(server.running for server in fixture.all_servers())
         self.assertEqual(running, 0)
-        self.assertIn("The asker left.", logs.output[-1])
+        self.assertIn("The requester disconnected.", logs.output[-1])
 
     @trio_test
     async def test_abandoned_requests_on_slow_servers_are_cancelled(self):
--- a/ibisfront/tests/test_http1_client.py
+++ b/ibisfront/tests/test_http1_client.py
@@ -75,7 +75,7 @@
         nursery.start_soon(send_slowly, server, 2)
         with self.assertRaises(TimeoutError) as caught:
             await client.call("GET", "/", timeout_ms=1_000.0)
-        self.assertIn("2000 bytes came", str(caught.exception))
+        self.assertIn("2000 bytes received", str(caught.exception))
 
     @with_server
     async def test_slow_reply_is_read_completely(self, client, server, nursery):
