--- a/ibisfront/core/backend_pools.py
+++ b/ibisfront/core/backend_pools.py
@@ -268,7 +268,7 @@
             elif not answered:
                 health.eject(now_ms)
                 self._counters.add(CounterKind.EJECTIONS, "no_answer")
-                _LOG.warning("%s does not answer; it is left out.", pool.server.name)
+                _LOG.warning("%s did not answer a probe; ejected.", pool.server.name)
             else:
                 health.record_probe_success(now_ms)
                 self._counters.add(
--- a/ibisfront/core/catalogue.py
+++ b/ibisfront/core/catalogue.py
@@ -122,7 +122,7 @@
     def _reject(self, name: ObjectName, version: Version, reason: str) -> None:
         self._counters.add(CounterKind.TABLE_CHANGES, f"refused_{name.kind}")
         _LOG.error(
-            "Version %d of %s %s is not put in force: %s",
+            "Version %d of %s %s was rejected: %s",
             version,
             name.kind,
             name.name,
--- a/ibisfront/core/pause.py
+++ b/ibisfront/core/pause.py
@@ -32,5 +32,5 @@
         await clock.sleep_ms(_TICK_MS)
         late_ms = clock.now_ms() - due_ms
         if late_ms >= PAUSE_MS:
-            _LOG.warning("This process stood still for %.0f ms.", late_ms)
+            _LOG.warning("This process was paused for %.0f ms.", late_ms)
             on_pause(late_ms)
--- a/ibisfront/core/stopping.py
+++ b/ibisfront/core/stopping.py
@@ -95,7 +95,7 @@
                 await hook()
             if scope.cancelled_caught:
                 _LOG.warning(
-                    "A leaving hook did not finish within %d ms.", LEAVE_TIMEOUT_MS
+                    "A leave hook did not finish within %d ms.", LEAVE_TIMEOUT_MS
                 )
 
 
@@ -142,8 +142,8 @@
     elif limit.cancelled_caught:
         _LOG.warning("The time limit of %d ms has expired.", limit_ms)
     for line in cut_off:
-        _LOG.warning("Cut off: %s.", line)
-    _LOG.info("Requests cut off: %d.", len(cut_off))
+        _LOG.warning("Aborted: %s.", line)
+    _LOG.info("Requests aborted: %d.", len(cut_off))
     await stopping.leave()
     return cut_off
 
