--- a/ibisfront/gateway/servers/server_registry.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -205,7 +205,7 @@
         server.is_evacuated = entry.zone in (self._evacuated or ())
         self._by_id[entry.server_id] = server
         self._by_service.setdefault(entry.service, []).append(server)
-        self._event_log.record("Added", entry.server_id, entry.service)
+        self._event_log.record("Listed", entry.server_id, entry.service)
 
     def _newest_start_ms(self, server_id: str) -> int:
         """Return the latest known start of a present or removed server, or 0."""
--- a/ibisfront/tests/test_gateway_server_event_log.py
+++ b/ibisfront/tests/test_gateway_server_event_log.py
@@ -21,21 +21,21 @@
         """
         event_log = ServerEventLog(Clock())
         for number in range(300):
-            event_log.record("Added", f"i-{number}", "s")
+            event_log.record("Listed", f"i-{number}", "s")
         event_log.record("Unreachable, timed out", "i-7", "s", is_fault=True)
         with self.assertLogs("ibisfront", "INFO") as logs:
             event_log.flush()
-        added, failed = logs.records
-        self.assertIn("i-0 of s", added.getMessage())
-        self.assertIn("and 288 more", added.getMessage())
-        self.assertEqual((added.servers, added.levelname), (300, "INFO"))
+        listed, failed = logs.records
+        self.assertIn("i-0 of s", listed.getMessage())
+        self.assertIn("and 288 more", listed.getMessage())
+        self.assertEqual((listed.servers, listed.levelname), (300, "INFO"))
         self.assertEqual((failed.servers, failed.levelname), (1, "WARNING"))
         self.assertIn("i-7 of s", failed.getMessage())
 
     @trio_test
     async def test_flush_without_events_logs_nothing(self):
         event_log = ServerEventLog(Clock())
-        event_log.record("Added", "i-1", "s")
+        event_log.record("Listed", "i-1", "s")
         with self.assertLogs("ibisfront", "INFO"):
             event_log.flush()
         with self.assertNoLogs("ibisfront", "INFO"):
