--- a/ibisfront/adapters/__init__.py
+++ b/ibisfront/adapters/__init__.py
@@ -1,11 +1,11 @@
-"""The edges: callers, backend servers, the platform and peers."""
+"""Adapters for callers, backend servers, the platform and peers."""
 
 from __future__ import annotations
 
 from ibisfront.adapters.admin import admin_routes, health_routes
 from ibisfront.adapters.asgi import asgi_application
 from ibisfront.adapters.callers import CallerService, caller_routes
-from ibisfront.adapters.entrypoint import AdapterEntrypoint
+from ibisfront.adapters.factory import AdapterFactory
 from ibisfront.adapters.http import (
     HttpRequest,
     HttpResponse,
@@ -17,7 +17,7 @@
 from ibisfront.adapters.platform import PlatformClient
 
 __all__ = [
-    "AdapterEntrypoint",
+    "AdapterFactory",
     "CallerService",
     "HttpRequest",
     "HttpResponse",
--- a/ibisfront/adapters/admin.py
+++ b/ibisfront/adapters/admin.py
@@ -1,4 +1,4 @@
-"""The operators' interface, over HTTP, behind a bearer token."""
+"""The operators' HTTP interface, authorized by a bearer token."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     from ibisfront.core.stopping import Stopping
 
 __all__ = [
+    "AdministeredInstance",
     "NamedService",
-    "OperatedInstance",
     "TableView",
     "admin_routes",
     "bearer_authorization",
@@ -51,7 +51,7 @@
     version : int
         The version; 0 if there is no table.
     table : Table
-        Its purposes and rows; its history is left out.
+        Its purposes and rows, without its history.
     """
 
     version: Version
@@ -59,14 +59,14 @@
 
 
 class NamedService(msgspec.Struct, frozen=True):
-    """One service as this instance knows it."""
+    """One service and its name, as this instance has it."""
 
     name: str
     service: Service
 
 
-class OperatedInstance(Protocol):
-    """What operators see of an instance."""
+class AdministeredInstance(Protocol):
+    """What the operators' interface uses of an instance."""
 
     catalogue: Catalogue
     counters: Counters
@@ -75,23 +75,23 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the balancer may send callers' requests here."""
         ...
 
     def status(self) -> InstanceStatus:
-        """Return what this instance says of itself."""
+        """Return this instance's own status."""
         ...
 
     async def status_of_all(self) -> TierStatus:
-        """Ask every instance that has not left for its status."""
+        """Request the status of every instance that has not left."""
         ...
 
 
 def bearer_authorization(token: str) -> Authorize:
-    """Return a check that lets in the bearers of a token only.
+    """Return a check that accepts only requests with a bearer token.
 
-    The comparison takes the same time wherever a wrong token differs, so that
-    its letters cannot be found one by one.
+    The comparison takes constant time, so that response times do not reveal
+    how much of a wrong token matches.
     """
     expected = token.encode()
 
@@ -108,8 +108,8 @@
     return authorize
 
 
-def health_routes(instance: OperatedInstance) -> tuple[Route, ...]:
-    """Return the routes that the balancer asks."""
+def health_routes(instance: AdministeredInstance) -> tuple[Route, ...]:
+    """Return the routes of the balancer's health checks."""
 
     async def alive(request: HttpRequest) -> HttpResponse:
         return json_response({"alive": True}, outcome=_HEALTH)
@@ -128,16 +128,16 @@
 
 
 def admin_routes(
-    instance: OperatedInstance, *, platform: ConditionalPlatform, clock: Clock
+    instance: AdministeredInstance, *, platform: ConditionalPlatform, clock: Clock
 ) -> tuple[Route, ...]:
-    """Return the routes that operators use.
+    """Return the operators' routes.
 
     Parameters
     ----------
-    instance : OperatedInstance
+    instance : AdministeredInstance
         The instance.
     platform : ConditionalPlatform
-        Where edits go.
+        Where edits are written.
     clock : Clock
         The tier's clock.
     """
@@ -148,7 +148,7 @@
     )
 
 
-def _reading_routes(instance: OperatedInstance) -> tuple[Route, ...]:
+def _reading_routes(instance: AdministeredInstance) -> tuple[Route, ...]:
     async def metrics(request: HttpRequest) -> HttpResponse:
         text = metrics_text(
             instance.counters.values(), instance.latencies.samples(), _gauges(instance)
@@ -173,7 +173,7 @@
 
 
 def _table_routes(
-    instance: OperatedInstance, platform: ConditionalPlatform, clock: Clock
+    instance: AdministeredInstance, platform: ConditionalPlatform, clock: Clock
 ) -> tuple[Route, ...]:
     async def get(request: HttpRequest) -> HttpResponse:
         current = await read_table(platform)
@@ -202,7 +202,7 @@
 
 
 def _service_routes(
-    instance: OperatedInstance, platform: ConditionalPlatform, clock: Clock
+    instance: AdministeredInstance, platform: ConditionalPlatform, clock: Clock
 ) -> tuple[Route, ...]:
     async def list_all(request: HttpRequest) -> HttpResponse:
         catalogue = instance.catalogue
@@ -216,15 +216,15 @@
     async def add(request: HttpRequest) -> HttpResponse:
         server = _decoded(request.body, BackendServer)
         _check_server(server)
-        edited = await add_server(platform, request.parts[0], server, clock=clock)
+        edited = await add_server(platform, request.path_params[0], server, clock=clock)
         return json_response(edited, outcome="edit_accepted")
 
     async def drain(request: HttpRequest) -> HttpResponse:
-        edited = await drain_server(platform, *request.parts, clock=clock)
+        edited = await drain_server(platform, *request.path_params, clock=clock)
         return json_response(edited, outcome="edit_accepted")
 
     async def remove(request: HttpRequest) -> HttpResponse:
-        edited = await remove_server(platform, *request.parts, clock=clock)
+        edited = await remove_server(platform, *request.path_params, clock=clock)
         return json_response(edited, outcome="edit_accepted")
 
     return (
@@ -235,7 +235,7 @@
     )
 
 
-def _gauges(instance: OperatedInstance) -> list[Gauge]:
+def _gauges(instance: AdministeredInstance) -> list[Gauge]:
     status = instance.status()
     in_flight = len(instance.stopping.requests)
     return [
@@ -252,8 +252,8 @@
 
 
 def _check_server(server: BackendServer) -> None:
-    # An address that nothing can connect to would be met first by the searches
-    # of every branch, at every instance.
+    # An address that no connection can be opened to would only show up as
+    # failed searches of every branch, at every instance.
     problem = address_problem(server.address)
     if problem is not None:
         raise IbisfrontError(
--- a/ibisfront/adapters/asgi.py
+++ b/ibisfront/adapters/asgi.py
@@ -23,7 +23,7 @@
     AsgiMessage,
     AsgiReceive,
     BodyReader,
-    decode_part,
+    decode_path_param,
     new_request_id,
     read_headers,
     read_request_id,
@@ -39,7 +39,7 @@
     "AsgiReceive",
     "AsgiSend",
     "Authorize",
-    "CallerGone",
+    "CallerDisconnected",
     "asgi_application",
 ]
 
@@ -49,17 +49,17 @@
 ]
 
 Authorize: TypeAlias = Callable[[dict[str, str]], None]
-"""Raises ``unauthorized`` if the headers give no right to go on."""
+"""Raises ``unauthorized`` if the headers do not authorize the request."""
 
-_GONE = "caller_gone"
+_CALLER_GONE = "caller_gone"
 
 
-def _allow(headers: dict[str, str]) -> None:
-    """Let everybody go on."""
+def _allow_all(headers: dict[str, str]) -> None:
+    """Accept every request."""
 
 
-class CallerGone(Exception):
-    """The caller disconnected before its answer was ready."""
+class CallerDisconnected(Exception):
+    """The caller disconnected before its response was ready."""
 
 
 def asgi_application(
@@ -68,23 +68,23 @@
     clock: Clock,
     maximum_body_bytes: int,
     observe: Observe,
-    authorize: Authorize = _allow,
+    authorize: Authorize = _allow_all,
 ) -> AsgiApplication:
-    """Return an ASGI application that answers the routes.
+    """Return an ASGI application that serves the routes.
 
     Parameters
     ----------
     routes : tuple of Route
-        What it answers.
+        The routes.
     clock : Clock
         The tier's clock.
     maximum_body_bytes : int
-        A longer body is refused with ``body_too_large``.
+        A longer body is rejected with ``body_too_large``.
     observe : callable
-        Called with each exchange once its answer is known.
+        Called with each exchange once its outcome is known.
     authorize : callable, optional
-        Called with the headers before anything else is looked at; raises if
-        the sender may not go on.
+        Called with the headers before the path and the body are read; raises
+        if the sender is not authorized.
     """
 
     async def application(
@@ -95,17 +95,17 @@
         elif scope["type"] == "websocket":
             await send({"type": "websocket.close"})
         else:
-            conversation = _Conversation(scope, receive, clock, maximum_body_bytes)
-            response = await conversation.answer(routes, authorize)
-            observe(conversation.exchange(response))
+            cycle = _RequestResponseCycle(scope, receive, clock, maximum_body_bytes)
+            response = await cycle.respond(routes, authorize)
+            observe(cycle.exchange(response))
             if response is not None:
-                await conversation.send(response, send)
+                await cycle.send(response, send)
 
     return application
 
 
-class _Conversation:
-    """One request on its way through a listener.
+class _RequestResponseCycle:
+    """The handling of one request, from its head to its response.
 
     Parameters
     ----------
@@ -116,7 +116,7 @@
     clock : Clock
         The tier's clock.
     maximum_body_bytes : int
-        A longer body is refused.
+        A longer body is rejected.
     """
 
     __slots__ = (
@@ -125,8 +125,8 @@
         "_error",
         "_maximum_body_bytes",
         "_method",
-        "_parts",
         "_path",
+        "_path_params",
         "_raw_headers",
         "_receive",
         "_received_at_ms",
@@ -149,22 +149,22 @@
         self._raw_headers = scope["headers"]
         self._request_id = new_request_id()
         self._body = BodyReader(receive, {}, clock=clock, maximum_bytes=0)
-        self._parts: tuple[str, ...] = ()
+        self._path_params: tuple[str, ...] = ()
         self._error: BaseException | None = None
 
-    async def answer(
+    async def respond(
         self, routes: tuple[Route, ...], authorize: Authorize
     ) -> HttpResponse | None:
-        """Return the answer of the route, or the problem that it met.
+        """Return the route's response or a problem document.
 
-        None if the caller has gone.
+        None if the caller has disconnected.
         """
         try:
             return await self._handle(routes, authorize)
         except IbisfrontError as error:
             self._error = error
             return problem_response(error, request_id=self._request_id)
-        except CallerGone as error:
+        except CallerDisconnected as error:
             self._error = error
             return None
         except Exception as error:
@@ -175,20 +175,20 @@
             return problem_response(fault, request_id=self._request_id)
 
     def exchange(self, response: HttpResponse | None) -> Exchange:
-        """Return the record of what became of the request."""
+        """Return the record of the request and its outcome."""
         return Exchange(
             request_id=self._request_id,
             method=self._method,
             path=self._path,
-            parts=self._parts,
+            path_params=self._path_params,
             status=0 if response is None else response.status,
             duration_ms=self._clock.now_ms() - self._received_at_ms,
-            outcome=_GONE if response is None else response.outcome,
+            outcome=_CALLER_GONE if response is None else response.outcome,
             error=self._error,
         )
 
     async def send(self, response: HttpResponse, send: AsgiSend) -> None:
-        """Send an answer, then take in what is left of the request's body."""
+        """Send a response, then discard the rest of the request's body."""
         headers = [
             (b"content-type", response.content_type),
             (b"content-length", str(len(response.body)).encode()),
@@ -201,8 +201,8 @@
             "headers": headers,
         }
         await send(start)
-        part = {"type": "http.response.body", "body": response.body, "more_body": True}
-        await send(part)
+        body = {"type": "http.response.body", "body": response.body, "more_body": True}
+        await send(body)
         await self._body.discard()
         await send({"type": "http.response.body", "body": b""})
 
@@ -212,8 +212,8 @@
         headers = read_headers(self._raw_headers)
         self._request_id = read_request_id(headers)
         authorize(headers)
-        route, parts = _find_route(routes, self._method, self._path)
-        self._parts = tuple(decode_part(part) for part in parts)
+        route, raw_params = _find_route(routes, self._method, self._path)
+        self._path_params = tuple(decode_path_param(param) for param in raw_params)
         self._body = BodyReader(
             self._receive,
             headers,
@@ -223,31 +223,31 @@
         request = HttpRequest(
             method=self._method,
             path=self._path,
-            parts=self._parts,
+            path_params=self._path_params,
             headers=headers,
             body=await self._body.read(),
             request_id=self._request_id,
             received_at_ms=self._received_at_ms,
         )
         if route.ends_with_caller:
-            return await _answer_while_connected(route.handler, request, self._receive)
+            return await _run_until_disconnect(route.handler, request, self._receive)
         return await route.handler(request)
 
 
-async def _answer_while_connected(
+async def _run_until_disconnect(
     handler: Handler, request: HttpRequest, receive: AsgiReceive
 ) -> HttpResponse:
     """Run a handler until its caller disconnects.
 
-    A caller that gives up shows as ``http.disconnect`` while the handler
-    runs. Its admission place, connections and backend slots would stay taken
-    for work that nobody reads; cancelling the handler frees them all, since
-    each is held by a context of the handler's task.
+    The server reports a disconnect as ``http.disconnect`` while the handler
+    runs. The admission slot, connections and backend slots would stay in use
+    for a response that nobody reads; cancelling the handler releases them all,
+    since each is held by a context of the handler's task.
     """
     responses: list[HttpResponse] = []
     failures: list[Exception] = []
 
-    async def answer(scope: trio.CancelScope) -> None:
+    async def run_handler(scope: trio.CancelScope) -> None:
         try:
             responses.append(await handler(request))
         except Exception as error:
@@ -255,17 +255,17 @@
         scope.cancel()
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(answer, nursery.cancel_scope)
-        await _wait_disconnected(receive)
+        nursery.start_soon(run_handler, nursery.cancel_scope)
+        await _wait_for_disconnect(receive)
         nursery.cancel_scope.cancel()
     if failures:
         raise failures[0]
     if not responses:
-        raise CallerGone
+        raise CallerDisconnected
     return responses[0]
 
 
-async def _wait_disconnected(receive: AsgiReceive) -> None:
+async def _wait_for_disconnect(receive: AsgiReceive) -> None:
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
@@ -291,7 +291,7 @@
     if methods:
         raise MethodError(path, methods)
     raise IbisfrontError(
-        ErrorKind.NOT_FOUND, f"there is no {path[:80]}: see docs/INTERFACE.md"
+        ErrorKind.NOT_FOUND, f"no route matches {path[:80]}: see docs/INTERFACE.md"
     )
 
 
--- a/ibisfront/adapters/callers.py
+++ b/ibisfront/adapters/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface, over HTTP."""
+"""The callers' HTTP interface."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class CallerService(Protocol):
-    """What answers callers."""
+    """The operations that callers can request."""
 
     async def search(self, request: CallerRequest) -> Answer:
-        """Return one whole answer."""
+        """Return the merged answer of the services."""
         ...
 
     async def perform(self, request: CallerRequest, key: str) -> PerformAnswer:
@@ -44,30 +44,30 @@
 def caller_routes(
     service: CallerService, *, settings: CallerSettings
 ) -> tuple[Route, ...]:
-    """Return the routes that callers use."""
+    """Return the callers' routes."""
 
     async def query(request: HttpRequest) -> HttpResponse:
-        checked = _checked(request, settings)
-        answer = await service.search(checked)
-        whole = answer.coverage.answered == answer.coverage.total
-        return json_response(answer, outcome="whole" if whole else "partial")
+        parsed = _parse_request(request, settings)
+        answer = await service.search(parsed)
+        is_complete = answer.coverage.answered == answer.coverage.total
+        return json_response(answer, outcome="whole" if is_complete else "partial")
 
     async def perform(request: HttpRequest) -> HttpResponse:
-        checked = _checked(request, settings)
+        parsed = _parse_request(request, settings)
         key = request.headers.get(_KEY_HEADER)
         if not key:
             raise IbisfrontError(
                 ErrorKind.KEY_MISSING, "set the header Idempotency-Key to a UUIDv7"
             )
-        answer = await service.perform(checked, key)
+        answer = await service.perform(parsed, key)
         return json_response(
             answer, outcome="repeated" if answer.repeated else "performed"
         )
 
     async def outcome(request: HttpRequest) -> HttpResponse:
-        answer = await service.outcome(request.parts[0])
-        own = msgspec.structs.replace(answer, request_id=request.request_id)
-        return json_response(own, outcome="outcome_told")
+        answer = await service.outcome(request.path_params[0])
+        echoed = msgspec.structs.replace(answer, request_id=request.request_id)
+        return json_response(echoed, outcome="outcome_told")
 
     return (
         Route(
@@ -81,9 +81,9 @@
     )
 
 
-def _checked(request: HttpRequest, settings: CallerSettings) -> CallerRequest:
-    _check_json(request.body)
-    branch, purpose = request.parts
+def _parse_request(request: HttpRequest, settings: CallerSettings) -> CallerRequest:
+    _validate_json(request.body)
+    branch, purpose = request.path_params
     return CallerRequest(
         request_id=request.request_id,
         branch=branch,
@@ -93,7 +93,7 @@
     )
 
 
-def _check_json(body: bytes) -> None:
+def _validate_json(body: bytes) -> None:
     try:
         decoded = msgspec.json.decode(body)
     except msgspec.MsgspecError as error:
@@ -101,21 +101,21 @@
             ErrorKind.BAD_REQUEST, f"the body is not JSON: {error}"
         ) from error
     except RecursionError as error:
-        raise _too_deep() from error
-    # A body of many brackets can be far deeper than a backend server's decoder
-    # bears, and would fail there, after it was sent. Counting brackets is
-    # cheap and passes nearly all bodies; only the rest are walked.
+        raise _nesting_error() from error
+    # A body can be nested deeper than a backend server's decoder supports, and
+    # would fail there, after it was sent. Counting brackets is cheap and
+    # clears nearly all bodies; only the rest are traversed.
     if body.count(b"[") + body.count(b"{") > _MAXIMUM_DEPTH:
-        _check_depth(decoded)
+        _validate_depth(decoded)
 
 
-def _check_depth(decoded: object) -> None:
+def _validate_depth(decoded: object) -> None:
     level = [decoded]
     for _ in range(_MAXIMUM_DEPTH + 1):
         level = [child for item in level for child in _children(item)]
         if not level:
             return
-    raise _too_deep()
+    raise _nesting_error()
 
 
 def _children(item: object) -> Iterable[object]:
@@ -124,10 +124,10 @@
     return item if isinstance(item, list) else ()
 
 
-def _too_deep() -> IbisfrontError:
+def _nesting_error() -> IbisfrontError:
     return IbisfrontError(
         ErrorKind.BAD_REQUEST,
-        f"the body is nested more than {_MAXIMUM_DEPTH} deep: flatten it",
+        f"the body is nested more than {_MAXIMUM_DEPTH} levels deep: flatten it",
     )
 
 
--- a/ibisfront/adapters/closing.py
+++ b/ibisfront/adapters/connection_close.py
@@ -1,4 +1,4 @@
-"""Telling callers to close their connections while the instance stops."""
+"""Middleware that has callers close their connections during a stop."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
     )
     from ibisfront.core.stopping import Stopping
 
-__all__ = ["closing_application"]
+__all__ = ["connection_close_middleware"]
 
 _COUNTED_PREFIX = "/v1/"
 _CONNECTION_CLOSE = (b"connection", b"close")
 
 
-def closing_application(
+def connection_close_middleware(
     application: AsgiApplication, stopping: Stopping
 ) -> AsgiApplication:
-    """Return an application that counts requests and closes when stopping.
+    """Return an application that counts requests and closes connections.
 
-    The server closes an idle connection at the end of a stop without a word.
-    A request that its caller sends in that moment is lost; it shows as a reset
-    with no answer. So each response given after the stop began asks for the
-    close itself, and the caller opens its next connection elsewhere.
+    At the end of a stop the server closes idle connections without notice. A
+    request sent at that moment is lost and the caller sees a reset. So each
+    response after the stop has begun carries ``Connection: close``, and the
+    caller opens its next connection to another instance.
 
     Parameters
     ----------
     application : callable
-        What answers the requests.
+        The wrapped application.
     stopping : Stopping
-        Where callers' requests are counted; health checks are not, since
-        they go on until the listener closes.
+        Counts callers' requests; health checks are not counted, since they
+        continue until the listener closes.
     """
 
     async def closing(
--- a/ibisfront/adapters/entrypoint.py
+++ b/ibisfront/adapters/factory.py
@@ -1,4 +1,4 @@
-"""The one entry point of the adapters: everything that touches the outside."""
+"""The factory of the adapters that do an instance's input and output."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     from ibisfront.core.members import Members
     from ibisfront.core.settings import Settings
 
-__all__ = ["AdapterEntrypoint"]
+__all__ = ["AdapterFactory"]
 
 
-class AdapterEntrypoint:
-    """Opens the adapters of one instance.
+class AdapterFactory:
+    """Creates the adapters of one instance.
 
-    A test or an embedding program replaces the outside by a subclass.
+    Tests and embedding programs substitute other adapters by subclassing.
 
     Parameters
     ----------
     settings : Settings
-        Where the outside is.
+        The addresses and time limits.
     clock : Clock
         The tier's clock.
     """
@@ -51,7 +51,7 @@
     def open_peers(
         self, members: Members, *, counters: Counters, random: Random
     ) -> PeerStreams:
-        """Return the streams to the other instances, not yet running."""
+        """Return the streams to the other instances, not yet started."""
         return PeerStreams(
             members,
             transport=self.peer_transport(),
@@ -61,7 +61,7 @@
         )
 
     def peer_transport(self) -> PeerTransport:
-        """Return what opens streams between instances."""
+        """Return the transport for streams between instances."""
         return TcpTransport(
             self._settings.peers.address,
             outgoing_ip=self._settings.instance.outgoing_ip,
--- a/ibisfront/adapters/http.py
+++ b/ibisfront/adapters/http.py
@@ -30,27 +30,27 @@
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """One request, its body read whole.
+    """One request with its complete body.
 
     Attributes
     ----------
     method, path : str
-        As sent; the path without its query.
-    parts : tuple of str
-        What the route's pattern captured, in order, decoded.
+        As sent; the path without its query string.
+    path_params : tuple of str
+        The groups that the route's pattern captured, percent-decoded.
     headers : dict of str to str
         By lower-case name.
     body : bytes
         The body.
     request_id : str
-        The caller's id, or one made here; echoed in the answer.
+        The caller's id, or a generated one; echoed in the response.
     received_at_ms : float
-        When its head came, by the tier's clock; deadlines count from here.
+        When its head arrived, by the tier's clock; deadlines count from here.
     """
 
     method: str
     path: str
-    parts: tuple[str, ...]
+    path_params: tuple[str, ...]
     headers: dict[str, str]
     body: bytes
     request_id: str = ""
@@ -71,7 +71,7 @@
     headers : tuple of tuple of bytes
         Further headers.
     outcome : str
-        What the sender is told, in a word, for the counters.
+        The counter reason of what the sender is sent.
     """
 
     status: int
@@ -85,19 +85,19 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """A method and a path pattern, and what answers them.
+    """A method, a path pattern and their handler.
 
     Attributes
     ----------
     method : str
         The HTTP method.
     pattern : re.Pattern
-        Matched against the whole path; its groups become the parts.
+        Matched against the whole path; its groups are the path parameters.
     handler : callable
-        Answers the request.
+        Returns the response.
     ends_with_caller : bool
         Whether the handler is cancelled when its caller disconnects. Only for
-        work that may be dropped half-way: a search, not a perform or an edit.
+        work that is safe to abandon: a search, not a perform or an edit.
     """
 
     method: str
@@ -107,7 +107,7 @@
 
 
 class Exchange(msgspec.Struct, frozen=True):
-    """One request and what became of it, for counters and logs.
+    """One request and its outcome, for counters and logs.
 
     Attributes
     ----------
@@ -115,22 +115,22 @@
         The request's id.
     method, path : str
         As sent.
-    parts : tuple of str
-        What the route captured; empty if none was found.
+    path_params : tuple of str
+        The decoded path parameters; empty if no route was found.
     status : int
-        The answer's status; 0 if the caller was gone.
+        The status of the response; 0 if the caller had disconnected.
     duration_ms : float
-        From the head of the request to the answer.
+        From the head of the request to the response.
     outcome : str
-        What the sender was told, in a word.
+        The counter reason of what the sender was sent.
     error : BaseException or None
-        Why there was no proper answer.
+        Why the request failed; None if it succeeded.
     """
 
     request_id: str
     method: str
     path: str
-    parts: tuple[str, ...]
+    path_params: tuple[str, ...]
     status: int
     duration_ms: float
     outcome: str
@@ -138,7 +138,7 @@
 
 
 Observe: TypeAlias = Callable[[Exchange], None]
-"""Told of each exchange once it is over; must not wait."""
+"""Called with each exchange once its outcome is known; must not block."""
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
@@ -147,15 +147,15 @@
     Attributes
     ----------
     type, title, status, detail
-        As RFC 9457 says.
+        As RFC 9457 defines them.
     code : str
-        The kind of the error, from the closed list.
+        The value of the ``ErrorKind``.
     ran : str
         Whether the request ran: ``no``, ``maybe`` or ``yes``.
     request_id : str or None
         The request's id.
     retry_after_ms : int or None
-        When coming back can help.
+        After how long a retry can succeed.
     conflict : TableConflict or None
         Both edits, if the error is a conflict.
     """
@@ -203,20 +203,20 @@
 
 
 class MethodError(IbisfrontError):
-    """A path that takes other methods only.
+    """The path does not support the request's method.
 
     Parameters
     ----------
     path : str
         The path.
     methods : list of str
-        What it takes.
+        The methods that it supports.
     """
 
     def __init__(self, path: str, methods: list[str]) -> None:
         self.allowed = ", ".join(methods)
         super().__init__(
-            ErrorKind.METHOD_NOT_ALLOWED, f"{path[:80]} takes {self.allowed} only"
+            ErrorKind.METHOD_NOT_ALLOWED, f"{path[:80]} supports {self.allowed} only"
         )
 
 
--- a/ibisfront/adapters/http_input.py
+++ b/ibisfront/adapters/http_input.py
@@ -1,4 +1,4 @@
-"""Checking what comes in over HTTP before any handler sees it."""
+"""Validation of HTTP requests before they reach a handler."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "AsgiMessage",
     "AsgiReceive",
     "BodyReader",
-    "decode_part",
+    "decode_path_param",
     "new_request_id",
     "read_headers",
     "read_request_id",
@@ -28,7 +28,7 @@
 AsgiReceive: TypeAlias = Callable[[], Awaitable[AsgiMessage]]
 
 REQUEST_ID_HEADER = "x-request-id"
-"""The header that carries a request's id both ways."""
+"""The header of a request's id, in requests and responses."""
 
 _SINGLE_HEADERS = frozenset(
     {
@@ -47,37 +47,37 @@
 
 
 def new_request_id() -> str:
-    """Return an id for a request that came without one."""
+    """Return an id for a request that was sent without one."""
     return uuid.uuid4().hex
 
 
-def read_headers(raw: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
+def read_headers(raw_headers: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
     """Return the headers by lower-case name.
 
     Raises
     ------
     IbisfrontError
-        ``bad_request`` if a header that must be single came twice. Two
-        deadlines or two keys would let two readers act on different ones.
+        ``bad_request`` if a single-valued header is repeated. With two
+        deadlines or two keys, two readers could act on different ones.
     """
     headers: dict[str, str] = {}
-    for raw_name, raw_value in raw:
+    for raw_name, raw_value in raw_headers:
         name = raw_name.decode("latin-1").lower()
         if name in headers and name in _SINGLE_HEADERS:
             raise IbisfrontError(
-                ErrorKind.BAD_REQUEST, f"the header {name} came twice: send it once"
+                ErrorKind.BAD_REQUEST, f"the header {name} is repeated: send it once"
             )
         headers[name] = raw_value.decode("latin-1").strip()
     return headers
 
 
 def read_request_id(headers: dict[str, str]) -> str:
-    """Return the request's id, or a new one if it brought none.
+    """Return the request's id, or a new one if it has none.
 
     Raises
     ------
     IbisfrontError
-        ``bad_request`` if it could not be sent on in a header.
+        ``bad_request`` if it cannot be forwarded in a header.
     """
     given = headers.get(REQUEST_ID_HEADER)
     if given is None:
@@ -90,28 +90,28 @@
     return given
 
 
-def decode_part(part: str) -> str:
-    """Return one part of a path with its percent-encoding undone.
+def decode_path_param(param: str) -> str:
+    """Return a path parameter with its percent-encoding decoded.
 
-    Parts are split before they are decoded, so that an encoded slash stays
-    inside the name that it belongs to.
+    The path is split before it is decoded, so that an encoded slash remains
+    part of the name that contains it.
 
     Raises
     ------
     IbisfrontError
-        ``bad_request`` if the encoding is broken or not of UTF-8.
+        ``bad_request`` if the encoding is malformed or not UTF-8.
     """
     try:
-        decoded = unquote(part, errors="strict")
+        decoded = unquote(param, errors="strict")
     except UnicodeDecodeError as error:
-        raise _bad_part(part) from error
-    if _BAD_ESCAPE.search(part) is not None or not decoded.isprintable():
-        raise _bad_part(part)
+        raise _path_param_error(param) from error
+    if _BAD_ESCAPE.search(param) is not None or not decoded.isprintable():
+        raise _path_param_error(param)
     return decoded
 
 
 class BodyReader:
-    """Reads the body of one request, within bounds.
+    """Reads the body of one request, with limits on its size and duration.
 
     Parameters
     ----------
@@ -122,7 +122,7 @@
     clock : Clock
         The tier's clock.
     maximum_bytes : int
-        A longer body is refused.
+        A longer body is rejected.
     """
 
     __slots__ = ("_clock", "_ended", "_headers", "_maximum_bytes", "_receive")
@@ -148,48 +148,48 @@
         ------
         IbisfrontError
             ``body_too_large`` as soon as that is known, or ``bad_request`` if
-            the body was cut off or came too slowly.
+            the body was truncated or sent too slowly.
         """
         length = self._headers.get("content-length", "")
         if length.isdigit() and len(length.lstrip("0")) > len(str(self._maximum_bytes)):
             raise self._too_large()
         if length.isdigit() and int(length) > self._maximum_bytes:
             raise self._too_large()
-        # A sender that never ends its body would hold this task for good.
+        # A sender that never ends its body would occupy this task forever.
         with self._clock.timeout_ms(_BODY_TIMEOUT_MS):
             return await self._read_chunks()
         raise IbisfrontError(
             ErrorKind.BAD_REQUEST,
-            f"the body did not end within {_BODY_TIMEOUT_MS:.0f} ms: send it faster",
+            f"the body was not complete in {_BODY_TIMEOUT_MS:.0f} ms: send it faster",
         )
 
     async def discard(self) -> None:
-        """Read and drop what is left of the body, up to a bound.
+        """Read and discard the rest of the body, up to a limit.
 
         Closing a connection while the caller still sends resets it, and the
-        reset can overtake the refusal: the caller would see a lost connection
-        in place of the reason. So the rest is taken in before the close.
+        reset can overtake the response: the caller would see a lost connection
+        instead of the error. So the rest is read before the close.
         """
-        left_bytes = _MAXIMUM_DISCARD_BYTES
+        remaining_bytes = _MAXIMUM_DISCARD_BYTES
         with self._clock.timeout_ms(_DISCARD_TIMEOUT_MS):
-            while not self._ended and left_bytes > 0:
+            while not self._ended and remaining_bytes > 0:
                 message = await self._receive()
-                left_bytes -= len(message.get("body", b""))
-                self._note_end(message)
+                remaining_bytes -= len(message.get("body", b""))
+                self._record_end(message)
 
     async def _read_chunks(self) -> bytes:
         body = bytearray()
         while not self._ended:
             message = await self._receive()
-            self._note_end(message)
+            self._record_end(message)
             if message["type"] == "http.disconnect":
-                raise IbisfrontError(ErrorKind.BAD_REQUEST, "the body was cut off")
+                raise IbisfrontError(ErrorKind.BAD_REQUEST, "the body was truncated")
             body += message.get("body", b"")
             if len(body) > self._maximum_bytes:
                 raise self._too_large()
         return bytes(body)
 
-    def _note_end(self, message: AsgiMessage) -> None:
+    def _record_end(self, message: AsgiMessage) -> None:
         self._ended = not message.get("more_body", False)
 
     def _too_large(self) -> IbisfrontError:
@@ -199,8 +199,8 @@
         )
 
 
-def _bad_part(part: str) -> IbisfrontError:
+def _path_param_error(param: str) -> IbisfrontError:
     return IbisfrontError(
         ErrorKind.BAD_REQUEST,
-        f"the path has {part[:40]!r}: percent-encode visible UTF-8 text",
+        f"the path has {param[:40]!r}: percent-encode printable UTF-8 text",
     )
--- a/ibisfront/adapters/listener.py
+++ b/ibisfront/adapters/listener.py
@@ -1,4 +1,4 @@
-"""Serving an application over HTTP by ``hypercorn``."""
+"""Serves an application over HTTP with ``hypercorn``."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from ibisfront.adapters.asgi import AsgiApplication
     from ibisfront.core.types import Address
 
-__all__ = ["cannot_listen", "open_listening_socket", "serve_until"]
+__all__ = ["listen_error", "open_listening_socket", "serve_until"]
 
 _CLOSE_TIMEOUT_S = 1.0
 _BACKLOG = 1024
@@ -32,20 +32,20 @@
 _LOG = part_logger(LogPart.INSTANCE)
 
 
-def cannot_listen(address: Address, error: OSError) -> IbisfrontError:
-    """Return the error of an address that cannot be listened on."""
+def listen_error(address: Address, error: OSError) -> IbisfrontError:
+    """Return the error for an address that cannot be listened on."""
     return IbisfrontError(
         ErrorKind.BAD_SETTINGS,
         f"cannot listen on {address} ({error.strerror}):"
-        " end what listens there or change the address",
+        " stop the process that uses it or change the address",
     )
 
 
 def open_listening_socket(address: Address) -> socket.socket:
-    """Return a socket that is bound to an address, and does not listen yet.
+    """Return a socket that is bound to an address but does not listen yet.
 
-    A caller that connects before the instance runs is refused at once, and
-    goes elsewhere; it would wait if the socket listened already.
+    A caller that connects before the instance runs is refused at once and can
+    try another instance; if the socket listened already, it would wait.
 
     Raises
     ------
@@ -53,32 +53,32 @@
         ``bad_settings`` if the address cannot be listened on.
     """
     host, _, port = address.rpartition(":")
-    bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bound.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    bound_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
-        bound.bind((host, int(port)))
+        bound_socket.bind((host, int(port)))
     except OSError as error:
-        bound.close()
-        raise cannot_listen(address, error) from error
-    return bound
+        bound_socket.close()
+        raise listen_error(address, error) from error
+    return bound_socket
 
 
 async def serve_until(
-    closing: trio.Event, application: AsgiApplication, bound: socket.socket
+    closing: trio.Event, application: AsgiApplication, bound_socket: socket.socket
 ) -> None:
-    """Answer what comes to a socket until an event is set.
+    """Serve requests on a socket until an event is set.
 
     Parameters
     ----------
     closing : trio.Event
         Closes the listener and its connections.
     application : callable
-        What answers the requests.
-    bound : socket
-        Where to listen; owned from now on.
+        The ASGI application.
+    bound_socket : socket
+        The socket to listen on; ownership is transferred.
     """
-    bound.listen(_BACKLOG)
+    bound_socket.listen(_BACKLOG)
     connections = _Connections(application)
     async with trio.open_nursery() as connection_nursery:
         async with trio.open_nursery() as accepting:
@@ -86,15 +86,15 @@
                 partial(
                     trio.serve_listeners,
                     connections.serve,
-                    [trio.SocketListener(trio.socket.from_stdlib_socket(bound))],
+                    [trio.SocketListener(trio.socket.from_stdlib_socket(bound_socket))],
                     handler_nursery=connection_nursery,
                 )
             )
             await closing.wait()
             accepting.cancel_scope.cancel()
         await connections.close_idle()
-        # The stop waits for every request before it sets the event; what the
-        # server itself still finds running then has had its time.
+        # The stop waits for all requests before it sets the event, so any that
+        # still run have exceeded their time.
         connection_nursery.cancel_scope.deadline = (
             trio.current_time() + _CLOSE_TIMEOUT_S
         )
@@ -103,14 +103,15 @@
 class _Connections:
     """The connections of one listener, each served by ``hypercorn``.
 
-    ``hypercorn.trio.serve`` runs all its connections in one nursery, where a
-    fault in one of them ends the listener and so the process: a single HTTP/2
-    request whose path is not ASCII did. Here each connection ends for itself.
+    ``hypercorn.trio.serve`` runs all connections in one nursery, where an
+    exception in one of them stops the listener and the process; a single
+    HTTP/2 request with a non-ASCII path causes one. Here an exception closes
+    only its own connection.
 
     Parameters
     ----------
     application : callable
-        What answers the requests.
+        The ASGI application.
     """
 
     __slots__ = ("_application", "_config", "_context")
@@ -135,9 +136,9 @@
                 cast("trio.SSLStream[trio.SocketStream]", stream),
             )
         except Exception as error:
-            _LOG.warning("A connection met a fault and was closed: %r.", error)
+            _LOG.warning("Closed a connection after an unexpected error: %r.", error)
             await trio.aclose_forcefully(stream)
 
     async def close_idle(self) -> None:
-        """Close the connections without a request; the others when theirs ends."""
+        """Close idle connections now, and the others when their request ends."""
         await self._context.terminated.set()
--- a/ibisfront/adapters/log_output.py
+++ b/ibisfront/adapters/log_output.py
@@ -1,4 +1,4 @@
-"""Writing the log as JSON lines to standard error."""
+"""Log output as JSON lines on standard error."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from ibisfront.core.settings import Settings
 
-__all__ = ["start_logs"]
+__all__ = ["configure_logging"]
 
 
-def start_logs(settings: Settings) -> None:
-    """Write the log of this process from now on.
+def configure_logging(settings: Settings) -> None:
+    """Configure the process's logging to write JSON lines.
 
     Each line is one JSON object with ``timestamp``, ``level``, ``message``
-    (which begins with the prefix of its part), ``instance`` and, for a line
-    about a request, ``request_id``.
+    (which starts with the prefix of its log part), ``instance`` and, for a
+    line about a request, ``request_id``.
     """
     formatter = JsonFormatter(
         "%(levelname)s %(message)s",
--- a/ibisfront/adapters/observation.py
+++ b/ibisfront/adapters/observation.py
@@ -1,4 +1,4 @@
-"""Counting, timing and logging the exchanges of a listener."""
+"""Counters, latencies and log lines of a listener's exchanges."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
     Parameters
     ----------
     part : LogPart
-        The listener.
+        The log part of the listener.
     counters : Counters
-        Where each exchange is counted once, by what the sender was told.
+        Counts each exchange once, by its outcome.
     latencies : Latencies, optional
-        Where the answered requests of branches and purposes are timed.
+        Records the durations of successful requests by branch and purpose.
     """
     log = part_logger(part)
 
     def observe(exchange: Exchange) -> None:
         counters.add(CounterKind.ANSWERS, exchange.outcome)
         if latencies is not None and _is_answer_of_row(exchange):
-            branch, purpose = exchange.parts
+            branch, purpose = exchange.path_params
             latencies.record_ms(branch, purpose, exchange.duration_ms)
         _log_exchange(log, exchange)
 
@@ -47,7 +47,7 @@
 
 
 def _is_answer_of_row(exchange: Exchange) -> bool:
-    return exchange.status == _OK and len(exchange.parts) == 2
+    return exchange.status == _OK and len(exchange.path_params) == 2
 
 
 def _log_exchange(log: PartLogger, exchange: Exchange) -> None:
@@ -71,11 +71,11 @@
 
 
 def _level(error: BaseException | None) -> int:
-    """Return how severe an exchange is.
+    """Return the log level of an exchange.
 
-    A refusal is no more than ``debug``: an overload refuses thousands of
-    requests a second, and a line for each would slow the instance when it has
-    least to spare. The counters tell how many there were.
+    A rejection is logged at ``debug`` only: under overload thousands of
+    requests are rejected each second, and a line for each would slow the
+    instance further. The counters show their number.
     """
     if error is None or not isinstance(error, Exception):
         return logging.DEBUG
--- a/ibisfront/adapters/peer_transport.py
+++ b/ibisfront/adapters/peer_transport.py
@@ -1,4 +1,4 @@
-"""How streams between instances are opened: TCP here, memory in tests."""
+"""The transport of streams between instances: TCP, or in-memory in tests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import trio
 
-from ibisfront.adapters.listener import cannot_listen
+from ibisfront.adapters.listener import listen_error
 
 if TYPE_CHECKING:
     from ibisfront.core.types import Address
@@ -16,14 +16,14 @@
 __all__ = ["AcceptStream", "PeerTransport", "TcpTransport"]
 
 AcceptStream: TypeAlias = Callable[[trio.abc.Stream], Awaitable[None]]
-"""Runs one stream that a peer has opened, until it ends."""
+"""Serves one stream that a peer has opened, until it ends."""
 
 
 class PeerTransport(Protocol):
     """Opens and accepts streams."""
 
     async def dial(self, address: Address) -> trio.abc.Stream:
-        """Return a new stream; raise ``OSError`` if there is none."""
+        """Return a new stream; raise ``OSError`` if it cannot be opened."""
         ...
 
     async def listen(
@@ -31,7 +31,7 @@
         accept: AcceptStream,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept streams until cancelled; started once peers can dial."""
+        """Accept streams until cancelled; reports started once peers can dial."""
         ...
 
 
@@ -43,7 +43,7 @@
     own_address : str
         The ``IP:PORT`` to listen on.
     outgoing_ip : str, optional
-        The IP that streams are opened from; the system's choice if left out.
+        The local IP of outgoing streams; chosen by the system if omitted.
     """
 
     __slots__ = ("_outgoing_ip", "_own_address")
@@ -53,12 +53,12 @@
         self._outgoing_ip = outgoing_ip
 
     async def dial(self, address: Address) -> trio.abc.Stream:
-        """Return a new stream; raise ``OSError`` if there is none."""
-        # The address may come from the platform's list or from a peer. One
-        # that is no address must look like one that nobody listens at.
+        """Return a new stream; raise ``OSError`` if it cannot be opened."""
+        # The address may come from the platform's list or from a peer. A
+        # malformed one must raise the same error as a refused connection.
         host, _, port = address.rpartition(":")
         if not port.isdecimal():
-            raise OSError(f"{address!r} is no address")
+            raise OSError(f"{address!r} is not a valid address")
         return await trio.open_tcp_stream(
             host.strip("[]"), int(port), local_address=self._outgoing_ip
         )
@@ -68,12 +68,12 @@
         accept: AcceptStream,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept streams until cancelled; started once peers can dial."""
+        """Accept streams until cancelled; reports started once peers can dial."""
         host, _, port = self._own_address.rpartition(":")
         try:
             listeners = await trio.open_tcp_listeners(int(port), host=host.strip("[]"))
         except OSError as error:
-            raise cannot_listen(self._own_address, error) from error
+            raise listen_error(self._own_address, error) from error
         async with trio.open_nursery() as nursery:
             serve = partial(trio.serve_listeners, accept, listeners)
             await nursery.start(serve)
--- a/ibisfront/applications.py
+++ b/ibisfront/applications.py
@@ -1,4 +1,4 @@
-"""The applications of an entry instance: for callers and for operators."""
+"""The ASGI applications of an entry instance, for callers and operators."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ibisfront.adapters.admin import admin_routes, bearer_authorization, health_routes
 from ibisfront.adapters.asgi import asgi_application
 from ibisfront.adapters.callers import caller_routes
-from ibisfront.adapters.closing import closing_application
+from ibisfront.adapters.connection_close import connection_close_middleware
 from ibisfront.adapters.observation import observe_exchanges
 from ibisfront.core.logs import LogPart
 
@@ -26,7 +26,7 @@
 def caller_application(
     instance: EntryInstance, *, settings: Settings, clock: Clock
 ) -> AsgiApplication:
-    """Return what answers callers and the balancer."""
+    """Return the application for callers and the balancer's health checks."""
     application = asgi_application(
         (*caller_routes(instance, settings=settings.callers), *health_routes(instance)),
         clock=clock,
@@ -35,7 +35,7 @@
             LogPart.CALLERS, counters=instance.counters, latencies=instance.latencies
         ),
     )
-    return closing_application(application, instance.stopping)
+    return connection_close_middleware(application, instance.stopping)
 
 
 def admin_application(
@@ -45,7 +45,7 @@
     settings: Settings,
     clock: Clock,
 ) -> AsgiApplication:
-    """Return what answers operators, behind their token."""
+    """Return the application for operators, authorized by their token."""
     return asgi_application(
         admin_routes(instance, platform=platform, clock=clock),
         clock=clock,
--- a/ibisfront/daemon.py
+++ b/ibisfront/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: reads the settings and runs one entry instance."""
+"""The ``ibisfrontd`` process: reads the settings and runs one instance."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 import trio
 
-from ibisfront.adapters.entrypoint import AdapterEntrypoint
+from ibisfront.adapters.factory import AdapterFactory
 from ibisfront.adapters.listener import open_listening_socket, serve_until
-from ibisfront.adapters.log_output import start_logs
+from ibisfront.adapters.log_output import configure_logging
 from ibisfront.applications import admin_application, caller_application
 from ibisfront.core.clock import Clock
 from ibisfront.core.errors import IbisfrontError
@@ -48,7 +48,7 @@
     except IbisfrontError as error:
         sys.stderr.write(f"ibisfrontd: {error.detail}\n")
         raise SystemExit(_EXIT_BAD_SETTINGS) from error
-    start_logs(settings)
+    configure_logging(settings)
     try:
         trio.run(run_daemon, settings)
     except* IbisfrontError as group:
@@ -64,7 +64,7 @@
 async def run_daemon(settings: Settings) -> None:
     """Run an entry instance and its listeners until SIGTERM."""
     clock = Clock()
-    adapters = AdapterEntrypoint(settings, clock=clock)
+    adapters = AdapterFactory(settings, clock=clock)
     instance = EntryInstance(settings, adapters=adapters, clock=clock)
     closing = trio.Event()
     async with AsyncExitStack() as stack:
@@ -87,9 +87,9 @@
         async with trio.open_nursery() as listeners:
             listeners.start_soon(serve_until, closing, callers, caller_socket)
             listeners.start_soon(serve_until, closing, operators, admin_socket)
-        # Not before the listener is closed: a balancer that is slower than its
-        # lag still sends requests while the peers are told, and without shares
-        # each of them would be refused.
+        # Shares are released only after the listeners are closed: a balancer
+        # that is slower than its configured lag may still send requests, and
+        # without shares each of them would be rejected.
         await instance.shares.release_all()
         nursery.cancel_scope.cancel()
     _LOG.info("%s has stopped.", settings.instance.name)
@@ -98,25 +98,27 @@
 async def _stop_on_signal(
     instance: EntryInstance, clock: Clock, closing: trio.Event
 ) -> None:
-    again = trio.Event()
+    second_signal = trio.Event()
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         await anext(signals)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_note_next_signal, signals, again)
+            nursery.start_soon(_record_second_signal, signals, second_signal)
             await stop_in_order(
                 instance.stopping,
                 clock=clock,
                 settings=instance.settings.stop,
-                again=again,
+                again=second_signal,
             )
             nursery.cancel_scope.cancel()
         closing.set()
         await trio.sleep_forever()  # later signals must not end the process early
 
 
-async def _note_next_signal(signals: AsyncIterator[int], again: trio.Event) -> None:
+async def _record_second_signal(
+    signals: AsyncIterator[int], second_signal: trio.Event
+) -> None:
     await anext(signals)
-    again.set()
+    second_signal.set()
 
 
 if __name__ == "__main__":
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -1,4 +1,4 @@
-"""The entry instance: all parts of one process, put together."""
+"""The entry instance: wires together the components of one process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from ibisfront.shared_state import SharedState
 
 if TYPE_CHECKING:
-    from ibisfront.adapters.entrypoint import AdapterEntrypoint
+    from ibisfront.adapters.factory import AdapterFactory
     from ibisfront.core.clock import Clock
     from ibisfront.core.query import Answer, CallerRequest, PerformAnswer
     from ibisfront.core.settings import Settings
@@ -46,20 +46,20 @@
 
 
 class EntryInstance:
-    """One entry instance; all instances are equal.
+    """One entry instance; all instances have the same role.
 
     Parameters
     ----------
     settings : Settings
-        The checked settings.
-    adapters : AdapterEntrypoint
-        The outside.
+        The validated settings.
+    adapters : AdapterFactory
+        Creates the connections to backend servers, platform and peers.
     clock : Clock
         The tier's clock.
     """
 
     def __init__(
-        self, settings: Settings, *, adapters: AdapterEntrypoint, clock: Clock
+        self, settings: Settings, *, adapters: AdapterFactory, clock: Clock
     ) -> None:
         self.settings = settings
         self.counters = Counters()
@@ -117,7 +117,7 @@
         )
         self.stopping.on_leaving(self.shared.leave)
         self.peers.answer(
-            StatusRequest, lambda asker, question: StatusReply(self.status())
+            StatusRequest, lambda requester, request: StatusReply(self.status())
         )
         self._adapters = adapters
         self._clock = clock
@@ -165,7 +165,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the balancer may send callers' requests here."""
         return (
             self.catalogue.table is not None
             and self.shares.joined
@@ -173,7 +173,7 @@
         )
 
     def status(self) -> InstanceStatus:
-        """Return what this instance says of itself."""
+        """Return this instance's own status."""
         return InstanceStatus(
             name=self.settings.instance.name,
             zone=self.settings.instance.zone,
@@ -184,19 +184,19 @@
         )
 
     async def status_of_all(self) -> TierStatus:
-        """Ask every instance that has not left for its status."""
+        """Request the status of every instance that has not left."""
         return await collect_status(
             members=self.members, peers=self.peers, own=self.status
         )
 
     async def search(self, request: CallerRequest) -> Answer:
-        """Return one whole answer; see ``CallerService``."""
+        """Return the merged answer; see ``CallerService``."""
         row, purpose = self._row(request, "search")
         async with self.admission.admit(
             row, purpose, deadline_at_ms=request.deadline_at_ms
-        ) as place:
+        ) as slot:
             answer = await self.fanout.search(request, purpose)
-            place.shed = answer.coverage.has_shed_part
+            slot.shed = answer.coverage.has_shed_part
             return answer
 
     async def perform(self, request: CallerRequest, key: str) -> PerformAnswer:
--- a/ibisfront/tests/test_observation.py
+++ b/ibisfront/tests/test_observation.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ibisfront.adapters.http import Exchange
-from ibisfront.adapters.log_output import start_logs
+from ibisfront.adapters.log_output import configure_logging
 from ibisfront.adapters.observation import observe_exchanges
 from ibisfront.core.counters import COUNTER_HELP, CounterKind, Counters
 from ibisfront.core.errors import ErrorKind, IbisfrontError
@@ -30,7 +30,7 @@
         "request_id": "r-1",
         "method": "POST",
         "path": "/v1/x",
-        "parts": ("vestry", "name-check"),
+        "path_params": ("vestry", "name-check"),
         "status": 200 if error is None else 503,
         "duration_ms": 12.5,
         "outcome": outcome,
@@ -64,7 +64,9 @@
         """
         error = IbisfrontError(ErrorKind.UNKNOWN_BRANCH, "x")
         for number in range(100):
-            self.observe(exchange(error, parts=(f"made-up-{number}", "name-check")))
+            self.observe(
+                exchange(error, path_params=(f"made-up-{number}", "name-check"))
+            )
         self.assertEqual(self.latencies.values(), [])
 
     def test_an_overload_writes_no_line_for_each_refusal(self):
@@ -93,7 +95,7 @@
         before = (log.handlers[:], log.level, log.propagate)
         try:
             with mock.patch.object(sys, "stderr", written):
-                start_logs(check_settings(changed("logs", level="debug")))
+                configure_logging(check_settings(changed("logs", level="debug")))
             part_logger(LogPart.CALLERS).info("It is so.", extra={"request_id": "r-1"})
         finally:
             log.handlers[:], log.level, log.propagate = before
