--- a/ibisfront/adapters/backend.py
+++ b/ibisfront/adapters/backend.py
@@ -34,23 +34,27 @@
     b"draining": MissingReason.DRAINING,
     b"cold": MissingReason.COLD,
 }
-_BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+_CONNECTION_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.ProtocolError,
+    httpcore.TimeoutException,
+)
 
 
 class _RequestBody(msgspec.Struct):
-    """The body that a backend server takes."""
+    """The request body of a backend server."""
 
     service: str
     request: msgspec.Raw
 
 
 class _ReplyHeaders:
-    """The headers of a reply, read once.
+    """The headers of a reply.
 
     Parameters
     ----------
     headers : list of tuple of bytes
-        As ``httpcore`` gives them.
+        Names and values as ``httpcore`` returns them.
     """
 
     __slots__ = ("_values",)
@@ -60,28 +64,28 @@
 
     @property
     def request_id(self) -> bytes:
-        """The echoed id; empty if there is none."""
+        """The echoed request id; empty if there is none."""
         return self._values.get(b"x-request-id", b"")
 
     @property
     def draining(self) -> bool:
-        """Whether the server says that it is leaving."""
+        """Whether the server reports that it is draining."""
         return b"x-draining" in self._values
 
     @property
     def snapshots(self) -> tuple[str, ...]:
-        """The snapshots that the server says it holds."""
+        """The snapshots that the server reports to hold."""
         value = self._values.get(b"x-snapshots", b"").decode("latin-1")
         return tuple(name.strip() for name in value.split(",") if name.strip())
 
     @property
     def not_run(self) -> MissingReason | None:
-        """Why the server did not run the request; None if it does not say."""
+        """Why the server did not run the request; None if it gives no reason."""
         return _NOT_RUN_REASONS.get(self._values.get(b"x-not-run", b""))
 
     @property
     def retry_after_ms(self) -> float | None:
-        """When the server says to come back."""
+        """After how long the server allows a retry; None if it does not say."""
         value = self._values.get(b"retry-after-ms")
         return float(value) if value is not None and value.isdigit() else None
 
@@ -94,7 +98,7 @@
     address : str
         The server's ``IP:PORT``.
     connection : httpcore.AsyncHTTP11Connection
-        The open connection, owned from now on.
+        The open connection; ownership is transferred.
     clock : Clock
         The tier's clock.
     """
@@ -120,25 +124,25 @@
                 self._request(work, sub_request)
             )
             body = await response.aread()
-            # Without this the connection never counts as idle, and each
+            # Without this the connection never becomes idle, and each
             # sub-request opens a new one.
             await response.aclose()
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             raise SubRequestError(
                 MissingReason.CONNECTION_LOST, not_run=False
             ) from error
         headers = _ReplyHeaders(response.headers)
-        # A reply to another sub-request (late or crossed on this connection)
-        # shows as a foreign id. It must not reach this caller; the link closes
-        # the connection after the error, so no later one sees it either.
+        # A late or misdirected reply to another sub-request carries that one's
+        # id. It must not reach this caller; the pool closes the connection
+        # after the error, so no later sub-request receives it either.
         if headers.request_id != sub_request.sub_request_id.encode():
             raise SubRequestError(MissingReason.WRONG_REPLY, not_run=False)
         if response.status != _OK:
-            raise _refusal(response.status, headers)
+            raise _rejection_error(response.status, headers)
         return SubReply(body, headers.snapshots, headers.draining)
 
     async def probe(self) -> bool:
-        """Return whether the server answers at all; see ``BackendConnection``."""
+        """Return whether the server responds; see ``BackendConnection``."""
         self._is_new = False
         request = httpcore.Request(
             b"GET",
@@ -154,20 +158,20 @@
             response = await self._connection.handle_async_request(request)
             await response.aread()
             await response.aclose()
-        except _BROKEN:
+        except _CONNECTION_ERRORS:
             return False
         return response.status == _OK
 
     def is_usable(self) -> bool:
-        """Return whether the connection is idle, clean and the server there.
+        """Return whether the connection is open, idle and has no unread bytes.
 
-        A reply that was sent twice shows as bytes that nobody asked for,
-        either still in the socket or read along with the reply before. They
-        would be taken for the reply to the next sub-request.
+        A duplicated reply leaves unsolicited bytes, either in the socket or
+        read along with the first copy. They would be mistaken for the reply to
+        the next sub-request.
 
-        httpcore calls a connection idle only after its first exchange. One
-        that was opened ahead of need is usable too, unless it has become
-        readable: the server has closed it then.
+        httpcore reports a connection as idle only after its first exchange. A
+        connection that was opened in advance is usable too, unless it is
+        readable, which means that the server has closed it.
         """
         if self._is_new:
             stream = self._connection._network_stream
@@ -214,16 +218,16 @@
 ) -> OpenConnection:
     """Return a function that opens connections to backend servers.
 
-    Connecting is apart from sending, so that a connection that cannot be
-    opened is known not to have run anything.
+    Connecting is separate from sending, so that a failure to connect proves
+    that the sub-request did not run.
     """
     options = _socket_options(settings)
     timeout_s = settings.connect_timeout_ms / _MILLISECONDS_PER_SECOND
 
     async def open_connection(address: Address) -> HttpBackendConnection:
         try:
-            # The resolver takes a port modulo 65536: a wrong one could reach
-            # whatever listens there, so the address is checked first.
+            # The resolver takes a port modulo 65536, so an invalid one could
+            # reach another server; the address is checked first.
             origin = _url(address).origin
             stream = await open_stream(
                 address,
@@ -232,9 +236,9 @@
                 options=options,
             )
         except (OSError, ValueError, OverflowError) as error:
-            # An entry written into the platform by hand may have an address
-            # that is none; it shows as a value error here. It must cost the
-            # service's rows at most, not the whole search.
+            # An entry edited by hand in the platform may have a malformed
+            # address, which raises ValueError here. It may cost the service's
+            # rows, but must not fail the whole search.
             raise SubRequestError(MissingReason.CONNECT_FAILED, not_run=True) from error
         connection = httpcore.AsyncHTTP11Connection(origin, stream)
         return HttpBackendConnection(address, connection, clock)
@@ -243,12 +247,12 @@
 
 
 def _socket_options(settings: BackendSettings) -> list[tuple[int, int, int]]:
-    """Return options that let the kernel find connections that went silent.
+    """Return options that let the kernel detect dead connections.
 
-    When something between the ends drops a connection's packets, nothing
-    comes back for what is sent: the user timeout ends it while data is under
-    way, the keep-alive while it is idle. Neither sees a connection whose far
-    end acknowledges and says nothing; for that the links probe the server.
+    If the network drops a connection's packets, nothing is acknowledged: the
+    user timeout closes it while data is in flight, the keep-alive while it is
+    idle. Neither detects a server that acknowledges but never replies; the
+    pools probe for that.
     """
     tcp = socket.IPPROTO_TCP
     options = [
@@ -269,7 +273,7 @@
     return httpcore.URL(f"http://{address}/")
 
 
-def _refusal(status: int, headers: _ReplyHeaders) -> SubRequestError:
+def _rejection_error(status: int, headers: _ReplyHeaders) -> SubRequestError:
     reason, not_run = _reason(status, headers)
     return SubRequestError(
         reason,
--- a/ibisfront/adapters/backend_stream.py
+++ b/ibisfront/adapters/backend_stream.py
@@ -1,4 +1,4 @@
-"""The byte stream below a connection to a backend server."""
+"""The byte stream of a connection to a backend server."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 
 
 class BackendStream(httpcore.AsyncNetworkStream):
-    """A socket that sends each request in one piece.
+    """A socket that sends each request in a single write.
 
-    The library writes the head, the body and an empty end of a request one by
-    one. Each write is a system call here and a packet for the server; joined
-    they cost one. Time-outs are the caller's cancel scopes, so none are set
-    here.
+    httpcore writes the head, the body and an empty end of a request
+    separately. Each write costs a system call here and a packet for the
+    server; joined they cost one. Timeouts are enforced by the caller's cancel
+    scopes, so the timeout arguments are ignored.
 
     Parameters
     ----------
     stream : trio.SocketStream
-        The open socket, owned from now on.
+        The open socket; ownership is transferred.
     """
 
-    __slots__ = ("_held", "_stream")
+    __slots__ = ("_pending", "_stream")
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
-        self._held = b""
+        self._pending = b""
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return some bytes; empty at the end of the stream."""
+        """Return the next bytes; empty at the end of the stream."""
         try:
             return bytes(await self._stream.receive_some(max_bytes))
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise httpcore.ReadError(str(error)) from error
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Hold bytes until the empty write that ends a request."""
+        """Buffer bytes until the empty write that ends a request."""
         if buffer:
-            self._held += buffer
+            self._pending += buffer
             return
-        held, self._held = self._held, b""
+        pending, self._pending = self._pending, b""
         try:
-            await self._stream.send_all(held)
+            await self._stream.send_all(pending)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise httpcore.WriteError(str(error)) from error
 
@@ -63,11 +63,11 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Refuse: backend servers are reached in the clear."""
+        """Raise, since connections to backend servers do not use TLS."""
         raise NotImplementedError
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what the library asks of a socket: whether it has bytes."""
+        """Return whether the socket is readable, the only supported value."""
         if info != "is_readable":
             return None
         poll = select.poll()
@@ -87,7 +87,7 @@
     Raises
     ------
     OSError
-        If the connection is refused or takes too long.
+        If the connection is refused or times out.
     """
     host, _, port = address.rpartition(":")
     with trio.move_on_after(timeout_s):
@@ -95,4 +95,4 @@
         for option in options:
             stream.setsockopt(*option)
         return BackendStream(stream)
-    raise TimeoutError(f"{address} does not accept")
+    raise TimeoutError(f"connection to {address} timed out")
--- a/ibisfront/adapters/platform.py
+++ b/ibisfront/adapters/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API, over HTTP by ``httpcore``."""
+"""A client of the platform's object API, over HTTP with ``httpcore``."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class InstanceEntry(msgspec.Struct, frozen=True):
-    """One instance in the platform's list, which lags.
+    """One instance in the platform's list, which may be stale.
 
     Attributes
     ----------
     name, zone : str
         The instance and its availability zone.
     peer_address, admin_address : str
-        Where its peers and its operators reach it.
+        The ``IP:PORT`` for its peers and for its operators.
     state : str
         ``live`` or ``leaving``.
     """
@@ -71,14 +71,14 @@
 
 
 class PlatformClient:
-    """Calls the platform; one call at a time on each connection.
+    """Client of the platform; each connection carries one call at a time.
 
     Parameters
     ----------
     address : str
         The platform's ``IP:PORT``.
     outgoing_ip : str, optional
-        The address that its connections come from.
+        The local IP of its connections; chosen by the system if omitted.
     """
 
     __slots__ = ("_pool", "_url")
@@ -101,14 +101,14 @@
         return _decoded(_body(response, _ObjectBody))
 
     async def list_objects(self, kinds: Sequence[ObjectKind]) -> ObjectsRead:
-        """Return every object of some kinds."""
+        """Return every object of the given kinds."""
         response = await self._call("GET", f"/objects?kinds={','.join(kinds)}")
         return _objects(response)
 
     async def changes(
         self, kinds: Sequence[ObjectKind], *, after: Version, wait_ms: float
     ) -> ObjectsRead | None:
-        """Wait for changes after a revision; None if it is too old."""
+        """Wait for changes after a revision; None if the revision is too old."""
         response = await self._call(
             "GET",
             f"/changes?kinds={','.join(kinds)}&after={after}&wait_ms={wait_ms:.0f}",
@@ -133,14 +133,14 @@
         value_json : bytes
             Its new value.
         if_version : int or None
-            The version that is replaced; None to create.
+            The version to replace; None to create the object.
 
         Raises
         ------
         WriteConflict
-            If another version is there; nothing was written.
+            If the object has another version; nothing was written.
         IbisfrontError
-            ``write_unknown``: it may or may not have taken effect, now or later.
+            ``write_unknown``: the write may take effect now or later.
         """
         condition = (
             (b"If-None-Match", b"*")
@@ -158,17 +158,17 @@
         if response.status != 200:
             raise IbisfrontError(
                 ErrorKind.BAD_REQUEST,
-                f"the platform refused {kind}/{name} with {response.status}",
+                f"the platform rejected {kind}/{name} with status {response.status}",
             )
         return _written_version(response)
 
     async def instances(self) -> list[InstanceEntry]:
-        """Return the platform's list of instances, which lags."""
+        """Return the platform's list of instances, which may be stale."""
         response = await self._call("GET", "/instances")
         return _body(response, _InstancesBody).instances
 
     async def members(self) -> list[Member]:
-        """Return the listed instances that are live, as first contacts."""
+        """Return the listed instances that are live, as seed members."""
         return [
             Member(item.name, item.zone, item.peer_address, item.admin_address)
             for item in await self.instances()
@@ -208,8 +208,8 @@
 
 
 def _object_target(kind: ObjectKind, name: str) -> str:
-    # A service's name comes from an operator. Unquoted, a slash or a question
-    # mark in it would name another object, or none.
+    # Service names are chosen by operators. A slash or question mark that is
+    # not quoted would address another object.
     return f"/objects/{kind}/{quote(name, safe='')}"
 
 
@@ -218,8 +218,8 @@
 
 
 def _body(response: httpcore.Response, body_type: type[_Body]) -> _Body:
-    # A proxy on the way, or a platform at fault, can answer with something
-    # else than the object API. To the parts above that is an outage.
+    # A proxy or a faulty platform can return a body that is not of the object
+    # API. To the callers of this client that is an outage.
     try:
         return msgspec.json.decode(response.content, type=body_type)
     except msgspec.MsgspecError as error:
@@ -232,7 +232,7 @@
     except IbisfrontError as error:
         raise IbisfrontError(ErrorKind.WRITE_UNKNOWN, error.detail) from error
     if version is None:
-        raise IbisfrontError(ErrorKind.WRITE_UNKNOWN, "no version in the answer")
+        raise IbisfrontError(ErrorKind.WRITE_UNKNOWN, "no version in the response")
     return version
 
 
