--- a/benchmarks/peer_message_cost.py
+++ b/benchmarks/peer_message_cost.py
@@ -122,7 +122,7 @@
             run = partial(
                 node.peers.run,
                 node.membership,
-                greeted=lambda member: connected.set(),
+                on_handshake=lambda member: connected.set(),
             )
             await nursery.start(run)
         with trio.fail_after(CONNECT_S):
--- a/ibisfront/adapters/peer_codec.py
+++ b/ibisfront/adapters/peer_codec.py
@@ -1,6 +1,6 @@
-"""The closed list of messages between instances, and their frames.
+"""The message types between instances, and their frame encoding.
 
-A frame is four bytes of length, then the message as msgpack.
+A frame is four bytes of length, followed by the message as msgpack.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 __all__ = ["MAXIMUM_FRAME_BYTES", "Frame", "FrameBuffer", "MalformedFrame", "encode"]
 
 MAXIMUM_FRAME_BYTES = 4_194_304
-"""The largest frame; a peer that announces a larger one is cut off."""
+"""The largest frame; a stream that announces a larger one is closed."""
 
 _LENGTH_BYTES = 4
 
-# Every message class between instances. A part adds its own here.
+# Every message class between instances; new ones are added here.
 AnyMessage: TypeAlias = (
     Hello
     | Heartbeat
@@ -48,16 +48,16 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """One message and its place in a question and answer.
+    """One message, with its id if it is a request or a reply.
 
     Attributes
     ----------
     message : PeerMessage
         The message.
     ask_id : int
-        Ties a reply to its question; 0 for a message that is neither.
+        Matches a reply to its request; 0 for a message that is neither.
     is_reply : bool
-        Whether it is the reply.
+        Whether the message is a reply.
     """
 
     message: AnyMessage
@@ -66,29 +66,29 @@
 
 
 class MalformedFrame(Exception):
-    """The bytes of a stream are no frames; nothing after them can be read."""
+    """The bytes of a stream are not valid frames; the rest cannot be parsed."""
 
 
 class FrameBuffer:
-    """Cuts the bytes of one stream into frames."""
+    """Splits the bytes of one stream into frames."""
 
-    __slots__ = ("_bytes", "not_understood")
+    __slots__ = ("_bytes", "unknown_messages")
 
     def __init__(self) -> None:
         self._bytes = bytearray()
-        self.not_understood = 0
+        self.unknown_messages = 0
 
     def feed(self, received: bytes | bytearray) -> list[Frame]:
-        """Take in bytes and return the frames that they complete.
+        """Add received bytes and return the frames that they complete.
 
-        A frame that is msgpack but no message known here is left out and
-        counted in ``not_understood``: an instance of a later release may send
-        one during a rolling restart, and the stream is still in step.
+        A valid msgpack frame of an unknown message type is skipped and counted
+        in ``unknown_messages``: an instance of a later release may send one
+        during a rolling restart, and the frames after it can still be parsed.
 
         Raises
         ------
         MalformedFrame
-            If a frame is too long or is not msgpack.
+            If a frame is too long or is not valid msgpack.
         """
         self._bytes += received
         frames = []
@@ -96,7 +96,7 @@
             try:
                 frames.append(_DECODER.decode(payload))
             except msgspec.ValidationError:
-                self.not_understood += 1
+                self.unknown_messages += 1
             except msgspec.DecodeError as error:
                 raise MalformedFrame(str(error)) from error
         return frames
@@ -106,7 +106,7 @@
             return None
         length_bytes = int.from_bytes(self._bytes[:_LENGTH_BYTES])
         if length_bytes > MAXIMUM_FRAME_BYTES:
-            raise MalformedFrame(f"a frame of {length_bytes} bytes")
+            raise MalformedFrame(f"frame of {length_bytes} bytes is too long")
         end = _LENGTH_BYTES + length_bytes
         if len(self._bytes) < end:
             return None
@@ -120,7 +120,7 @@
 
 
 def encode(message: PeerMessage, *, ask_id: int = 0, is_reply: bool = False) -> bytes:
-    """Return the frame of a message as bytes."""
+    """Return a message encoded as a frame."""
     frame = Frame(message, ask_id, is_reply)  # type: ignore[arg-type]
     payload = _ENCODER.encode(frame)
     return len(payload).to_bytes(_LENGTH_BYTES) + payload
--- a/ibisfront/adapters/peer_stream.py
+++ b/ibisfront/adapters/peer_stream.py
@@ -1,4 +1,4 @@
-"""One stream to a peer: a task that reads it, and a task that writes it."""
+"""One stream to a peer, with a task that reads and a task that writes."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     from ibisfront.core.counters import Counters
     from ibisfront.core.members import Member
 
-__all__ = ["GREETING_TIMEOUT_MS", "SILENCE_MS", "PeerStream"]
+__all__ = ["HANDSHAKE_TIMEOUT_MS", "SILENCE_TIMEOUT_MS", "PeerStream"]
 
-SILENCE_MS = 2000.0
-"""After how long without a byte a neighbour's stream is closed."""
+SILENCE_TIMEOUT_MS = 2000.0
+"""Time without received bytes after which a neighbour's stream is closed."""
 
-IDLE_MS = 10_000.0
-"""After how long without a byte a stream opened on demand is closed."""
+IDLE_TIMEOUT_MS = 10_000.0
+"""Time without received bytes after which an on-demand stream is closed."""
 
-GREETING_TIMEOUT_MS = 1000.0
-"""How long the other end may take to say who it is."""
+HANDSHAKE_TIMEOUT_MS = 1000.0
+"""Time limit for both ends to exchange their ``Hello``."""
 
 _WRITE_TIMEOUT_MS = 2000.0
 _FLUSH_CHECK_MS = 5.0
@@ -42,27 +42,27 @@
 
 
 class PeerStream:
-    """A stream to one peer, with a bounded queue of frames to send.
+    """A stream to one peer, with a bounded send queue.
 
     Parameters
     ----------
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where messages are counted by what became of them.
+        Counts messages by outcome.
     neighbour : bool
-        Whether it stays open and carries heartbeats.
+        Whether the stream stays open and carries heartbeats.
     dialled : bool
-        Whether this end opened it.
+        Whether this end opened the stream.
 
     Attributes
     ----------
     peer : Member or None
-        Who is at the other end, once it said so.
-    heard_at_ms : float
-        When the last bytes came.
+        The member at the other end; None before the handshake.
+    last_received_at_ms : float
+        When bytes were last received.
     closed : trio.Event
-        Set once it is over.
+        Set once the stream is closed.
     """
 
     __slots__ = (
@@ -76,7 +76,7 @@
         "_writing_since_ms",
         "closed",
         "dialled",
-        "heard_at_ms",
+        "last_received_at_ms",
         "neighbour",
         "peer",
     )
@@ -95,7 +95,7 @@
         self.peer: Member | None = None
         self.neighbour = neighbour
         self.dialled = dialled
-        self.heard_at_ms = -math.inf
+        self.last_received_at_ms = -math.inf
         self.closed = trio.Event()
 
     def queue(self, frame: bytes) -> bool:
@@ -113,51 +113,53 @@
         return True
 
     async def flush(self) -> None:
-        """Wait until the queue has been handed to the system, or all is over."""
+        """Wait until the queue has been written to the socket or the stream closes."""
         while self._queued_bytes and not self.closed.is_set():
             await self._clock.sleep_ms(_FLUSH_CHECK_MS)
 
     def close(self) -> None:
-        """End the stream soon."""
+        """Cancel the stream's tasks, which closes it."""
         self._scope.cancel()
 
-    async def greet(self, stream: trio.abc.Stream, own: Member) -> list[Frame] | None:
-        """Say who is here and wait for who is there.
+    async def handshake(
+        self, stream: trio.abc.Stream, own: Member
+    ) -> list[Frame] | None:
+        """Exchange ``Hello`` messages with the other end.
 
         Returns
         -------
         list of Frame or None
-            The frames that came along with the greeting; None if the other
-            end is no peer of this release.
+            The frames received along with the peer's ``Hello``; None if the
+            other end is not a peer with this protocol version.
         """
-        with self._clock.timeout_ms(GREETING_TIMEOUT_MS):
-            hello = Hello(PROTOCOL_VERSION, own, self.neighbour)
-            await stream.send_all(encode(hello))
+        with self._clock.timeout_ms(HANDSHAKE_TIMEOUT_MS):
+            own_hello = Hello(PROTOCOL_VERSION, own, self.neighbour)
+            await stream.send_all(encode(own_hello))
             frames: list[Frame] = []
             while not frames:
                 received = await stream.receive_some(_RECEIVE_BYTES)
                 if not received:
                     return None
                 frames = self._buffer.feed(received)
-            greeting = frames[0].message
-            if not isinstance(greeting, Hello):
+            peer_hello = frames[0].message
+            if not isinstance(peer_hello, Hello):
                 self._count("not_greeted")
                 return None
-            if greeting.protocol_version != PROTOCOL_VERSION:
+            if peer_hello.protocol_version != PROTOCOL_VERSION:
                 self._count("other_version")
                 return None
-            self.peer = greeting.member
-            self.heard_at_ms = self._clock.now_ms()
+            self.peer = peer_hello.member
+            self.last_received_at_ms = self._clock.now_ms()
             if not self.dialled:
-                self.neighbour = greeting.neighbour
+                self.neighbour = peer_hello.neighbour
             return frames[1:]
         self._count("greeting_timed_out")
         return None
 
-    async def converse(
+    async def run(
         self, stream: trio.abc.Stream, receive: Callable[[Frame], None]
     ) -> None:
-        """Read and write until the stream ends or goes silent."""
+        """Read and write until the stream ends or times out."""
         with self._scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._write, stream)
@@ -167,44 +169,44 @@
     async def _read(
         self, stream: trio.abc.Stream, receive: Callable[[Frame], None]
     ) -> None:
-        # Something between the two ends can lose track of an open connection,
-        # which then stays open and carries nothing. It shows as a neighbour's
-        # stream without the heartbeats that it owes; a new stream works.
-        bound_ms = SILENCE_MS if self.neighbour else IDLE_MS
+        # A network device can lose the state of a connection, which then stays
+        # open but delivers nothing. A neighbour's stream without heartbeats
+        # reveals this; a new stream works.
+        bound_ms = SILENCE_TIMEOUT_MS if self.neighbour else IDLE_TIMEOUT_MS
         with self._clock.timeout_ms(bound_ms) as bound:
             try:
                 while received := await stream.receive_some(_RECEIVE_BYTES):
                     self._clock.extend_ms(bound, bound_ms)
-                    if not self._take(received, receive) or self._write_hangs():
+                    if not self._process(received, receive) or self._write_is_stalled():
                         return
             except trio.BrokenResourceError:
                 self._count("reset")
         if bound.cancelled_caught:
             self._count("silent" if self.neighbour else "idle")
 
-    def _take(
+    def _process(
         self, received: bytes | bytearray, receive: Callable[[Frame], None]
     ) -> bool:
-        self.heard_at_ms = self._clock.now_ms()
+        self.last_received_at_ms = self._clock.now_ms()
         try:
             frames = self._buffer.feed(received)
         except MalformedFrame as error:
-            # A peer that is broken, or no peer at all, must cost no more than
-            # its stream: past a bad frame nothing can be read.
+            # A faulty peer, or a sender that is no peer, affects only its own
+            # stream: the bytes after a malformed frame cannot be parsed.
             self._count("malformed")
-            _LOG.warning("A stream sent a malformed frame: %s.", error)
+            _LOG.warning("Closing a stream after a malformed frame: %s.", error)
             return False
         self._count("received", len(frames))
         for frame in frames:
             receive(frame)
-        if self._buffer.not_understood:
-            self._count("not_understood", self._buffer.not_understood)
-            self._buffer.not_understood = 0
+        if self._buffer.unknown_messages:
+            self._count("not_understood", self._buffer.unknown_messages)
+            self._buffer.unknown_messages = 0
         return True
 
-    def _write_hangs(self) -> bool:
-        # A peer that sends but no longer reads fills the stream, and a write
-        # then waits for good. It is seen here, as its heartbeats go on.
+    def _write_is_stalled(self) -> bool:
+        # If a peer stops reading, the stream's buffers fill and a write blocks
+        # forever. Its heartbeats still arrive, so the check is made on receipt.
         waited_ms = self._clock.now_ms() - self._writing_since_ms
         if waited_ms < _WRITE_TIMEOUT_MS:
             return False
--- a/ibisfront/adapters/peers.py
+++ b/ibisfront/adapters/peers.py
@@ -1,4 +1,4 @@
-"""The streams to the other instances: who is dialled, sent to and heard."""
+"""The streams to the other instances: connecting, sending and dispatch."""
 
 from __future__ import annotations
 
@@ -37,50 +37,50 @@
 __all__ = ["PeerStreams"]
 
 _DIAL_TIMEOUT_MS = 1000.0
-_FIRST_WAIT_MS = 50.0
-_LONGEST_WAIT_MS = 2000.0
-_LET_OTHER_DIAL_MS = 100.0
-_FRESH_MS = 1000.0
-_DIAL_AGAIN_MS = 500.0
+_INITIAL_BACKOFF_MS = 50.0
+_MAXIMUM_BACKOFF_MS = 2000.0
+_DIAL_YIELD_MS = 100.0
+_FRESHNESS_MS = 1000.0
+_REDIAL_DELAY_MS = 500.0
 _ON_DEMAND_STREAMS = 64
 _LOG = part_logger(LogPart.PEERS)
 
 
-class _Question(msgspec.Struct):
+class _PendingRequest(msgspec.Struct):
     done: trio.Event
     reply: PeerMessage | None = None
 
 
 class PeerStreams:
-    """The peers of one instance; see ``ibisfront.core.peers.Peers``.
+    """The streams of one instance; implements ``ibisfront.core.peers.Peers``.
 
     Parameters
     ----------
     members : Members
-        The view, for names and addresses.
+        The membership view, for names and addresses.
     transport : PeerTransport
         Opens and accepts streams.
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where messages are counted by what became of them.
+        Counts messages by outcome.
     random : random.Random
-        Spreads reconnections over time.
+        Adds jitter to reconnections.
     """
 
     __slots__ = (
         "_ask_ids",
-        "_asked",
         "_clock",
         "_counters",
         "_dial_after_ms",
-        "_greeted",
         "_handlers",
         "_members",
         "_nursery",
         "_on_demand",
+        "_on_handshake",
+        "_pending_requests",
         "_random",
-        "_repliers",
+        "_request_handlers",
         "_streams",
         "_transport",
     )
@@ -102,11 +102,13 @@
         self._streams: dict[str, PeerStream] = {}
         self._on_demand: dict[str, PeerStream] = {}
         self._dial_after_ms: dict[str, float] = {}
-        self._asked: dict[int, _Question] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._ask_ids = itertools.count(1)
         self._handlers: dict[type[PeerMessage], PeerHandler[PeerMessage]] = {}
-        self._repliers: dict[type[PeerMessage], PeerReplyHandler[PeerMessage]] = {}
-        self._greeted: Callable[[Member], None] = _ignore
+        self._request_handlers: dict[
+            type[PeerMessage], PeerReplyHandler[PeerMessage]
+        ] = {}
+        self._on_handshake: Callable[[Member], None] = _ignore
         self._nursery: trio.Nursery | None = None
 
     @property
@@ -123,16 +125,16 @@
     def answer(
         self, message_type: type[MessageType], handler: PeerReplyHandler[MessageType]
     ) -> None:
-        """Let a function reply to each question of a type."""
-        self._repliers[message_type] = handler  # type: ignore[assignment]
+        """Call a function to reply to each request of a type."""
+        self._request_handlers[message_type] = handler  # type: ignore[assignment]
 
     def send(self, name: str, message: PeerMessage) -> bool:
-        """Queue a message for one instance; a stream is opened if there is none."""
+        """Queue a message for one instance; opens a stream if there is none."""
         stream = self._stream_to(name)
         return stream is not None and stream.queue(encode(message))
 
     def send_neighbours(self, message: PeerMessage) -> None:
-        """Queue a message for every neighbour that a stream is open to."""
+        """Queue a message for every neighbour with an open stream."""
         frame = encode(message)
         for stream in self._streams.values():
             stream.queue(frame)
@@ -140,39 +142,39 @@
     async def ask(
         self, name: str, message: PeerMessage, *, timeout_ms: float
     ) -> PeerMessage | None:
-        """Send a question and return its reply, or None if none came in time."""
+        """Send a request and return its reply, or None after the timeout."""
         stream = self._stream_to(name)
         if stream is None:
             return None
         ask_id = next(self._ask_ids)
-        question = _Question(trio.Event())
-        self._asked[ask_id] = question
-        asked_at_ms = self._clock.now_ms()
+        pending = _PendingRequest(trio.Event())
+        self._pending_requests[ask_id] = pending
+        sent_at_ms = self._clock.now_ms()
         try:
             if stream.queue(encode(message, ask_id=ask_id)):
                 with self._clock.timeout_ms(timeout_ms):
-                    await question.done.wait()
+                    await pending.done.wait()
         finally:
-            del self._asked[ask_id]
-        if question.reply is None and stream.heard_at_ms < asked_at_ms:
-            # A stream on demand carries no heartbeats. One that has gone
-            # silent shows as a question without reply; the next one opens
-            # another stream.
+            del self._pending_requests[ask_id]
+        if pending.reply is None and stream.last_received_at_ms < sent_at_ms:
+            # An on-demand stream carries no heartbeats, so a request without
+            # reply is the only sign of a dead one. Once it is closed, the next
+            # request opens another.
             self._close_on_demand(name)
-        return question.reply
+        return pending.reply
 
     def introduce(self, address: Address) -> None:
-        """Greet whoever is at an address, to learn of each other."""
+        """Open a stream to an address, so that both ends learn of each other."""
         if self._nursery is not None:
             self._nursery.start_soon(self._dial, address, self._new_stream())
 
     async def flush(self) -> None:
-        """Wait until all that is queued has been handed to the system."""
+        """Wait until all queued messages have been written to their sockets."""
         for stream in (*self._streams.values(), *self._on_demand.values()):
             await stream.flush()
 
     def reset(self) -> None:
-        """Close every stream; neighbours are dialled anew."""
+        """Close every stream; neighbours are dialled again."""
         for stream in (*self._streams.values(), *self._on_demand.values()):
             stream.close()
 
@@ -180,49 +182,51 @@
         self,
         membership: Membership,
         *,
-        greeted: Callable[[Member], None],
+        on_handshake: Callable[[Member], None],
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept and keep streams until cancelled.
+        """Accept and maintain streams until cancelled.
 
         Parameters
         ----------
         membership : Membership
-            Says who the neighbours are.
-        greeted : callable
-            Called with the member at the other end of each new stream.
+            Determines the neighbours.
+        on_handshake : callable
+            Called with the peer of each new stream after the handshake.
         """
-        self._greeted = greeted
+        self._on_handshake = on_handshake
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await nursery.start(self._transport.listen, self._accept)
             task_status.started()
-            await self._keep_neighbours(membership, nursery)
+            await self._maintain_neighbours(membership, nursery)
 
-    async def _keep_neighbours(
+    async def _maintain_neighbours(
         self, membership: Membership, nursery: trio.Nursery
     ) -> None:
-        keepers: dict[str, trio.CancelScope] = {}
+        maintainers: dict[str, trio.CancelScope] = {}
         while True:
             changed = membership.neighbours_changed
             wanted = membership.neighbours
-            for name in wanted - keepers.keys():
-                keepers[name] = trio.CancelScope()
-                nursery.start_soon(self._keep, name, keepers[name])
-            for name in keepers.keys() - wanted:
-                keepers.pop(name).cancel()
+            for name in wanted - maintainers.keys():
+                maintainers[name] = trio.CancelScope()
+                nursery.start_soon(self._maintain_stream, name, maintainers[name])
+            for name in maintainers.keys() - wanted:
+                maintainers.pop(name).cancel()
             await changed.wait()
 
-    async def _keep(self, name: str, scope: trio.CancelScope) -> None:
-        # After a cut every instance would redial at the same moment: the
-        # waits grow and are drawn at random.
+    async def _maintain_stream(self, name: str, scope: trio.CancelScope) -> None:
+        # After a partition heals every instance would redial at once, so the
+        # backoff grows and is randomized.
         backoff = Backoff(
-            first_ms=_FIRST_WAIT_MS, maximum_ms=_LONGEST_WAIT_MS, random=self._random
+            first_ms=_INITIAL_BACKOFF_MS,
+            maximum_ms=_MAXIMUM_BACKOFF_MS,
+            random=self._random,
         )
         with scope:
             if name < self._members.own_name:
-                # Both ends may want this stream: the smaller name dials first.
-                await self._clock.sleep_ms(_LET_OTHER_DIAL_MS)
+                # Both ends may open this stream: the smaller name dials first.
+                await self._clock.sleep_ms(_DIAL_YIELD_MS)
             while True:
                 open_stream = self._streams.get(name)
                 if open_stream is not None:
@@ -258,12 +262,12 @@
         self, stream: PeerStream, transport_stream: trio.abc.Stream
     ) -> None:
         try:
-            frames = await stream.greet(transport_stream, self._members.own)
+            frames = await stream.handshake(transport_stream, self._members.own)
             if frames is not None and self._register(stream):
-                self._greeted(_peer(stream))
+                self._on_handshake(_peer(stream))
                 for frame in frames:
                     self._receive(stream, frame)
-                await stream.converse(transport_stream, partial(self._receive, stream))
+                await stream.run(transport_stream, partial(self._receive, stream))
         except (trio.BrokenResourceError, trio.ClosedResourceError, MalformedFrame):
             self._count("broken_greeting")
         finally:
@@ -279,27 +283,27 @@
         if not stream.neighbour:
             self._on_demand.setdefault(name, stream)
             return True
-        old = self._streams.get(name)
-        if old is not None and self._keeps(old, stream):
+        existing = self._streams.get(name)
+        if existing is not None and self._prefers_existing(existing, stream):
             self._count("second_stream")
             return False
         self._streams[name] = stream
-        if old is not None:
-            old.close()
+        if existing is not None:
+            existing.close()
         return True
 
-    def _keeps(self, old: PeerStream, new: PeerStream) -> bool:
+    def _prefers_existing(self, existing: PeerStream, candidate: PeerStream) -> bool:
         # Two instances that dial each other at once have two streams, and must
         # both close the same one: that which the larger name dialled. A stream
-        # that only one end still holds open shows as one not heard from of
-        # late, and must give way whoever dialled it.
-        name = _peer(old).name
-        if _peer(old).incarnation != _peer(new).incarnation:
+        # that only one end still holds open receives nothing, so one without
+        # recent bytes is replaced whichever end dialled it.
+        name = _peer(existing).name
+        if _peer(existing).incarnation != _peer(candidate).incarnation:
             return False
-        if old.dialled == new.dialled:
+        if existing.dialled == candidate.dialled:
             return False
-        fresh = self._clock.now_ms() - old.heard_at_ms < _FRESH_MS
-        return fresh and old.dialled == (self._members.own_name < name)
+        fresh = self._clock.now_ms() - existing.last_received_at_ms < _FRESHNESS_MS
+        return fresh and existing.dialled == (self._members.own_name < name)
 
     def _unregister(self, stream: PeerStream) -> None:
         for registry in (self._streams, self._on_demand):
@@ -334,9 +338,9 @@
             self._unregister(stream)
             stream.closed.set()
         if stream.peer is None:
-            # Whoever sends to an instance that is gone would dial it for
-            # every message.
-            self._dial_after_ms[member.name] = self._clock.now_ms() + _DIAL_AGAIN_MS
+            # Without this delay every message to an unreachable instance would
+            # dial it.
+            self._dial_after_ms[member.name] = self._clock.now_ms() + _REDIAL_DELAY_MS
         else:
             self._dial_after_ms.pop(member.name, None)
 
@@ -349,27 +353,31 @@
         message = frame.message
         try:
             if frame.is_reply:
-                self._take_reply(frame)
+                self._complete_request(frame)
             elif frame.ask_id:
-                reply = self._repliers[type(message)](_peer(stream).name, message)
+                reply = self._request_handlers[type(message)](
+                    _peer(stream).name, message
+                )
                 stream.queue(encode(reply, ask_id=frame.ask_id, is_reply=True))
             elif type(message) in self._handlers:
                 self._handlers[type(message)](_peer(stream).name, message)
             elif not isinstance(message, Hello):
                 self._count("not_handled")
         except Exception:
-            # A message that no handler foresaw must cost only itself: the
-            # stream, the other streams and the process go on.
+            # A message that its handler fails on is dropped; it must not end
+            # the stream, the other streams or the process.
             self._count("handler_failed")
-            _LOG.exception("A message of type %s failed.", type(message).__name__)
+            _LOG.exception(
+                "Handling a message of type %s failed.", type(message).__name__
+            )
 
-    def _take_reply(self, frame: Frame) -> None:
-        question = self._asked.get(frame.ask_id)
-        if question is None:
+    def _complete_request(self, frame: Frame) -> None:
+        pending = self._pending_requests.get(frame.ask_id)
+        if pending is None:
             self._count("late_reply")
             return
-        question.reply = frame.message
-        question.done.set()
+        pending.reply = frame.message
+        pending.done.set()
 
     def _new_stream(
         self, *, neighbour: bool = False, dialled: bool = True
@@ -386,7 +394,7 @@
 
 
 def _peer(stream: PeerStream) -> Member:
-    assert stream.peer is not None, "the stream was greeted"
+    assert stream.peer is not None, "the handshake is complete"
     return stream.peer
 
 
--- a/ibisfront/shared_state.py
+++ b/ibisfront/shared_state.py
@@ -136,7 +136,7 @@
 
         async with trio.open_nursery() as nursery:
             keep_streams = partial(
-                self.peers.run, self.membership, greeted=self.heartbeats.greeted
+                self.peers.run, self.membership, on_handshake=self.heartbeats.greeted
             )
             await nursery.start(keep_streams)
             task_status.started()
--- a/ibisfront/tests/test_peer_codec.py
+++ b/ibisfront/tests/test_peer_codec.py
@@ -72,7 +72,7 @@
         unknown = msgspec.msgpack.encode([["of_a_later_release", 1], 0, False])
         frames = buffer.feed(_framed(unknown) + encode(ObjectsWanted(3)))
         self.assertEqual([frame.message for frame in frames], [ObjectsWanted(3)])
-        self.assertEqual(buffer.not_understood, 1)
+        self.assertEqual(buffer.unknown_messages, 1)
 
     def test_later_field_is_passed_over(self) -> None:
         later = msgspec.msgpack.encode([["objects_wanted", 3, "later"], 0, False])
