--- a/ibisfront/adapters/backend_stream.py
+++ b/ibisfront/adapters/backend_stream.py
@@ -95,4 +95,4 @@
         for option in options:
             stream.setsockopt(*option)
         return BackendStream(stream)
-    raise TimeoutError(f"connection to {address} timed out")
+    raise TimeoutError(f"{address} did not accept the connection in time")
--- a/ibisfront/tests/test_adapters_backend.py
+++ b/ibisfront/tests/test_adapters_backend.py
@@ -30,15 +30,15 @@
 
 @asynccontextmanager
 async def scripted_server(*replies, received=None):
-    """Serve a script: one entry of bytes for each request that comes."""
-    script = list(replies)
+    """Run a server that sends one of the replies for each request received."""
+    remaining_replies = list(replies)
 
     async def serve(stream):
         async for request in stream:
             if received is not None:
                 received.append(request)
-            if b"\r\n\r\n" in request and script:
-                await stream.send_all(script.pop(0))
+            if b"\r\n\r\n" in request and remaining_replies:
+                await stream.send_all(remaining_replies.pop(0))
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -49,7 +49,7 @@
 
 
 def sub_request(sub_request_id, clock):
-    """Return a search with much time left."""
+    """Return a search sub-request with a distant deadline."""
     return SubRequest(
         sub_request_id=sub_request_id,
         service="s",
@@ -60,16 +60,15 @@
 
 
 class ExchangeTest(unittest.TestCase):
-    """A reply counts only for the sub-request that it belongs to."""
+    """A reply is accepted only for its own sub-request."""
 
     @trio_test_real_clock
     async def test_a_warm_connection_that_was_never_used_is_usable(self):
-        """Searches were slow although connections were kept warm.
+        """Guards against closing warm connections before their first use.
 
-        A connection is opened ahead of need and waits unused; a search takes
-        it; httpcore calls a connection idle only after its first exchange,
-        so each warm one was closed as unusable and another opened in its
-        place: 1,130 of 1,663 in a bench run, at 6 ms of accept each.
+        httpcore reports a connection as idle only after its first exchange.
+        If that alone decides, most connections opened in advance are closed by
+        the search that takes them, which waits 6 ms for the next accept.
         """
         clock = Clock()
         async with scripted_server(reply("r1")) as address:
@@ -82,21 +81,21 @@
 
     @trio_test_real_clock
     async def test_a_warm_connection_that_the_server_closed_is_not_usable(self):
-        """A search must not be sent into a connection that ended unused.
+        """Guards against sending a search on a connection that was closed.
 
-        A connection waits unused, the server closes it, a search takes it:
-        the search would fail although a new connection would do.
+        The server closes a connection before its first use. A search sent on
+        it fails, although a new connection would work.
         """
         clock = Clock()
         closed = trio.Event()
 
-        async def hang_up(stream):
+        async def close_connection(stream):
             await stream.aclose()
             closed.set()
 
         async with trio.open_nursery() as nursery:
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, hang_up, [listener])
+            nursery.start_soon(trio.serve_listeners, close_connection, [listener])
             port = listener.socket.getsockname()[1]
             opener = connection_opener(clock, BackendSettings())
             connection = await opener(f"127.0.0.1:{port}")
@@ -106,11 +105,11 @@
             nursery.cancel_scope.cancel()
 
     @trio_test_real_clock
-    async def test_reply_to_another_sub_request_is_refused(self):
-        """A secretary sees the household that another one looked up.
+    async def test_reply_to_another_sub_request_is_rejected(self):
+        """Guards against giving a caller the reply to another's sub-request.
 
-        The reply to an earlier, given-up sub-request comes on the connection
-        where the next one waits. Only the echoed id tells them apart.
+        The reply to an abandoned sub-request arrives on the connection where
+        the next one waits. Only the echoed id distinguishes them.
         """
         clock = Clock()
         async with scripted_server(reply("theirs")) as address:
@@ -122,11 +121,11 @@
         self.assertFalse(caught.exception.complete_reply)
 
     @trio_test_real_clock
-    async def test_an_address_that_is_none_counts_as_a_failed_connection(self):
-        """Every search of a branch comes back as a fault of the tier.
+    async def test_a_malformed_address_counts_as_a_failed_connection(self):
+        """Guards against failing whole searches over one malformed address.
 
-        Somebody wrote a server without a port into the platform. The fault
-        of its one sub-request ended the searches that touch its service.
+        The platform lists a server without a valid port. An unexpected
+        exception in its sub-request fails every search of its service.
         """
         for address in ("127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999", ""):
             with self.subTest(address=address):
@@ -136,26 +135,25 @@
                 self.assertTrue(caught.exception.not_run)
 
     @trio_test_real_clock
-    async def test_a_port_beyond_the_last_reaches_no_other_server(self):
-        """A search goes to a stranger's port, or ends as a fault of the tier.
+    async def test_a_port_out_of_range_does_not_reach_another_server(self):
+        """Guards against sending a search to another process's port.
 
-        Somebody wrote port 99999 into the platform. The resolver takes it
-        modulo 65536, so that the connection opens if anything listens on
-        34463; the test before this one failed in such a run.
+        The platform lists a server at port 99999. The resolver takes it
+        modulo 65536, so the connection opens if anything listens on 34463.
         """
         async with scripted_server() as address:
             host, _, port = address.rpartition(":")
-            wrong = f"{host}:{int(port) + 65_536}"
+            invalid_address = f"{host}:{int(port) + 65_536}"
             with self.assertRaises(SubRequestError) as caught:
-                await connection_opener(Clock(), BackendSettings())(wrong)
+                await connection_opener(Clock(), BackendSettings())(invalid_address)
             self.assertIs(caught.exception.reason, MissingReason.CONNECT_FAILED)
 
     @trio_test_real_clock
-    async def test_connection_with_a_doubled_reply_is_not_used_again(self):
-        """A search fails although its server is well.
+    async def test_connection_with_a_duplicated_reply_is_not_reused(self):
+        """Guards against taking a duplicated reply for the next one.
 
-        The server sent the reply before it twice, in one piece. The second
-        copy was read along and would be taken for the next reply.
+        The server sends a reply twice in one packet. The second copy is read
+        along with the first, and would fail the next search.
         """
         clock = Clock()
         async with scripted_server(reply("ours") * 2) as address:
@@ -167,19 +165,19 @@
             await connection.aclose()
 
     @trio_test_real_clock
-    async def test_refusal_leaves_the_connection_usable(self):
-        """An overloaded server has to accept a new connection for each refusal.
+    async def test_rejection_leaves_the_connection_usable(self):
+        """Guards against a new connection for each rejection under overload.
 
-        Opening one costs it 6 ms. A refusal that came whole leaves nothing on
-        the connection, which can be used again.
+        Accepting one costs the server 6 ms. A complete rejection leaves no
+        unread bytes on the connection, which can be reused.
         """
         clock = Clock()
-        refusal = reply(
+        rejection = reply(
             "ours",
             status=b"503 Busy",
             headers=b"X-Not-Run: shed\r\nRetry-After-Ms: 40\r\n",
         )
-        async with scripted_server(refusal, reply("next")) as address:
+        async with scripted_server(rejection, reply("next")) as address:
             connection = await connection_opener(clock, BackendSettings())(address)
             with self.assertRaises(SubRequestError) as caught:
                 await connection.exchange("search", sub_request("ours", clock))
@@ -193,11 +191,11 @@
             await connection.aclose()
 
     @trio_test_real_clock
-    async def test_request_is_sent_in_one_piece(self):
-        """Processor time goes into half-filled packets, here and at the servers.
+    async def test_request_is_sent_in_a_single_write(self):
+        """Guards against processor time lost to partial writes.
 
-        The library writes the head and the body of a request apart, with a
-        system call here and a wake-up of the server for each.
+        httpcore writes the head and the body of a request separately, each of
+        which costs a system call here and a wake-up of the server.
         """
         clock = Clock()
         received = []
@@ -211,7 +209,7 @@
         self.assertTrue(all(b'{"service"' in request for request in received))
 
     @trio_test_real_clock
-    async def test_probe_tells_whether_the_server_answers(self):
+    async def test_probe_reports_whether_the_server_responds(self):
         clock = Clock()
         async with scripted_server(reply("")) as address:
             connection = await connection_opener(clock, BackendSettings())(address)
--- a/ibisfront/tests/test_adapters_http.py
+++ b/ibisfront/tests/test_adapters_http.py
@@ -16,7 +16,7 @@
 
 
 class FakeCaller:
-    """The server's side of one ASGI exchange."""
+    """Fakes the ASGI server's side of one request."""
 
     def __init__(self):
         self.disconnected = trio.Event()
@@ -33,12 +33,12 @@
         return {"type": "http.disconnect"}
 
     async def send(self, message):
-        """Keep what the application sends."""
+        """Record a message that the application sends."""
         self.sent.append(message)
 
 
-class SlowWork:
-    """A handler that holds one slot while it works."""
+class SlowHandler:
+    """A handler that holds one slot while it runs."""
 
     def __init__(self, duration_s):
         self.duration_s = duration_s
@@ -56,54 +56,54 @@
         return json_response({"done": True})
 
 
-def make_application(work, **route_fields):
-    """Return an application of one route."""
-    route = Route("POST", re.compile(PATH), work.handle, **route_fields)
+def make_application(handler, **route_fields):
+    """Return an application with a single route."""
+    route = Route("POST", re.compile(PATH), handler.handle, **route_fields)
     return asgi_application(
         (route,), clock=Clock(), maximum_body_bytes=100, observe=[].append
     )
 
 
 class DisconnectTest(unittest.TestCase):
-    """A caller that goes away frees what its request holds."""
+    """A caller's disconnect releases what its request holds."""
 
     @trio_test
-    async def test_disconnect_frees_the_slot_of_a_search(self):
-        """A secretary closes the page while a search waits.
+    async def test_disconnect_releases_the_slot_of_a_search(self):
+        """Guards against slots held for callers that have disconnected.
 
-        The request's body was read, the handler holds a slot, then the caller
-        disconnects. Nobody read ``receive`` again, so the slot stayed taken
-        until the search ended by itself.
+        The caller disconnects after its body was read, while the handler holds
+        a slot. If ``receive`` is not awaited again, the disconnect goes
+        unnoticed and the slot stays in use until the search ends.
         """
-        work = SlowWork(duration_s=30.0)
+        handler = SlowHandler(duration_s=30.0)
         caller = FakeCaller()
-        application = make_application(work, ends_with_caller=True)
+        application = make_application(handler, ends_with_caller=True)
         started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(application, caller.scope, caller.receive, caller.send)
-            await work.started.wait()
+            await handler.started.wait()
             caller.disconnected.set()
-        self.assertEqual(work.slots_held, 0)
+        self.assertEqual(handler.slots_held, 0)
         self.assertLess(trio.current_time() - started_at, 1.0)
         self.assertEqual(caller.sent, [])
 
     @trio_test
-    async def test_work_that_must_not_be_dropped_goes_on(self):
-        """A secretary's connection breaks while envelopes are printed.
+    async def test_non_idempotent_work_is_not_cancelled_on_disconnect(self):
+        """Guards against losing the outcome of non-idempotent work.
 
-        The work has been sent and cannot be called back. Cancelling it here
-        would lose its outcome, so it runs on and its outcome is kept.
+        The caller disconnects after the work was sent. It cannot be undone, so
+        the handler is not cancelled and its outcome is stored.
         """
-        work = SlowWork(duration_s=30.0)
+        handler = SlowHandler(duration_s=30.0)
         caller = FakeCaller()
         caller.disconnected.set()
-        await make_application(work)(caller.scope, caller.receive, caller.send)
+        await make_application(handler)(caller.scope, caller.receive, caller.send)
         self.assertEqual(caller.sent[0]["status"], 200)
 
     @trio_test
-    async def test_a_patient_caller_gets_its_answer(self):
-        work = SlowWork(duration_s=1.0)
+    async def test_a_connected_caller_gets_its_response(self):
+        handler = SlowHandler(duration_s=1.0)
         caller = FakeCaller()
-        application = make_application(work, ends_with_caller=True)
+        application = make_application(handler, ends_with_caller=True)
         await application(caller.scope, caller.receive, caller.send)
         self.assertEqual(caller.sent[0]["status"], 200)
