--- a/ibisfront/tests/raw_http.py
+++ b/ibisfront/tests/raw_http.py
@@ -1,4 +1,4 @@
-"""Sending bytes as they are to an HTTP listener, for tests of bad input."""
+"""Raw requests to an HTTP listener, for tests of invalid input."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ProblemBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A problem document, with no field besides the documented ones."""
+    """A problem document with only the documented fields."""
 
     type: str
     title: str
@@ -40,7 +40,7 @@
 
 
 def post_bytes(path, body, *headers, method="POST"):
-    """Return the bytes of one request, whatever its parts are."""
+    """Return the bytes of one request, without validation."""
     head = [f"{method} {path} HTTP/1.1", "Host: test", *headers]
     if not any(line.lower().startswith("content-length") for line in headers):
         head.append(f"Content-Length: {len(body)}")
@@ -48,7 +48,7 @@
 
 
 def http2_bytes(path):
-    """Return the bytes of an HTTP/2 request, whatever its path is."""
+    """Return the bytes of an HTTP/2 request, without validation of its path."""
     config = h2.config.H2Configuration(
         validate_outbound_headers=False, normalize_outbound_headers=False
     )
@@ -60,7 +60,7 @@
 
 
 async def send_bytes(address, sent):
-    """Send bytes over a connection of their own and return the first reply."""
+    """Send bytes over a new connection and return the first reply."""
     host, _, port = address.rpartition(":")
     with trio.fail_after(_TIMEOUT_S):
         stream = await trio.open_tcp_stream(host, int(port))
--- a/ibisfront/tests/test_admin.py
+++ b/ibisfront/tests/test_admin.py
@@ -36,14 +36,14 @@
 
 
 class AdminTest(unittest.TestCase):
-    """Operators see and edit what they have a token for."""
+    """Operators need the token to read and edit."""
 
     @trio_test_real_clock
-    async def test_operators_see_what_they_have_a_token_for(self):
+    async def test_operators_need_the_token(self):
         async with one_instance() as (deployment, instance):
             await self.check_token(deployment, instance)
-            await self.check_wrong_edits(deployment, instance)
-            await self.check_figures(deployment, instance)
+            await self.check_invalid_edits(deployment, instance)
+            await self.check_metrics(deployment, instance)
 
     async def check_token(self, deployment, instance):
         for path in (ADMIN + "status", "/metrics", ADMIN + "nothing"):
@@ -58,7 +58,7 @@
         on_callers = await deployment.client.send("GET", instance.url(ADMIN + "status"))
         self.assertEqual(on_callers.status, 404)
 
-    async def check_wrong_edits(self, deployment, instance):
+    async def check_invalid_edits(self, deployment, instance):
         for body, named in (({"tabel": {}}, "table"), ([], "object")):
             with self.subTest(body=body):
                 reply = await deployment.admin(instance, "PUT", ADMIN + "table", body)
@@ -66,12 +66,14 @@
                 self.assertEqual((problem.code, problem.ran), ("bad_request", "no"))
                 self.assertIn(named, problem.detail)
 
-    async def check_figures(self, deployment, instance):
+    async def check_metrics(self, deployment, instance):
         for branch in ("vestry", "vestry", "nobody"):
             await deployment.search(instance, branch, "name-check", {"name": "x"})
         counters = await self.get(deployment, "counters", list[CounterValue])
-        told = {item.reason: item.value for item in counters if item.kind == "answers"}
-        self.assertEqual((told["whole"], told["unknown_branch"]), (2, 1))
+        answers = {
+            item.reason: item.value for item in counters if item.kind == "answers"
+        }
+        self.assertEqual((answers["whole"], answers["unknown_branch"]), (2, 1))
         latencies = await self.get(deployment, "latency", list[LatencyValue])
         self.assertEqual(
             [(item.branch, item.purpose, item.count) for item in latencies],
@@ -86,10 +88,11 @@
 
     @trio_test_real_clock
     async def test_two_edits_of_one_version_conflict_and_both_are_shown(self):
-        """Two operators open the table and change the same row.
+        """Guards against one operator's edit overwriting another's.
 
-        Both hold one version. The first edit is accepted; the second would
-        undo it unseen if the last writer won. It is refused, and shows both.
+        Two operators change the same row of one version. With last-write-wins
+        the second edit would silently undo the first; it is rejected, and the
+        conflict shows both.
         """
         async with one_instance() as (deployment, instance):
             base = await self.get(deployment, "table", TableView)
@@ -104,17 +107,17 @@
             self.assertTrue(conflict.overlaps)
             self.assertEqual([edit.edited_by for edit in conflict.theirs], ["ann"])
             self.assertEqual(conflict.yours[0].after.weight, 3.0)
-            again = await deployment.admin(instance, "PUT", ADMIN + "table", first)
-            self.assertEqual(again.decode(EditAccepted), accepted)
+            repeated = await deployment.admin(instance, "PUT", ADMIN + "table", first)
+            self.assertEqual(repeated.decode(EditAccepted), accepted)
             history = await self.get(deployment, "table/history", list[EditSummary])
             self.assertEqual([edit.edit_id for edit in history], ["edit-ann"])
 
     @trio_test_real_clock
     async def test_servers_are_added_drained_and_removed(self):
-        """Edit the servers of a service, also with an address of a wrong form.
+        """Guards against accepting a server with a malformed address.
 
-        An operator leaves out the port. The edit was accepted, and nothing can
-        connect to such an address; now it is refused, naming the value.
+        An operator omits the port, so no connection could be opened. The edit
+        is rejected with the value in the detail.
         """
         async with one_instance() as (deployment, instance):
             path = ADMIN + "services/archive%2F1/servers"
@@ -131,9 +134,9 @@
                 "draining",
             )
             for address in ("127.0.0.1", "localhost:9", "127.0.0.1:x", ""):
-                wrong = msgspec.structs.replace(server, address=address)
-                refused = await deployment.admin(instance, "POST", path, wrong)
-                problem = refused.decode(ProblemBody)
+                malformed = msgspec.structs.replace(server, address=address)
+                rejected = await deployment.admin(instance, "POST", path, malformed)
+                problem = rejected.decode(ProblemBody)
                 self.assertEqual(problem.code, "bad_request", address)
                 self.assertIn(repr(address), problem.detail)
             unknown = await deployment.admin(instance, "POST", path + "/nobody/drain")
--- a/ibisfront/tests/test_bad_input.py
+++ b/ibisfront/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Tests of bad input at the callers' listener, over real sockets."""
+"""Tests of invalid input to the callers' listener, over real sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Case(msgspec.Struct, frozen=True):
-    """One bad request and the problem that it must bring."""
+    """One invalid request and the problem document that it must return."""
 
     name: str
     sent: bytes
@@ -42,7 +42,7 @@
     ),
     Case("long body", post(b'"' + b"x" * LIMIT + b'"'), "body_too_large", str(LIMIT)),
     Case(
-        "long body said to be",
+        "long body announced",
         post(b"", "Content-Length: 99999999999"),
         "body_too_large",
         str(LIMIT),
@@ -85,7 +85,7 @@
         "X-Request-Id",
     ),
     Case(
-        "id beyond ASCII",
+        "id not ASCII",
         post(b"{}", "X-Request-Id: J\xf3n"),
         "bad_request",
         "X-Request-Id",
@@ -104,19 +104,19 @@
         "nothing",
     ),
     Case(
-        "search of a purpose that performs",
+        "search of a perform purpose",
         post_bytes(QUERY.replace("name-check", "print-envelopes"), b"{}"),
         "wrong_kind_of_purpose",
         "print-envelopes",
     ),
     Case(
-        "encoding not of UTF-8",
+        "encoding not UTF-8",
         post_bytes(QUERY.replace("vestry", "%FF"), b"{}"),
         "bad_request",
         "%FF",
     ),
     Case(
-        "broken encoding",
+        "malformed encoding",
         post_bytes(QUERY.replace("vestry", "a%zz"), b"{}"),
         "bad_request",
         "%zz",
@@ -150,30 +150,30 @@
 
 
 class BadInputTest(unittest.TestCase):
-    """Each fault of a caller brings one clear problem; the daemon goes on."""
+    """Invalid input returns one clear problem; the daemon keeps running."""
 
     @trio_test_real_clock
-    async def test_each_bad_request_brings_one_clear_problem(self):
-        """A caller sends something wrong and must learn what, and the cure.
+    async def test_each_invalid_request_returns_one_clear_problem(self):
+        """Guards against unclear or wrong responses to invalid requests.
 
-        Before, a deeply nested body and a deadline of 5,000 digits came back
-        as a fault of ours that may have run; an encoded slash became part of
-        the path; of two deadlines the last one won in silence.
+        A deeply nested body or a deadline of 5,000 digits must not return an
+        internal error that may have run, an encoded slash must not split the
+        path, and the last of two deadlines must not silently win.
         """
         async with Deployment(register_shape(services=1, instances=1)) as deployment:
             address = deployment.instances[0].caller_address
             for case in CASES:
                 with self.subTest(case.name):
                     self.check(case, await send_bytes(address, case.sent))
-            self.assertEqual((await good_search(deployment)).coverage.answered, 1)
+            self.assertEqual((await valid_search(deployment)).coverage.answered, 1)
 
     @trio_test_real_clock
-    async def test_bytes_that_are_not_http_leave_the_daemon_unharmed(self):
-        """A port scanner or a broken client talks to the callers' listener.
+    async def test_bytes_that_are_not_http_do_not_stop_the_daemon(self):
+        """Guards against one connection's exception stopping the daemon.
 
-        It sends bytes that are not HTTP, or half of another protocol. One
-        HTTP/2 request with a path that is not ASCII ended the whole daemon: the
-        server's fault in one connection ended all. Now only its connection ends.
+        A port scanner or faulty client sends bytes that are not HTTP, or part
+        of another protocol. With ``hypercorn``'s own accept loop, an HTTP/2
+        request with a non-ASCII path stops the whole process.
         """
         async with Deployment(register_shape(services=1, instances=1)) as deployment:
             address = deployment.instances[0].caller_address
@@ -181,7 +181,7 @@
                 with self.subTest(sent[:60]):
                     reply = await send_bytes(address, sent)
                     self.assertNotIn(reply.status, {200, 500})
-                    answer = await good_search(deployment)
+                    answer = await valid_search(deployment)
                     self.assertEqual(answer.coverage.answered, 1)
 
     def check(self, case, reply):
@@ -194,8 +194,8 @@
         self.assertEqual(reply.headers["x-request-id"], problem.request_id)
 
 
-async def good_search(deployment):
-    """Return the answer to a search that nothing is wrong with."""
+async def valid_search(deployment):
+    """Return the answer to a valid search."""
     reply = await deployment.search(
         deployment.instances[0], "vestry", "name-check", {"name": "Jón"}
     )
--- a/ibisfront/tests/test_daemon.py
+++ b/ibisfront/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon as real processes: restarts under load."""
+"""Tests of the daemon as processes: rolling restarts under load."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LaggingBalancer:
-    """Picks instances by ``/readyz`` as it was a moment ago, and sends to them."""
+    """Sends to instances that ``/readyz`` reported ready some time ago."""
 
     def __init__(self, deployment):
         self.deployment = deployment
@@ -30,7 +30,7 @@
         self._next = 0
 
     async def watch(self):
-        """Follow readiness, late."""
+        """Poll the instances' readiness and apply it after the lag."""
         async with trio.open_nursery() as nursery:
             while True:
                 ready = [
@@ -41,8 +41,8 @@
                 nursery.start_soon(self._apply, ready)
                 await trio.sleep(POLL_S)
 
-    async def call_for_ever(self, number):
-        """Send searches one after the other, noting each that fails."""
+    async def send_searches(self, number):
+        """Send searches one after the other, and record each that fails."""
         while True:
             self._next += 1
             instance = self.ready[self._next % len(self.ready)]
@@ -74,7 +74,7 @@
 
 @asynccontextmanager
 async def slow_deployment():
-    """Run three instances before services that take their time."""
+    """Run three instances with slow services."""
     shape = register_shape(services=2, instances=3)
     slow = ("--service-median-ms", "80", "--slots", "20")
     services = tuple(
@@ -90,19 +90,18 @@
 
     @trio_test_real_clock
     async def test_rolling_restart_under_load_loses_no_request(self):
-        """Callers get resets each time the instances are replaced in turn.
+        """Guards against connections reset or refused during a restart.
 
-        Seen: a caller's connection is reset, or refused, during a restart.
-        Order: SIGTERM; the balancer learns of it late and goes on sending;
-        the instance exits; the next one follows. Cause: the listener closed
-        at the signal and idle connections with it, without a word.
+        After SIGTERM the balancer keeps sending for its lag. If the listener
+        and its idle connections close at the signal, without notice, each
+        replaced instance loses requests.
         """
         async with slow_deployment() as deployment, trio.open_nursery() as nursery:
             balancer = LaggingBalancer(deployment)
             balancer.ready = list(deployment.instances)
             nursery.start_soon(balancer.watch)
             for number in range(CALLERS):
-                nursery.start_soon(balancer.call_for_ever, number)
+                nursery.start_soon(balancer.send_searches, number)
             exit_codes = []
             for old in list(deployment.instances):
                 old.process.send(signal.SIGTERM)
--- a/ibisfront/tests/test_instance.py
+++ b/ibisfront/tests/test_instance.py
@@ -1,4 +1,4 @@
-"""Tests of an entry instance as a process, from end to end."""
+"""End-to-end tests of an entry instance as a process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """One search goes through separate processes and comes back whole."""
+    """One search passes through separate processes and is answered in full."""
 
     @trio_test_real_clock
     async def test_search_is_answered_whole_from_every_service(self) -> None:
