--- a/ibisfront/tests/__init__.py
+++ b/ibisfront/tests/__init__.py
@@ -15,12 +15,12 @@
 
 
 def fix_task_order():
-    """Let trio run tasks that are ready together in a repeatable order.
+    """Make the order in which trio runs ready tasks deterministic.
 
-    trio shuffles them otherwise, so that a test of figures in mock time could
-    pass in one run and fail in the next. ``IBISFRONT_TEST_SEED`` chooses
-    another order, to see that a test does not hang on one. trio has this
-    switch for hypothesis, and no public name for it.
+    By default trio shuffles them, so a test that measures in mock time could
+    pass in one run and fail in the next. ``IBISFRONT_TEST_SEED`` selects
+    another order, to check that a test does not depend on one. trio provides
+    this switch for hypothesis, without a public name.
     """
     scheduler = trio._core._run
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
@@ -28,11 +28,12 @@
 
 
 def trio_test(test):
-    """Run an async test under trio's mock clock, which jumps when all wait.
+    """Run an async test under trio's mock clock with autojump.
 
-    The clock jumps only when every task sleeps, so that a test never depends
-    on how busy the machine is. A test of real sockets must use
-    :func:`trio_test_real_clock` instead: a jump would outrun the kernel.
+    The clock jumps only when every task sleeps, so a test does not depend on
+    the machine's load. A test of real sockets must use
+    :func:`trio_test_real_clock` instead: the clock would jump past timeouts
+    while the kernel still transfers data.
     """
 
     @functools.wraps(test)
--- a/ibisfront/tests/test_observation.py
+++ b/ibisfront/tests/test_observation.py
@@ -1,4 +1,4 @@
-"""Tests of what an exchange leaves behind: counters, latencies, log lines."""
+"""Tests of the counters, latencies and log lines of an exchange."""
 
 from __future__ import annotations
 
@@ -23,9 +23,11 @@
 
 
 def exchange(error=None, **fields):
-    """Return an exchange that an error ended, or an answered one."""
-    known = isinstance(error, IbisfrontError)
-    outcome = error.kind.value if known else "internal" if error else "whole"
+    """Return an exchange that ended with an error, or a successful one."""
+    is_ibisfront_error = isinstance(error, IbisfrontError)
+    outcome = (
+        error.kind.value if is_ibisfront_error else "internal" if error else "whole"
+    )
     values = {
         "request_id": "r-1",
         "method": "POST",
@@ -40,7 +42,7 @@
 
 
 class ObserveTest(unittest.TestCase):
-    """Each exchange is counted once and timed if it was answered."""
+    """Each exchange is counted once, and timed if it was successful."""
 
     def setUp(self):
         self.counters = Counters()
@@ -56,11 +58,11 @@
         for kind in ErrorKind:
             self.assertEqual(self.counters.value(CounterKind.ANSWERS, kind.value), 1)
 
-    def test_names_that_callers_make_up_take_no_memory(self):
-        """A broken client asks for a new branch in each request.
+    def test_unknown_branch_names_take_no_memory(self):
+        """Guards against memory growth from unknown branch names.
 
-        Each was refused, yet a histogram for each of the names would fill the
-        instance's memory within hours.
+        A faulty client sends a new branch name in each request. A histogram
+        for each rejected name would fill the instance's memory within hours.
         """
         error = IbisfrontError(ErrorKind.UNKNOWN_BRANCH, "x")
         for number in range(100):
@@ -69,10 +71,11 @@
             )
         self.assertEqual(self.latencies.values(), [])
 
-    def test_an_overload_writes_no_line_for_each_refusal(self):
-        """A flood of one branch is refused, thousands of times a second.
+    def test_an_overload_logs_no_line_for_each_rejection(self):
+        """Guards against log lines adding to an overload.
 
-        A line for each would cost the instance its time when it has none.
+        One branch's excess requests are rejected thousands of times a second;
+        a line for each would slow the overloaded instance further.
         """
         with self.assertNoLogs(LOGGER_NAME, logging.INFO):
             self.observe(exchange(IbisfrontError(ErrorKind.OVERLOADED, "x")))
@@ -80,33 +83,35 @@
             self.observe(exchange(IbisfrontError(ErrorKind.OUTCOME_UNKNOWN, "x")))
         self.assertEqual(logs.records[0].request_id, "r-1")
 
-    def test_a_fault_of_ours_is_logged_with_its_traceback(self):
+    def test_an_internal_error_is_logged_with_its_traceback(self):
         with self.assertLogs(LOGGER_NAME, logging.ERROR) as logs:
             self.observe(exchange(KeyError("x")))
         self.assertIsNotNone(logs.records[0].exc_info)
 
 
 class LogOutputTest(unittest.TestCase):
-    """The log is one JSON object a line, with the prefix of its part."""
+    """Each log line is a JSON object, with the prefix of its log part."""
 
     def test_a_line_has_level_prefix_instance_and_request_id(self):
         written = io.StringIO()
         log = logging.getLogger(LOGGER_NAME)
-        before = (log.handlers[:], log.level, log.propagate)
+        saved_state = (log.handlers[:], log.level, log.propagate)
         try:
             with mock.patch.object(sys, "stderr", written):
                 configure_logging(check_settings(changed("logs", level="debug")))
-            part_logger(LogPart.CALLERS).info("It is so.", extra={"request_id": "r-1"})
+            part_logger(LogPart.CALLERS).info(
+                "Settings loaded.", extra={"request_id": "r-1"}
+            )
         finally:
-            log.handlers[:], log.level, log.propagate = before
+            log.handlers[:], log.level, log.propagate = saved_state
         line = msgspec.json.decode(written.getvalue())
-        self.assertEqual(line.pop("message"), "callers: It is so.")
+        self.assertEqual(line.pop("message"), "callers: Settings loaded.")
         self.assertIn("+00:00", line.pop("timestamp"))
         self.assertEqual(line, {"level": "INFO", "instance": "i1", "request_id": "r-1"})
 
 
 class MetricsTextTest(unittest.TestCase):
-    """The text is what Prometheus reads."""
+    """The text is in the Prometheus exposition format."""
 
     def test_counters_latencies_and_gauges(self):
         counters, latencies = Counters(), Latencies()
--- a/ibisfront/tests/test_peer_codec.py
+++ b/ibisfront/tests/test_peer_codec.py
@@ -24,9 +24,9 @@
 
 
 class FrameBufferTest(unittest.TestCase):
-    """Bytes become messages, or are refused without harm."""
+    """Bytes are decoded into messages, or rejected safely."""
 
-    def test_messages_survive_any_cutting_of_the_bytes(self) -> None:
+    def test_messages_are_decoded_from_arbitrary_chunks(self) -> None:
         messages = [
             ObjectsChanged(
                 after=1,
@@ -40,33 +40,34 @@
             ObjectsWanted(3),
         ]
         data = b"".join(encode(message, ask_id=4) for message in messages)
-        pieces = random.Random(1)
+        random_sizes = random.Random(1)
         buffer = FrameBuffer()
-        found = []
+        frames = []
         while data:
-            size_bytes = pieces.randint(1, 9)
-            found += buffer.feed(data[:size_bytes])
+            size_bytes = random_sizes.randint(1, 9)
+            frames += buffer.feed(data[:size_bytes])
             data = data[size_bytes:]
-        self.assertEqual([frame.message for frame in found], messages)
-        self.assertEqual({frame.ask_id for frame in found}, {4})
+        self.assertEqual([frame.message for frame in frames], messages)
+        self.assertEqual({frame.ask_id for frame in frames}, {4})
 
-    def test_frame_over_the_bound_is_refused_before_it_is_read(self) -> None:
-        """A peer at fault announces a frame of four gigabytes.
+    def test_oversized_frame_is_rejected_before_it_is_read(self) -> None:
+        """Guards against exhausting memory on a faulty peer's frame.
 
-        Waiting for it would fill the memory of a small instance.
+        The length can announce four gigabytes; waiting for such a frame would
+        exhaust a small instance.
         """
         with self.assertRaises(MalformedFrame):
             FrameBuffer().feed((MAXIMUM_FRAME_BYTES + 1).to_bytes(4))
 
-    def test_bytes_that_are_no_msgpack_are_refused(self) -> None:
+    def test_bytes_that_are_not_msgpack_are_rejected(self) -> None:
         with self.assertRaises(MalformedFrame):
             FrameBuffer().feed(_framed(b"\xc1\xc1\xc1"))
 
-    def test_unknown_message_is_left_out(self) -> None:
-        """An instance of a later release sends a message not known here.
+    def test_unknown_message_is_skipped(self) -> None:
+        """Guards against closing the stream on an unknown message type.
 
-        Cutting it off would part old and new instances during every rolling
-        restart that brings a new message.
+        Old and new instances would lose contact during every rolling restart
+        to a release that adds a message.
         """
         buffer = FrameBuffer()
         unknown = msgspec.msgpack.encode([["of_a_later_release", 1], 0, False])
@@ -74,7 +75,7 @@
         self.assertEqual([frame.message for frame in frames], [ObjectsWanted(3)])
         self.assertEqual(buffer.unknown_messages, 1)
 
-    def test_later_field_is_passed_over(self) -> None:
+    def test_unknown_trailing_field_is_ignored(self) -> None:
         later = msgspec.msgpack.encode([["objects_wanted", 3, "later"], 0, False])
         (frame,) = FrameBuffer().feed(_framed(later))
         self.assertEqual(frame.message, ObjectsWanted(3))
--- a/ibisfront/tests/test_peer_transport.py
+++ b/ibisfront/tests/test_peer_transport.py
@@ -12,10 +12,10 @@
 
 
 class TcpTransportTest(unittest.TestCase):
-    """Streams open, or fail as an absent peer does."""
+    """Streams open, or fail in the same way as for an absent peer."""
 
     @trio_test_real_clock
-    async def test_bytes_go_both_ways(self) -> None:
+    async def test_bytes_are_carried_in_both_directions(self) -> None:
         address = free_address()
         transport = TcpTransport(address)
 
@@ -30,11 +30,11 @@
             nursery.cancel_scope.cancel()
 
     @trio_test_real_clock
-    async def test_what_is_no_address_looks_like_nobody(self) -> None:
-        """The platform lists an instance with a malformed address.
+    async def test_a_malformed_address_fails_like_an_absent_peer(self) -> None:
+        """Guards against processes ending on a malformed address.
 
-        Another error than that of an absent peer would end every process that
-        tries it.
+        The platform can list an instance with one. An error other than that of
+        an absent peer would end every process that dials it.
         """
         transport = TcpTransport(free_address())
         for address in ("", "nonsense", "127.0.0.1:x", "127.0.0.1:1"):
