--- a/ibisfront/adapters/admin.py
+++ b/ibisfront/adapters/admin.py
@@ -142,13 +142,13 @@
         The tier's clock.
     """
     return (
-        *_reading_routes(instance),
+        *_read_only_routes(instance),
         *_table_routes(instance, platform, clock),
         *_service_routes(instance, platform, clock),
     )
 
 
-def _reading_routes(instance: AdministeredInstance) -> tuple[Route, ...]:
+def _read_only_routes(instance: AdministeredInstance) -> tuple[Route, ...]:
     async def metrics(request: HttpRequest) -> HttpResponse:
         text = metrics_text(
             instance.counters.values(), instance.latencies.samples(), _gauges(instance)
@@ -177,11 +177,11 @@
 ) -> tuple[Route, ...]:
     async def get(request: HttpRequest) -> HttpResponse:
         current = await read_table(platform)
-        return json_response(_view(current.version, current.table))
+        return json_response(_table_view(current.version, current.table))
 
     async def in_force(request: HttpRequest) -> HttpResponse:
         table = instance.catalogue.table or Table()
-        return json_response(_view(instance.catalogue.table_version, table))
+        return json_response(_table_view(instance.catalogue.table_version, table))
 
     async def history(request: HttpRequest) -> HttpResponse:
         current = await read_table(platform)
@@ -189,7 +189,7 @@
         return json_response(edits)
 
     async def put(request: HttpRequest) -> HttpResponse:
-        proposal = _decoded(request.body, TableProposal)
+        proposal = _decode_body(request.body, TableProposal)
         accepted = await edit_table(platform, proposal, clock=clock)
         return json_response(accepted, outcome="edit_accepted")
 
@@ -214,8 +214,8 @@
         )
 
     async def add(request: HttpRequest) -> HttpResponse:
-        server = _decoded(request.body, BackendServer)
-        _check_server(server)
+        server = _decode_body(request.body, BackendServer)
+        _validate_server(server)
         edited = await add_server(platform, request.path_params[0], server, clock=clock)
         return json_response(edited, outcome="edit_accepted")
 
@@ -247,11 +247,11 @@
     ]
 
 
-def _view(version: Version, table: Table) -> TableView:
+def _table_view(version: Version, table: Table) -> TableView:
     return TableView(version, msgspec.structs.replace(table, history=()))
 
 
-def _check_server(server: BackendServer) -> None:
+def _validate_server(server: BackendServer) -> None:
     # An address that no connection can be opened to would only show up as
     # failed searches of every branch, at every instance.
     problem = address_problem(server.address)
@@ -266,7 +266,7 @@
         )
 
 
-def _decoded(body: bytes, body_type: type[_Body]) -> _Body:
+def _decode_body(body: bytes, body_type: type[_Body]) -> _Body:
     try:
         return msgspec.json.decode(body, type=body_type)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/ibisfront/adapters/asgi.py
+++ b/ibisfront/adapters/asgi.py
@@ -13,7 +13,7 @@
     Handler,
     HttpRequest,
     HttpResponse,
-    MethodError,
+    MethodNotAllowedError,
     Observe,
     Route,
     problem_response,
@@ -289,7 +289,7 @@
             return route, matched.groups()
         methods.append(route.method)
     if methods:
-        raise MethodError(path, methods)
+        raise MethodNotAllowedError(path, methods)
     raise IbisfrontError(
         ErrorKind.NOT_FOUND, f"no route matches {path[:80]}: see docs/INTERFACE.md"
     )
--- a/ibisfront/adapters/http.py
+++ b/ibisfront/adapters/http.py
@@ -16,7 +16,7 @@
     "Handler",
     "HttpRequest",
     "HttpResponse",
-    "MethodError",
+    "MethodNotAllowedError",
     "Observe",
     "Problem",
     "Route",
@@ -202,7 +202,7 @@
     )
 
 
-class MethodError(IbisfrontError):
+class MethodNotAllowedError(IbisfrontError):
     """The path does not support the request's method.
 
     Parameters
@@ -221,7 +221,7 @@
 
 
 def _problem_headers(error: IbisfrontError) -> tuple[tuple[bytes, bytes], ...]:
-    if isinstance(error, MethodError):
+    if isinstance(error, MethodNotAllowedError):
         return ((b"allow", error.allowed.encode()),)
     if error.kind is ErrorKind.UNAUTHORIZED:
         return ((b"www-authenticate", b"Bearer"),)
--- a/ibisfront/adapters/observation.py
+++ b/ibisfront/adapters/observation.py
@@ -38,7 +38,7 @@
 
     def observe(exchange: Exchange) -> None:
         counters.add(CounterKind.ANSWERS, exchange.outcome)
-        if latencies is not None and _is_answer_of_row(exchange):
+        if latencies is not None and _is_successful_row_request(exchange):
             branch, purpose = exchange.path_params
             latencies.record_ms(branch, purpose, exchange.duration_ms)
         _log_exchange(log, exchange)
@@ -46,7 +46,7 @@
     return observe
 
 
-def _is_answer_of_row(exchange: Exchange) -> bool:
+def _is_successful_row_request(exchange: Exchange) -> bool:
     return exchange.status == _OK and len(exchange.path_params) == 2
 
 
--- a/ibisfront/adapters/peer_stream.py
+++ b/ibisfront/adapters/peer_stream.py
@@ -172,16 +172,16 @@
         # A network device can lose the state of a connection, which then stays
         # open but delivers nothing. A neighbour's stream without heartbeats
         # reveals this; a new stream works.
-        bound_ms = SILENCE_TIMEOUT_MS if self.neighbour else IDLE_TIMEOUT_MS
-        with self._clock.timeout_ms(bound_ms) as bound:
+        idle_timeout_ms = SILENCE_TIMEOUT_MS if self.neighbour else IDLE_TIMEOUT_MS
+        with self._clock.timeout_ms(idle_timeout_ms) as timeout_scope:
             try:
                 while received := await stream.receive_some(_RECEIVE_BYTES):
-                    self._clock.extend_ms(bound, bound_ms)
+                    self._clock.extend_ms(timeout_scope, idle_timeout_ms)
                     if not self._process(received, receive) or self._write_is_stalled():
                         return
             except trio.BrokenResourceError:
                 self._count("reset")
-        if bound.cancelled_caught:
+        if timeout_scope.cancelled_caught:
             self._count("silent" if self.neighbour else "idle")
 
     def _process(
--- a/ibisfront/adapters/platform.py
+++ b/ibisfront/adapters/platform.py
@@ -98,12 +98,12 @@
         response = await self._call("GET", _object_target(kind, name))
         if response.status == 404:
             return None
-        return _decoded(_body(response, _ObjectBody))
+        return _versioned_object(_decode_body(response, _ObjectBody))
 
     async def list_objects(self, kinds: Sequence[ObjectKind]) -> ObjectsRead:
         """Return every object of the given kinds."""
         response = await self._call("GET", f"/objects?kinds={','.join(kinds)}")
-        return _objects(response)
+        return _objects_read(response)
 
     async def changes(
         self, kinds: Sequence[ObjectKind], *, after: Version, wait_ms: float
@@ -114,7 +114,7 @@
             f"/changes?kinds={','.join(kinds)}&after={after}&wait_ms={wait_ms:.0f}",
             timeout_s=_CALL_TIMEOUT_S + wait_ms / 1000,
         )
-        return None if response.status == 410 else _objects(response)
+        return None if response.status == 410 else _objects_read(response)
 
     async def put(
         self,
@@ -165,7 +165,7 @@
     async def instances(self) -> list[InstanceEntry]:
         """Return the platform's list of instances, which may be stale."""
         response = await self._call("GET", "/instances")
-        return _body(response, _InstancesBody).instances
+        return _decode_body(response, _InstancesBody).instances
 
     async def members(self) -> list[Member]:
         """Return the listed instances that are live, as seed members."""
@@ -217,7 +217,7 @@
     return IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, detail)
 
 
-def _body(response: httpcore.Response, body_type: type[_Body]) -> _Body:
+def _decode_body(response: httpcore.Response, body_type: type[_Body]) -> _Body:
     # A proxy or a faulty platform can return a body that is not of the object
     # API. To the callers of this client that is an outage.
     try:
@@ -228,7 +228,7 @@
 
 def _written_version(response: httpcore.Response) -> Version:
     try:
-        version = _body(response, _VersionBody).version
+        version = _decode_body(response, _VersionBody).version
     except IbisfrontError as error:
         raise IbisfrontError(ErrorKind.WRITE_UNKNOWN, error.detail) from error
     if version is None:
@@ -236,13 +236,13 @@
     return version
 
 
-def _objects(response: httpcore.Response) -> ObjectsRead:
-    decoded = _body(response, _ObjectsBody)
-    objects = tuple(_decoded(item) for item in decoded.objects)
+def _objects_read(response: httpcore.Response) -> ObjectsRead:
+    decoded = _decode_body(response, _ObjectsBody)
+    objects = tuple(_versioned_object(item) for item in decoded.objects)
     return ObjectsRead(decoded.revision, objects)
 
 
-def _decoded(item: _ObjectBody) -> VersionedObject:
+def _versioned_object(item: _ObjectBody) -> VersionedObject:
     value = bytes(item.value)
     return VersionedObject(
         item.kind, item.name, item.version, None if value == b"null" else value
--- a/ibisfront/daemon.py
+++ b/ibisfront/daemon.py
@@ -80,13 +80,13 @@
         nursery.start_soon(_stop_on_signal, instance, clock, closing)
         await nursery.start(instance.run)
         _LOG.info("%s starts.", settings.instance.name)
-        callers = caller_application(instance, settings=settings, clock=clock)
-        operators = admin_application(
+        caller_app = caller_application(instance, settings=settings, clock=clock)
+        admin_app = admin_application(
             instance, platform=platform, settings=settings, clock=clock
         )
         async with trio.open_nursery() as listeners:
-            listeners.start_soon(serve_until, closing, callers, caller_socket)
-            listeners.start_soon(serve_until, closing, operators, admin_socket)
+            listeners.start_soon(serve_until, closing, caller_app, caller_socket)
+            listeners.start_soon(serve_until, closing, admin_app, admin_socket)
         # Shares are released only after the listeners are closed: a balancer
         # that is slower than its configured lag may still send requests, and
         # without shares each of them would be rejected.
