--- a/ibisfront/front/early_start.py
+++ b/ibisfront/front/early_start.py
@@ -1,9 +1,9 @@
-"""What a front process does before its longer imports.
+"""What a front process does before its slow imports.
 
 Load pattern: all machines lose power and come back. Callers whose connection was
-lost try once more, at the moment when the machines are up and no process listens
-yet; refused connections are their last try. A process that listens first keeps them
-for the fifth of a second of its imports, and serves them.
+lost retry once, when the machines are up but no process listens yet, and fail if
+that connection is refused. A process that listens first holds their connections for
+the 0.2 s of its imports, then serves them.
 """
 
 from __future__ import annotations
@@ -21,38 +21,38 @@
 from ibisfront.http1.listening import listening_socket
 from ibisfront.platform.settings import read_platform_settings, settings_path
 
-__all__ = ["EarlyStart", "is_anyone_up", "start_early"]
+__all__ = ["EarlyStart", "is_any_listening", "start_early"]
 
 _EXIT_BAD_SETTINGS = 2
 
-_CONNECT_WAIT_MS = 10
-"""How long another instance has to accept a connection: five times the way between
-zones and back."""
+_CONNECT_TIMEOUT_MS = 10
+"""How long another instance has to accept a connection: five round trips between
+zones."""
 
 
 class EarlyStart(msgspec.Struct):
-    """What is known and open when the imports begin.
+    """Settings and listening socket at the start of the slow imports.
 
     Attributes
     ----------
     path : Path
         The settings file.
     settings : GatewaySettings
-        What it holds.
-    callers : socket.socket or None
-        Listens for callers already, if no other instance seems to be up.
+        Its content.
+    callers_socket : socket.socket or None
+        Already listens for callers, if no other instance accepts connections.
     """
 
     path: Path
     settings: GatewaySettings
-    callers: socket.socket | None
+    callers_socket: socket.socket | None
 
 
 def start_early() -> EarlyStart:
-    """Read the settings, and listen for callers if nobody else does.
+    """Read the settings, and listen for callers if no other instance does.
 
     While others serve, a refused connection is better for a caller: its next one
-    reaches one of them at once.
+    is accepted by one of them at once.
     """
     try:
         path = settings_path()
@@ -61,41 +61,41 @@
         sys.stderr.write(f"ibisfront: {error.detail}\n")
         raise SystemExit(_EXIT_BAD_SETTINGS) from error
     others = [seed for seed in settings.seeds if seed != settings.peers_address]
-    callers = None
-    if not is_anyone_up(others):
-        callers = listening_socket(settings.callers_address)
-    return EarlyStart(path, settings, callers)
+    callers_socket = None
+    if not is_any_listening(others):
+        callers_socket = listening_socket(settings.callers_address)
+    return EarlyStart(path, settings, callers_socket)
 
 
-def is_anyone_up(addresses: list[Address]) -> bool:
-    """Return whether a connection to any of some addresses is accepted at once."""
-    sockets = [_connecting(address) for address in addresses]
+def is_any_listening(addresses: list[Address]) -> bool:
+    """Return whether any of the addresses accepts a connection at once."""
+    sockets = [_start_connecting(address) for address in addresses]
     try:
-        return _is_one_connected(sockets)
+        return _is_any_connected(sockets)
     finally:
         for sock in sockets:
             sock.close()
 
 
-def _is_one_connected(sockets: list[socket.socket]) -> bool:
-    """Wait until a connection is accepted, all have failed, or time is up."""
-    waiting = {sock.fileno(): sock for sock in sockets}
+def _is_any_connected(sockets: list[socket.socket]) -> bool:
+    """Wait until a connection is accepted, all have failed, or the timeout passes."""
+    pending = {sock.fileno(): sock for sock in sockets}
     poll = select.poll()
-    for number in waiting:
+    for number in pending:
         poll.register(number, select.POLLOUT)
-    while waiting:
-        events = poll.poll(_CONNECT_WAIT_MS)
+    while pending:
+        events = poll.poll(_CONNECT_TIMEOUT_MS)
         if not events:
             return False
         for number, _ in events:
-            sock = waiting.pop(number)
+            sock = pending.pop(number)
             poll.unregister(number)
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 return True
     return False
 
 
-def _connecting(address: Address) -> socket.socket:
+def _start_connecting(address: Address) -> socket.socket:
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -1,4 +1,4 @@
-"""One service's share of a request: first send, hedged request, retries."""
+"""The part of a request for one service: primary attempt, hedge and retries."""
 
 from __future__ import annotations
 
@@ -25,53 +25,53 @@
 
 __all__ = ["CallContext", "ServiceCall"]
 
-_NOT_RUN_RETRIES = 2
-"""Sends beyond the route's attempts after replies that say "not run"."""
+_MAX_NOT_RUN_RETRIES = 2
+"""Retries beyond the route's attempts after attempts that did not run."""
 
-_RESEND_PAUSE_MS = 50.0
-"""The least pause before a part that failed is asked for again: some requests of a
-server's queue end meanwhile."""
+_RETRY_PAUSE_MS = 50.0
+"""Minimum pause before a failed part is retried, in which some of the requests queued
+at a server complete."""
 
-_SLOW = 2.0
-"""Slowness from which on work that is not waited for is stopped."""
+_CANCEL_SLOWNESS = 2.0
+"""Slowness of a server above which abandoned requests are cancelled."""
 
 
-_CONNECTION_BYTES = 400.0
-"""Bytes between zones that ending a connection and opening another one takes."""
+_RECONNECT_BYTES = 400.0
+"""Traffic between zones of closing a connection and opening another, in bytes."""
 
 
 class CallContext(msgspec.Struct):
-    """What all calls of one caller's request share.
+    """The context that all calls of one caller's request share.
 
     Attributes
     ----------
     request_id : bytes
-        The caller's name for this attempt.
+        The caller's id of this attempt.
     payload : callable
-        Returns the bytes for a server, given it and the time.
+        Returns the bytes to send, given the server and the time.
     is_idempotent : bool
         Whether the request may run more than once.
     attempts : int
-        To how many servers of a service it may be sent.
+        Maximum number of servers of a service to which the request is sent.
     rank : int
-        0 goes first.
+        Priority; 0 is sent first.
     has_reply_body : bool
         Whether replies may have a body.
     baseline : BaselineLatency
-        What is usual on the route.
+        The baseline latency of the route.
     registry : ServerRegistry
         The servers.
     budgets : RetryBudgets
-        The budgets of extra sub-requests.
+        The budgets of extra attempts.
     clock : Clock
         The tier's clock.
     trace : RequestTrace
-        Where decisions are noted.
+        Records the decisions.
     counters : Counters
-        Where sub-requests and what came of them are counted.
+        Counts sub-requests and their outcomes.
     is_repeat : bool
-        Whether another instance may have sent the request to servers already:
-        each sub-request is an extra one then.
+        Whether another instance may have sent the request to servers already, so
+        that each sub-request is an extra attempt.
     """
 
     request_id: bytes
@@ -97,34 +97,34 @@
     service : str
         The service.
     context : CallContext
-        What the request's calls share.
+        The context of the request.
     on_change : callable
-        Called with this call when it was settled or an exchange failed.
+        Called with this call when it is settled or an exchange has failed.
 
     Attributes
     ----------
     reply : BackendReply or None
         The reply that settled it.
     failure : BackendReply or None
-        The last reply that is a failure, if the server had run the request.
-    sends : int
-        How many exchanges were started.
+        The last failure from a server that had run the request.
+    attempts_sent : int
+        Number of exchanges started.
     """
 
     __slots__ = (
-        "_again_at_ms",
         "_context",
         "_has_run",
         "_is_out_of_budget",
+        "_not_run_attempts",
         "_on_change",
         "_open",
-        "_refunded",
+        "_retry_at_ms",
         "_tried",
+        "attempts_sent",
         "failure",
         "last_error",
         "reply",
         "retry_after_ms",
-        "sends",
         "service",
     )
 
@@ -139,28 +139,28 @@
         self._on_change = on_change
         self._open: list[Exchange] = []
         self._tried: list[Server] = []
-        self._refunded = 0
-        self._again_at_ms = -math.inf
+        self._not_run_attempts = 0
+        self._retry_at_ms = -math.inf
         self._is_out_of_budget = False
         self.reply: BackendReply | None = None
         self.failure: BackendReply | None = None
         self.last_error = ""
         self._has_run = False
         self.retry_after_ms: float | None = None
-        self.sends = 0
+        self.attempts_sent = 0
 
     @property
     def is_settled(self) -> bool:
-        """Whether its reply is there."""
+        """Whether a successful reply has arrived."""
         return self.reply is not None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request may have run at some server, or may yet.
+        """Whether the request may have run on some server, or may still run.
 
-        An exchange that was sent and has no end counts: its bytes may reach
-        the server seconds later, when a cut link heals. Telling the caller
-        "not run" then would let it send work again that runs.
+        An exchange that was sent and has not ended counts: its bytes may reach the
+        server seconds later, when a partition heals. If the caller were told "not
+        run", it could repeat a request that still runs.
         """
         return self._has_run or any(
             exchange.sent_at_ms is not None for exchange in self._open
@@ -168,108 +168,115 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a reply may still come."""
+        """Whether a reply may still arrive."""
         return bool(self._open)
 
     def start(self, now_ms: float) -> bool:
-        """Send the first exchange; return False if no server may be asked."""
+        """Send the primary attempt; return False if no server may be used."""
         if self._context.is_repeat:
-            # The servers that were asked are not known here. With more of them
-            # than the route allows attempts this could be one too many.
-            return self.has_no_more_servers_than_attempts and self.send_extra_attempt()
+            # The servers used by the other instance are unknown here. If the service
+            # has more servers than the route allows attempts, this one could exceed
+            # the limit.
+            return self.attempts_cover_all_servers and self.send_extra_attempt()
         self._context.budgets.of_service(self.service).record_primary(now_ms)
         return self._send(now_ms)
 
     def send_extra_attempt(self) -> bool:
-        """Send to one more server if attempts and budget allow it."""
+        """Send an extra attempt if the attempts and the budget allow it."""
         context = self._context
-        if self.sends >= context.attempts + min(self._refunded, _NOT_RUN_RETRIES):
+        if self.attempts_sent >= context.attempts + min(
+            self._not_run_attempts, _MAX_NOT_RUN_RETRIES
+        ):
             return False
         now_ms = context.clock.now_ms()
         server = self._choose(now_ms)
-        why = self.last_error or "late"
+        cause = self.last_error or "late"
         if server is None or now_ms < server.not_before_ms:
             context.counters.add(CounterKind.RETRIES_WITHHELD, "no_other_server")
-            context.trace.record(now_ms, "no_other_server", self.service, "", why)
+            context.trace.record(now_ms, "no_other_server", self.service, "", cause)
             return False
         if not context.budgets.try_spend(self.service, now_ms):
             context.counters.add(CounterKind.RETRIES_WITHHELD, "budget")
-            context.trace.record(now_ms, "budget_spent", self.service, "", why)
+            context.trace.record(now_ms, "budget_spent", self.service, "", cause)
             self._is_out_of_budget = True
             return False
-        context.counters.add(CounterKind.RETRIES, why)
+        context.counters.add(CounterKind.RETRIES, cause)
         context.trace.extras += 1
         name = server.entry.server_id
-        context.trace.record(now_ms, "sent_again", self.service, name, why)
+        context.trace.record(now_ms, "sent_again", self.service, name, cause)
         self._submit(server, now_ms)
         return True
 
-    def may_send_again_at_ms(self, now_ms: float) -> float:
-        """Return when a server may be asked again; infinite for never.
+    def next_retry_at_ms(self, now_ms: float) -> float:
+        """Return when a retry is possible; infinite for never.
 
-        Where the budget was spent it is never: it comes back over seconds, and the
-        caller is told at once in place of being held for them.
+        It is never after the budget was spent: the budget recovers over seconds, and
+        the caller gets an error at once instead of waiting for that.
         """
         if self._is_out_of_budget:
             return math.inf
         context = self._context
-        if self.sends >= context.attempts + min(self._refunded, _NOT_RUN_RETRIES):
+        if self.attempts_sent >= context.attempts + min(
+            self._not_run_attempts, _MAX_NOT_RUN_RETRIES
+        ):
             return math.inf
-        at_ms = now_ms + _RESEND_PAUSE_MS
-        server = self._best(self._tried, now_ms)
-        if server is None and self._refunded:
-            server = self._best([], now_ms)
-            at_ms = max(at_ms, self._again_at_ms)
+        at_ms = now_ms + _RETRY_PAUSE_MS
+        server = self._choose_excluding(self._tried, now_ms)
+        if server is None and self._not_run_attempts:
+            server = self._choose_excluding([], now_ms)
+            at_ms = max(at_ms, self._retry_at_ms)
         if server is None:
             return math.inf
         return max(server.not_before_ms, at_ms)
 
     @property
-    def has_no_more_servers_than_attempts(self) -> bool:
-        """Whether asking each server once stays within the route's attempts."""
+    def attempts_cover_all_servers(self) -> bool:
+        """Whether one attempt for each server stays within the route's attempts."""
         servers = self._context.registry.of_service(self.service)
         return len(servers) <= self._context.attempts
 
     def withdraw_unsent(self, now_ms: float) -> None:
-        """Give up what still waits for a connection, if another server may be asked.
+        """Withdraw requests queued for a connection if another server is available.
 
-        Load pattern: a server has gone dark and does not even refuse. A request that
-        must not run twice waited there for its whole time, although nothing of it had
-        been sent.
+        An unresponsive server may not even refuse connections. A non-idempotent request
+        would wait there until its deadline, although none of it had been sent.
         """
-        if self._best(self._tried, now_ms) is None:
+        if self._choose_excluding(self._tried, now_ms) is None:
             return
         for exchange in list(self._open):
             if exchange.sent_at_ms is None:
                 self.last_error = "no_connection"
-                exchange.give_up(at_once=False)
+                exchange.abandon(at_once=False)
 
     def is_silent_since(self, since_ms: float) -> bool:
-        """Return whether no server that was asked has replied since a time."""
+        """Return whether no server used has replied since a time."""
         return all(server.last_reply_at_ms <= since_ms for server in self._tried)
 
     def end(self, *, at_once: bool) -> None:
-        """Wait for nothing more; see :meth:`Exchange.give_up`.
+        """Stop waiting for replies; see :meth:`Exchange.abandon`.
 
-        A server that is slow is short of slots, whatever the others are. A large reply
-        from another zone costs more bytes between zones than a new connection.
+        Connections to slow servers are closed whatever ``at_once`` says, since these
+        lack free slots, as are those on which a large reply from another zone would
+        cost more traffic than a new connection.
         """
         now_ms = self._context.clock.now_ms()
-        is_large = self._context.baseline.reply_bytes > _CONNECTION_BYTES
+        is_large = self._context.baseline.reply_bytes > _RECONNECT_BYTES
         for exchange in list(self._open):
             server = exchange.server
-            stops = server.slowness(now_ms) > _SLOW or (is_large and not server.is_near)
-            exchange.give_up(at_once=at_once or stops)
+            closes = server.slowness(now_ms) > _CANCEL_SLOWNESS or (
+                is_large and not server.is_near
+            )
+            exchange.abandon(at_once=at_once or closes)
 
     def _choose(self, now_ms: float) -> Server | None:
-        chosen = self._best(self._tried, now_ms)
-        if chosen is None and self._refunded and now_ms >= self._again_at_ms:
-            # Every server was asked and some said "not run": ask one again.
-            return self._best([], now_ms)
+        chosen = self._choose_excluding(self._tried, now_ms)
+        if chosen is None and self._not_run_attempts and now_ms >= self._retry_at_ms:
+            # Every server was tried and some replied "not run", so one is retried.
+            return self._choose_excluding([], now_ms)
         return chosen
 
-    def _best(self, tried: list[Server], now_ms: float) -> Server | None:
-        """Return the server to ask that was not tried."""
+    def _choose_excluding(self, tried: list[Server], now_ms: float) -> Server | None:
+        """Return the best server among those not tried."""
         context = self._context
         servers = context.registry.of_service(self.service)
         baseline_ms = context.baseline.median_ms
@@ -291,24 +298,24 @@
             server,
             request_id=context.request_id,
             payload=lambda at_ms: payload(server, at_ms),
-            on_end=self._ended,
+            on_end=self._on_exchange_end,
             rank=context.rank,
             created_at_ms=now_ms,
             expected_ms=context.baseline.late_ms,
             has_reply_body=context.has_reply_body,
-            may_break_off=context.is_idempotent,
+            may_fail_fast=context.is_idempotent,
         )
         self._tried.append(server)
         self._open.append(exchange)
-        self.sends += 1
+        self.attempts_sent += 1
         assert server.pool is not None
         server.pool.submit(exchange)
 
-    def _ended(self, exchange: Exchange) -> None:
-        """Take in the end of an exchange, also of an abandoned one."""
+    def _on_exchange_end(self, exchange: Exchange) -> None:
+        """Process the end of an exchange, abandoned or not."""
         server = exchange.server
         if server.pool is not None:
-            server.pool.forget(exchange)
+            server.pool.record_ended(exchange)
         if exchange in self._open:
             self._open.remove(exchange)
         if exchange.reply is not None:
@@ -333,15 +340,15 @@
         elif reply.has_unreadable_load:
             self._context.counters.add(CounterKind.SERVER_LOADS, "unreadable")
         if reply.not_run:
-            self._refunded += 1
-            self._again_at_ms = now_ms + _RESEND_PAUSE_MS
+            self._not_run_attempts += 1
+            self._retry_at_ms = now_ms + _RETRY_PAUSE_MS
             self.last_error = f"not_run_{reply.status}"
             self.retry_after_ms = reply.retry_after_ms
             server.record_refused(now_ms, reply.retry_after_ms)
             if reply.is_other_server:
-                # Another server has the address now: this one is gone, though
-                # the store may list it for a while yet.
-                server.is_gone = True
+                # Another server has the address now: this one is gone, although the
+                # store may still list it for some time.
+                server.is_removed = True
             return
         self._has_run = True
         if reply.is_success:
@@ -363,7 +370,7 @@
         if error.may_have_run:
             self._has_run = True
         elif error.kind is not ExchangeErrorKind.WITHDRAWN:
-            self._refunded += 1
+            self._not_run_attempts += 1
         if error.kind is ExchangeErrorKind.WITHDRAWN:
             return
         self.last_error = error.kind.value
--- a/ibisfront/http1/fields.py
+++ b/ibisfront/http1/fields.py
@@ -1,4 +1,4 @@
-"""The header fields of HTTP/1.1 that concern a connection or a message's length."""
+"""HTTP/1.1 header fields that concern a connection or a message's length."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     from ibisfront.gateway.messages import CallerReply, Header
 
 __all__ = [
-    "OF_ONE_CONNECTION",
+    "HOP_BY_HOP_FIELDS",
+    "connection_options",
     "encode_reply",
     "idle_timeout_ms",
-    "named_by_connection",
-    "number",
+    "parse_non_negative",
 ]
 
 _MILLISECONDS_PER_SECOND = 1000.0
 
-OF_ONE_CONNECTION = frozenset(
+HOP_BY_HOP_FIELDS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -35,7 +35,7 @@
         b"expect",
     )
 )
-"""Fields that are not passed on."""
+"""Fields that are not forwarded."""
 
 _REASONS = {
     200: b"OK",
@@ -53,7 +53,7 @@
 
 
 def encode_reply(reply: CallerReply, keeps_open: bool) -> bytes:
-    """Return the bytes of an answer to a caller."""
+    """Encode an answer to a caller."""
     reason = _REASONS.get(reply.status, b"Status")
     lines = [b"HTTP/1.1 %d %b" % (reply.status, reason)]
     lines += [name + b": " + value for name, value in reply.headers]
@@ -63,8 +63,8 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + reply.body
 
 
-def named_by_connection(headers: Sequence[Header]) -> frozenset[bytes]:
-    """Return the headers that a message says are of its connection only."""
+def connection_options(headers: Sequence[Header]) -> frozenset[bytes]:
+    """Return the names listed in the ``Connection`` header, in lower case."""
     names: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -73,20 +73,20 @@
 
 
 def idle_timeout_ms(value: bytes) -> float | None:
-    """Return how long ``Keep-Alive`` says that a connection may be idle."""
+    """Return the idle timeout given in a ``Keep-Alive`` header."""
     for item in value.split(b","):
         key, _, text = item.strip().partition(b"=")
         if key.lower() == b"timeout":
-            seconds = number(text)
+            seconds = parse_non_negative(text)
             return None if seconds is None else seconds * _MILLISECONDS_PER_SECOND
     return None
 
 
-def number(value: bytes) -> float | None:
-    """Return a time; None for text that is none.
+def parse_non_negative(value: bytes) -> float | None:
+    """Parse a finite, non-negative number; return None for other text.
 
-    "nan" and "inf" are numbers to Python; a deadline of that kind would never
-    come, and the request would be held for ever.
+    Python also parses "nan" and "inf"; such a deadline would never pass, and the
+    request would be held forever.
     """
     try:
         number = float(value)
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -1,4 +1,4 @@
-"""Tests of registering an instance and keeping up with the others."""
+"""Tests of registering an instance and polling the list of instances."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.gateway.instances.directory import InstanceEntry, keep_instances
+from ibisfront.gateway.instances.directory import InstanceEntry, sync_instances
 from ibisfront.gateway.state.store import StoreError, StoreErrorKind
 from ibisfront.tests import trio_test
 
@@ -16,11 +16,11 @@
 
 
 class FakeDirectory:
-    """The list of instances, without a store."""
+    """A directory of instances without a store."""
 
     def __init__(self, *entries):
         self.entries = list(entries)
-        self.is_away = False
+        self.is_unavailable = False
         self.writes = 0
         self.reads = 0
 
@@ -35,39 +35,39 @@
         return list(self.entries)
 
     def _check(self):
-        if self.is_away:
+        if self.is_unavailable:
             raise StoreError(StoreErrorKind.UNREACHABLE, "away")
 
 
-class KeepInstancesTest(unittest.TestCase):
-    """What an instance reads and writes."""
+class SyncInstancesTest(unittest.TestCase):
+    """Reads and writes of the list by an instance."""
 
     def setUp(self):
         self.listed = []
-        self.first_try_at_s = None
+        self.first_attempt_at_s = None
         self.is_needed = True
 
-    async def keep(self, directory, *, is_first_start=False):
-        await keep_instances(
+    async def sync(self, directory, *, is_first_start=False):
+        await sync_instances(
             directory,
             OWN,
             on_list=self.listed.append,
-            on_first_try=self.record_first_try,
+            on_first_attempt=self.record_first_attempt,
             is_needed=lambda: self.is_needed,
             is_first_start=is_first_start,
             clock=Clock(),
         )
 
-    def record_first_try(self):
-        self.first_try_at_s = trio.current_time() - self.started_s
+    def record_first_attempt(self):
+        self.first_attempt_at_s = trio.current_time() - self.started_s
 
     async def run_for(self, seconds, directory, **options):
         self.started_s = trio.current_time()
         with trio.move_on_after(seconds):
-            await self.keep(directory, **options)
+            await self.sync(directory, **options)
 
     @trio_test
-    async def test_first_start_lists_once_the_others_are_there(self):
+    async def test_first_start_reads_the_list_after_the_others_register(self):
         directory = FakeDirectory(OTHER)
         await self.run_for(0.9, directory, is_first_start=True)
         self.assertEqual((directory.writes, directory.reads), (1, 1))
@@ -78,7 +78,7 @@
         directory = FakeDirectory(OTHER, OWN)
         await self.run_for(20.0, directory)
         self.assertEqual(directory.writes, 0)
-        self.assertLess(self.first_try_at_s, 0.01)
+        self.assertLess(self.first_attempt_at_s, 0.01)
 
     @trio_test
     async def test_new_instance_registers_after_its_first_read(self):
@@ -88,22 +88,22 @@
         self.assertIn(OWN, self.listed[-1])
 
     @trio_test
-    async def test_store_that_is_away_does_not_hold_up_the_start(self):
-        """An instance serves nothing although the others know everything.
+    async def test_unavailable_store_does_not_delay_the_start(self):
+        """Guards against an instance that cannot serve until the store is available.
 
-        The store turns it away at its first start. It must go on to ask the
-        others, and register as soon as the store serves it.
+        The store rejects it at its first start. It must go on to get its state from
+        other instances, and register as soon as the store accepts requests.
         """
         directory = FakeDirectory(OTHER)
-        directory.is_away = True
+        directory.is_unavailable = True
         await self.run_for(5.0, directory, is_first_start=True)
-        self.assertLess(self.first_try_at_s, 1.0)
-        directory.is_away = False
+        self.assertLess(self.first_attempt_at_s, 1.0)
+        directory.is_unavailable = False
         await self.run_for(2.0, directory)
         self.assertEqual(directory.writes, 1)
 
     @trio_test
-    async def test_list_is_read_once_where_another_passes_it_on(self):
+    async def test_list_is_read_once_if_another_instance_forwards_it(self):
         self.is_needed = False
         directory = FakeDirectory(OTHER, OWN)
         await self.run_for(30.0, directory)
--- a/ibisfront/tests/test_platform_boundary.py
+++ b/ibisfront/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's wire names stay in their folder."""
+"""Tests that the platform's wire names occur only in its folder."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     r"|pathPrefix|timeoutMs|sloMs|minCoverage|topK|currentRev|allowStale"
     r"|waitMs|warmupLeftMs|maxConns|nodeName|peerPorts|retryAllowance|graceS"
 )
-MOST_LINES = 800
-INSIDE = {"platform", "tests", "testing"}
+MAX_LINES = 800
+EXEMPT_FOLDERS = {"platform", "tests", "testing"}
 
 
 class BoundaryTest(unittest.TestCase):
-    """What speaks to the users' platform is one small folder."""
+    """One small folder holds all code specific to the users' platform."""
 
-    def test_wire_names_stand_nowhere_else(self):
+    def test_wire_names_occur_only_in_the_platform_folder(self):
         for path in PACKAGE.rglob("*.py"):
-            if path.relative_to(PACKAGE).parts[0] in INSIDE:
+            if path.relative_to(PACKAGE).parts[0] in EXEMPT_FOLDERS:
                 continue
             with self.subTest(path=path.name):
                 self.assertIsNone(WIRE_NAMES.search(path.read_text()))
@@ -31,4 +31,4 @@
             len(path.read_text().splitlines())
             for path in (PACKAGE / "platform").glob("*.py")
         )
-        self.assertLess(lines, MOST_LINES)
+        self.assertLess(lines, MAX_LINES)
