--- a/ibisfront/shared_state.py
+++ b/ibisfront/shared_state.py
@@ -138,7 +138,7 @@
             keep_streams = partial(
                 self.peers.run,
                 self.membership,
-                greeted=self.heartbeats.handshake_completed,
+                on_handshake=self.heartbeats.handshake_completed,
             )
             await nursery.start(keep_streams)
             task_status.started()
