--- a/ibisfront/cli/table_edits.py
+++ b/ibisfront/cli/table_edits.py
@@ -18,7 +18,7 @@
 )
 from ibisfront.core.status import InstanceStatus, TierStatus
 from ibisfront.core.table import EditSummary, Table
-from ibisfront.core.table_changes import TableChange, apply_changes, undo_changes
+from ibisfront.core.table_changes import TableChange, apply_changes, undo_edits
 from ibisfront.core.table_edit import EditAccepted, TableProposal
 from ibisfront.core.types import Version
 
@@ -110,7 +110,7 @@
             f" read version {current.version} and edit again",
             ExitCode.CONFLICT,
         )
-    return undo_changes(current.table, since)
+    return undo_edits(current.table, since)
 
 
 def apply_edit(
--- a/ibisfront/core/__init__.py
+++ b/ibisfront/core/__init__.py
@@ -1,8 +1,8 @@
-"""The domain: the things that the tier is about, without the outside.
+"""Domain model of the query tier, independent of transport and storage.
 
-Each name is imported when it is first asked for. A process that starts needs few
-of them, and its callers wait meanwhile; 14 of the 26 modules that the front daemon
-imported were for the other interface only.
+Exported names are imported lazily to shorten start-up, during which callers wait:
+of the 26 modules that an eager import loads into the front daemon, 14 serve only
+the other interface.
 """
 
 from __future__ import annotations
@@ -134,7 +134,7 @@
     "part_logger": "logs",
     "read_settings": "settings",
 }
-"""The module of each exported name."""
+"""Submodule that defines each exported name."""
 
 
 def __getattr__(name: str) -> Any:
--- a/ibisfront/core/service_edit.py
+++ b/ibisfront/core/service_edit.py
@@ -9,7 +9,7 @@
 from ibisfront.core.errors import ErrorKind, IbisfrontError
 from ibisfront.core.objects import ObjectKind, WriteConflict
 from ibisfront.core.service import BackendServer, Service
-from ibisfront.core.table_edit import SETTLE_MS
+from ibisfront.core.table_edit import OUTCOME_TIMEOUT_MS
 from ibisfront.core.types import Version
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
     # there, the edit is done; otherwise it is written conditionally on the
     # version just read. A delayed write of an earlier round then conflicts.
     unknown = False
-    with clock.timeout_ms(SETTLE_MS):
+    with clock.timeout_ms(OUTCOME_TIMEOUT_MS):
         while True:
             try:
                 current = await _read(platform, service)
--- a/ibisfront/core/table.py
+++ b/ibisfront/core/table.py
@@ -1,4 +1,4 @@
-"""The table that operators edit: purposes, and a row per branch and purpose."""
+"""The table that operators edit: purposes, and one row per branch and purpose."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 ]
 
 TABLE_NAME = "main"
-"""The name of the one table object."""
+"""Name of the only object of kind ``TABLE``."""
 
 
 class Purpose(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One use of the tier, such as a name check at the desk.
+    """A use case of the tier, such as a name check at the desk.
 
     Attributes
     ----------
     name : str
-        Its name, unique in the table.
+        Name, unique in the table.
     kind : {"search", "perform"}
-        Whether it searches an index or runs non-idempotent work.
+        Whether requests search an index or run non-idempotent work.
     index : str, optional
-        The index that a search covers, service by service.
+        The index to search, across all of its services.
     service : str, optional
-        The service that runs non-idempotent work.
+        The service that runs the non-idempotent work.
     prefers : {"latency", "coverage"}
-        What a search gives up last when a service is slow.
+        What a search preserves longest when a service is slow.
     urgent : bool
-        Whether its requests go before the others of the same branch.
+        Whether its requests take priority over others of the same branch.
     """
 
     name: str
@@ -50,20 +50,20 @@
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one branch may use of one purpose.
+    """Limits of one branch for one purpose.
 
     Attributes
     ----------
     branch : str
-        The branch.
+        Name of the branch.
     purpose : str
-        The name of the purpose.
+        Name of the purpose.
     weight : float
-        Its share against the other rows when the tier is full; above zero.
+        Relative share of capacity when the tier is saturated; above zero.
     limit_per_s : float
-        Requests a second that it may start, over the tier as a whole.
+        Requests per second that may start across the whole tier.
     max_in_flight : int
-        Requests that it may have running, over the tier as a whole.
+        Concurrent requests allowed across the whole tier.
     """
 
     branch: str
@@ -74,60 +74,60 @@
 
 
 class RowChange(msgspec.Struct, frozen=True, tag="row", kw_only=True):
-    """One row before and after an edit; None where there is no such row."""
+    """A row before and after an edit; None on the side where it does not exist."""
 
     before: Row | None = None
     after: Row | None = None
 
     @property
     def branch(self) -> str:
-        """The branch of the row."""
+        """Name of the row's branch."""
         return self._row.branch
 
     @property
     def purpose(self) -> str:
-        """The purpose of the row."""
+        """Name of the row's purpose."""
         return self._row.purpose
 
     @property
     def _row(self) -> Row:
-        found = self.before if self.after is None else self.after
-        assert found is not None, "a change has a row before or after"
-        return found
+        present = self.before if self.after is None else self.after
+        assert present is not None, "a change has a row before or after"
+        return present
 
 
 class PurposeChange(msgspec.Struct, frozen=True, tag="purpose", kw_only=True):
-    """One purpose before and after an edit; None where there is none."""
+    """A purpose before and after an edit; None where it does not exist."""
 
     before: Purpose | None = None
     after: Purpose | None = None
 
     @property
     def name(self) -> str:
-        """The name of the purpose."""
-        found = self.before if self.after is None else self.after
-        assert found is not None, "a change has a purpose before or after"
-        return found.name
+        """Name of the purpose."""
+        present = self.before if self.after is None else self.after
+        assert present is not None, "a change has a purpose before or after"
+        return present.name
 
 
 class EditSummary(msgspec.Struct, frozen=True):
-    """One edit of the table, as its history keeps it.
+    """An edit of the table, as recorded in its history.
 
     Attributes
     ----------
     edit_id : str
-        The id of the edit.
+        Id of the edit.
     edited_by : str
-        The operator who made it.
+        The operator who made the edit.
     edited_wall_ms : float
-        When, in milliseconds since 1970.
+        Time of the edit, in milliseconds since the Unix epoch.
     base_version : int
         The version of the table that it replaced; 0 if it created the table.
-        As every write is conditional, one edit at most has a given base.
+        Writes are conditional, so at most one edit has a given base version.
     changes : tuple of RowChange or PurposeChange
-        What it changed.
+        The changes made.
     whole : bool
-        False if the changes were too many to keep here.
+        False if ``changes`` was too large and has been dropped.
     """
 
     edit_id: str
@@ -139,22 +139,24 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole table at one version.
+    """The complete table at one version.
 
     Attributes
     ----------
     purposes : tuple of Purpose
-        Every purpose.
+        All purposes.
     rows : tuple of Row
         At most one row per branch and purpose.
     edit_id : str
-        The id of the edit that made this version, to settle a lost answer.
+        Id of the edit that produced this version; identifies an accepted edit
+        whose response was lost.
     edited_by : str
         The operator who made the edit.
     edited_wall_ms : float
-        When, in milliseconds since 1970, by that operator's clock.
+        Time of the edit, in milliseconds since the Unix epoch, by the operator's
+        clock.
     history : tuple of EditSummary
-        The last edits, oldest first, the one that made this version included.
+        The latest edits, oldest first, including the one of this version.
     """
 
     purposes: tuple[Purpose, ...] = ()
@@ -165,11 +167,11 @@
     history: tuple[EditSummary, ...] = ()
 
     def purpose(self, name: str) -> Purpose | None:
-        """Return the purpose of a name, or None."""
+        """Return the purpose with the given name, or None."""
         return next((item for item in self.purposes if item.name == name), None)
 
     def row(self, branch: str, purpose: str) -> Row | None:
-        """Return the row of a branch and purpose, or None."""
+        """Return the row for a branch and purpose, or None."""
         matching = (
             item
             for item in self.rows
--- a/ibisfront/core/table_changes.py
+++ b/ibisfront/core/table_changes.py
@@ -1,4 +1,4 @@
-"""What an edit of the table changes, row by row and purpose by purpose."""
+"""Differences between versions of the table, by row and purpose."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "apply_changes",
     "changes_between",
     "changes_overlap",
-    "undo_changes",
+    "undo_edits",
 ]
 
 TableChange: TypeAlias = RowChange | PurposeChange
@@ -27,9 +27,9 @@
 
 
 def changes_between(old: Table, new: Table) -> tuple[TableChange, ...]:
-    """Return what turns one table into another, purposes first."""
-    purposes = _paired(old.purposes, new.purposes, lambda item: item.name)
-    rows = _paired(old.rows, new.rows, lambda item: (item.branch, item.purpose))
+    """Return the changes that turn one table into another, purposes first."""
+    purposes = _changed_pairs(old.purposes, new.purposes, lambda item: item.name)
+    rows = _changed_pairs(old.rows, new.rows, lambda item: (item.branch, item.purpose))
     return (
         *(PurposeChange(before=before, after=after) for before, after in purposes),
         *(RowChange(before=before, after=after) for before, after in rows),
@@ -37,23 +37,23 @@
 
 
 def apply_changes(table: Table, changes: Iterable[TableChange]) -> Table:
-    """Return a table with changes made, whatever stood there before."""
+    """Return a table with changes applied, regardless of their ``before`` values."""
     purposes = {item.name: item for item in table.purposes}
     rows = {(item.branch, item.purpose): item for item in table.rows}
     for change in changes:
         if isinstance(change, PurposeChange):
-            _put(purposes, change.name, change.after)
+            _set_or_remove(purposes, change.name, change.after)
         else:
-            _put(rows, (change.branch, change.purpose), change.after)
+            _set_or_remove(rows, (change.branch, change.purpose), change.after)
     return msgspec.structs.replace(
         table, purposes=tuple(purposes.values()), rows=tuple(rows.values())
     )
 
 
-def undo_changes(table: Table, edits: Sequence[EditSummary]) -> Table:
-    """Return the table as it stood before some edits, oldest first."""
+def undo_edits(table: Table, edits: Sequence[EditSummary]) -> Table:
+    """Return the table as it was before ``edits``, which are ordered oldest first."""
     for edit in reversed(edits):
-        table = apply_changes(table, (_reversed(change) for change in edit.changes))
+        table = apply_changes(table, (_inverted(change) for change in edit.changes))
     return table
 
 
@@ -63,27 +63,27 @@
     """Return whether two edits touch the same row or purpose.
 
     A change of a purpose touches every row of that purpose: one operator may
-    remove the purpose that the other gives a row.
+    remove a purpose while another adds a row for it.
     """
     second = tuple(second)
-    return any(_touches(mine, other) for mine in first for other in second)
+    return any(_overlap(change, other) for change in first for other in second)
 
 
-def _touches(mine: TableChange, other: TableChange) -> bool:
-    if isinstance(mine, RowChange) and isinstance(other, RowChange):
-        return (mine.branch, mine.purpose) == (other.branch, other.purpose)
-    return _purpose_of(mine) == _purpose_of(other)
+def _overlap(change: TableChange, other: TableChange) -> bool:
+    if isinstance(change, RowChange) and isinstance(other, RowChange):
+        return (change.branch, change.purpose) == (other.branch, other.purpose)
+    return _purpose_name(change) == _purpose_name(other)
 
 
-def _purpose_of(change: TableChange) -> str:
+def _purpose_name(change: TableChange) -> str:
     return change.name if isinstance(change, PurposeChange) else change.purpose
 
 
-def _reversed(change: TableChange) -> TableChange:
+def _inverted(change: TableChange) -> TableChange:
     return type(change)(before=change.after, after=change.before)  # type: ignore[arg-type]
 
 
-def _paired(
+def _changed_pairs(
     old: Iterable[_Item], new: Iterable[_Item], key: Callable[[_Item], Hashable]
 ) -> list[tuple[_Item | None, _Item | None]]:
     before = {key(item): item for item in old}
@@ -98,7 +98,7 @@
 _Key = TypeVar("_Key")
 
 
-def _put(items: dict[_Key, _Item], key: _Key, item: _Item | None) -> None:
+def _set_or_remove(items: dict[_Key, _Item], key: _Key, item: _Item | None) -> None:
     if item is None:
         items.pop(key, None)
     else:
--- a/ibisfront/core/table_check.py
+++ b/ibisfront/core/table_check.py
@@ -1,4 +1,4 @@
-"""Checking a table before it is written, and before it is put in force."""
+"""Validation of a table before it is written and before it takes effect."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 
 def table_problems(table: Table) -> list[str]:
-    """Return what is wrong with a table, a sentence each; empty if nothing."""
-    problems = [*_repeated("purpose", (item.name for item in table.purposes))]
-    problems += _repeated(
+    """Return the problems of a table, one sentence each; empty if it is valid."""
+    problems = [*_duplicates("purpose", (item.name for item in table.purposes))]
+    problems += _duplicates(
         "row", (f"{item.branch}/{item.purpose}" for item in table.rows)
     )
     for purpose in table.purposes:
         problems += _purpose_problems(purpose)
-    known = {purpose.name for purpose in table.purposes}
+    purpose_names = {purpose.name for purpose in table.purposes}
     for row in table.rows:
-        problems += _row_problems(row, known)
+        problems += _row_problems(row, purpose_names)
     return problems
 
 
-def _repeated(what: str, names: Iterable[str]) -> list[str]:
+def _duplicates(what: str, names: Iterable[str]) -> list[str]:
     seen = set()
-    repeated = []
+    duplicates = []
     for name in names:
         if name in seen:
-            repeated.append(f"{what} {name} stands twice: keep one.")
+            duplicates.append(f"{what} {name} is defined twice: remove one.")
         seen.add(name)
-    return repeated
+    return duplicates
 
 
 def _purpose_problems(purpose: Purpose) -> list[str]:
     name = purpose.name
     problems = []
     if not name:
-        problems.append("a purpose has no name: give it one.")
+        problems.append("a purpose has no name: set one.")
     if purpose.kind == "search" and not purpose.index:
-        problems.append(f"purpose {name} searches nothing: name its index.")
+        problems.append(f"purpose {name} has no index: set one.")
     if purpose.kind == "perform" and not purpose.service:
-        problems.append(f"purpose {name} runs nowhere: name its service.")
+        problems.append(f"purpose {name} has no service: set one.")
     return problems
 
 
@@ -53,9 +53,9 @@
     name = f"row {row.branch}/{row.purpose}"
     problems = []
     if not row.branch:
-        problems.append(f"{name} has no branch: name it.")
+        problems.append(f"{name} has no branch: set one.")
     if row.purpose not in purposes:
-        problems.append(f"{name} names no purpose of the table: create it first.")
+        problems.append(f"{name} refers to an unknown purpose: create it first.")
     if not (row.weight > 0 and math.isfinite(row.weight)):
         problems.append(f"{name} has weight {row.weight:g}: it must be above 0.")
     if not (row.limit_per_s > 0 and math.isfinite(row.limit_per_s)):
--- a/ibisfront/core/table_edit.py
+++ b/ibisfront/core/table_edit.py
@@ -1,4 +1,4 @@
-"""Editing the table: conditional, settled when the answer is lost."""
+"""Conditional edits of the table, with recovery from lost responses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     TableChange,
     changes_between,
     changes_overlap,
-    undo_changes,
+    undo_edits,
 )
 from ibisfront.core.table_check import table_problems
 from ibisfront.core.types import Version
@@ -24,40 +24,40 @@
 
 __all__ = [
     "EditAccepted",
-    "EditedTable",
     "TableConflict",
     "TableConflictError",
     "TableProposal",
+    "VersionedTable",
     "bounded_history",
     "edit_table",
     "read_table",
 ]
 
-HISTORY_EDITS = 50
-"""How many edits the history keeps at most."""
+MAX_HISTORY_EDITS = 50
+"""Maximum number of edits in the history."""
 
-HISTORY_BYTES = 65_536
-"""How large the history may grow, as JSON."""
+MAX_HISTORY_BYTES = 65_536
+"""Maximum size of the history, encoded as JSON."""
 
-SETTLE_MS = 10_000.0
-"""How long an edit tries to settle a lost answer."""
+OUTCOME_TIMEOUT_MS = 10_000.0
+"""How long an edit tries to determine the outcome of its write."""
 
-_RETRY_MS = 100.0
-_STALE_READS = 20
-_VALUE_BYTES = 1_000_000
+_RETRY_INTERVAL_MS = 100.0
+_MAX_STALE_READS = 20
+_MAX_VALUE_BYTES = 1_000_000
 
 
 class TableProposal(msgspec.Struct, frozen=True, kw_only=True):
-    """One edit as an operator hands it in.
+    """An edit as submitted by an operator.
 
     Attributes
     ----------
     table : Table
-        The purposes and rows as they shall be; its other fields are ignored.
+        The new purposes and rows; other fields are ignored.
     base_version : int
-        The version of the table that the operator saw; 0 if there was none.
+        The version of the table that was edited; 0 if there was none.
     edit_id : str
-        Chosen by the tool, unique; the same edit sent again has the same id.
+        Unique id chosen by the tool; a retry of the same edit reuses it.
     edited_by : str
         The operator.
     """
@@ -69,16 +69,16 @@
 
 
 class EditAccepted(msgspec.Struct, frozen=True):
-    """An edit that is known to be in the platform.
+    """An edit that the platform has stored.
 
     Attributes
     ----------
     edit_id : str
-        The edit.
+        Id of the edit.
     version : int
-        The version that it made; a later one if others edited since.
+        The version that the edit produced.
     changes : tuple of RowChange or PurposeChange
-        What it changed.
+        The changes made.
     """
 
     edit_id: str
@@ -87,20 +87,20 @@
 
 
 class TableConflict(msgspec.Struct, frozen=True):
-    """Two edits made on one version of the table.
+    """Two edits of the same version of the table.
 
     Attributes
     ----------
     base_version, current_version : int
-        The version that the refused edit was made on, and the one in place.
+        The version that the rejected edit was based on, and the current one.
     yours : tuple of RowChange or PurposeChange or None
-        What the refused edit would have changed; None if it cannot be told,
-        because the history no longer reaches back to its base.
+        The changes of the rejected edit; None if the history no longer reaches
+        back to its base version.
     theirs : tuple of EditSummary
-        The edits made since, oldest first, as far as the history reaches.
+        The edits since then that the history still holds, oldest first.
     overlaps : bool
-        Whether they touch the same row or purpose. If not, the refused edit
-        can be made again on the current version.
+        Whether they touch the same row or purpose. If not, the rejected edit
+        can be reapplied to the current version.
     """
 
     base_version: Version
@@ -111,64 +111,65 @@
 
 
 class TableConflictError(IbisfrontError):
-    """A ``table_conflict`` with both edits; nothing was written.
+    """A ``table_conflict`` error with both edits; nothing was written.
 
     Parameters
     ----------
     conflict : TableConflict
-        Both edits.
+        The conflicting edits.
     """
 
     def __init__(self, conflict: TableConflict) -> None:
         names = ", ".join(edit.edited_by for edit in conflict.theirs) or "unknown"
         advice = (
-            "they touch the same rows: read the table and edit again"
+            "they change the same rows: read the table and edit again"
             if conflict.overlaps
-            else "they touch other rows: the edit can be made again on that version"
+            else "they change other rows: the edit can be reapplied to that version"
         )
         super().__init__(
             ErrorKind.TABLE_CONFLICT,
-            f"the table is at version {conflict.current_version}, the edit was made "
+            f"the table is at version {conflict.current_version}, the edit is based "
             f"on {conflict.base_version}; edited since by {names}; {advice}",
         )
         self.conflict = conflict
 
 
-class EditedTable(msgspec.Struct, frozen=True):
-    """The table as the platform has it.
+class VersionedTable(msgspec.Struct, frozen=True):
+    """The table as stored in the platform.
 
     Attributes
     ----------
     version : int
-        Its version; 0 if there is none yet.
+        Version of the table; 0 if there is none yet.
     table : Table
-        Its value; empty if there is none yet.
+        The table; empty if there is none yet.
     """
 
     version: Version
     table: Table
 
 
-async def read_table(platform: ConditionalPlatform) -> EditedTable:
-    """Return the table as the platform has it now.
+async def read_table(platform: ConditionalPlatform) -> VersionedTable:
+    """Return the table currently stored in the platform.
 
     Raises
     ------
     IbisfrontError
-        ``platform_unavailable``, or ``internal`` if the value is no table.
+        ``platform_unavailable``, or ``internal`` if the value is not a
+        valid table.
     """
     found = await platform.get(ObjectKind.TABLE, TABLE_NAME)
     if found is None or found.value_json is None:
-        return EditedTable(0, Table())
+        return VersionedTable(0, Table())
     try:
         table = msgspec.json.decode(found.value_json, type=Table)
     except msgspec.MsgspecError as error:
         raise IbisfrontError(
             ErrorKind.INTERNAL,
-            f"version {found.version} in the platform is no table: {error}",
+            f"version {found.version} in the platform is not a valid table: {error}",
             ran=Ran.NO,
         ) from error
-    return EditedTable(found.version, table)
+    return VersionedTable(found.version, table)
 
 
 async def edit_table(
@@ -176,36 +177,37 @@
     proposal: TableProposal,
     *,
     clock: Clock,
-    settle_ms: float = SETTLE_MS,
+    outcome_timeout_ms: float = OUTCOME_TIMEOUT_MS,
 ) -> EditAccepted:
-    """Make an edit, and return once it is known to be in the platform.
+    """Apply an edit and return once the platform has stored it.
 
-    The edit is one conditional write on the version that it was made on, so
-    that it takes effect at most once however often it is sent.
+    The edit is a conditional write on its base version, so it takes effect at
+    most once no matter how often it is sent.
 
     Raises
     ------
     TableConflictError
-        Another edit was made on the same version; this one was not made.
+        Another edit has replaced the base version; nothing was written.
     IbisfrontError
-        ``bad_request`` if the table is wrong; ``platform_unavailable`` if
+        ``bad_request`` if the table is invalid; ``platform_unavailable`` if
         nothing was written; ``write_unknown`` if the outcome could not be
-        settled in ``settle_ms``: send the same edit id and base again.
+        determined within ``outcome_timeout_ms``: retry with the same edit id
+        and base version.
     """
     _check(proposal)
     current = await _read_at_least(platform, proposal.base_version, clock)
-    accepted = _accepted(proposal, current)
+    accepted = _find_accepted(proposal, current)
     if accepted is not None:
         return accepted
     if current.version != proposal.base_version:
         raise _conflict(proposal, current)
     table = _next_table(current.table, proposal, clock.wall_ms())
     value_json = msgspec.json.encode(table)
-    if len(value_json) > _VALUE_BYTES:
+    if len(value_json) > _MAX_VALUE_BYTES:
         raise IbisfrontError(
-            ErrorKind.BAD_REQUEST, f"the table is over {_VALUE_BYTES} bytes"
+            ErrorKind.BAD_REQUEST, f"the table is over {_MAX_VALUE_BYTES} bytes"
         )
-    return await _write(platform, proposal, table, clock, settle_ms)
+    return await _write(platform, proposal, table, clock, outcome_timeout_ms)
 
 
 def _check(proposal: TableProposal) -> None:
@@ -218,18 +220,18 @@
 
 async def _read_at_least(
     platform: ConditionalPlatform, version: Version, clock: Clock
-) -> EditedTable:
-    # A stale read shows an older version than the operator has seen already.
-    # Taken for the newest, it would turn into a false conflict.
-    for _ in range(_STALE_READS):
+) -> VersionedTable:
+    # A stale read may return a version older than the one the operator edited,
+    # which would be reported as a false conflict.
+    for _ in range(_MAX_STALE_READS):
         current = await read_table(platform)
         if current.version >= version:
             return current
-        await clock.sleep_ms(_RETRY_MS)
+        await clock.sleep_ms(_RETRY_INTERVAL_MS)
     raise IbisfrontError(
         ErrorKind.PLATFORM_UNAVAILABLE,
-        f"the platform shows version {current.version} of the table, older than "
-        f"{version}, on which the edit was made",
+        f"the platform returned version {current.version} of the table, older than "
+        f"{version}, on which the edit is based",
     )
 
 
@@ -250,15 +252,15 @@
 
 
 def bounded_history(edits: tuple[EditSummary, ...]) -> tuple[EditSummary, ...]:
-    """Return the newest edits that fit the bounds, the newest one always."""
+    """Return the newest edits within the bounds; the newest is always included."""
     newest = edits[-1]
-    if len(msgspec.json.encode(newest)) > HISTORY_BYTES // 2:
+    if len(msgspec.json.encode(newest)) > MAX_HISTORY_BYTES // 2:
         newest = msgspec.structs.replace(newest, changes=(), whole=False)
     kept = [newest]
     size_bytes = len(msgspec.json.encode(newest))
-    for edit in reversed(edits[:-1][-(HISTORY_EDITS - 1) :]):
+    for edit in reversed(edits[:-1][-(MAX_HISTORY_EDITS - 1) :]):
         size_bytes += len(msgspec.json.encode(edit))
-        if size_bytes > HISTORY_BYTES:
+        if size_bytes > MAX_HISTORY_BYTES:
             break
         kept.append(edit)
     return tuple(reversed(kept))
@@ -269,64 +271,65 @@
     proposal: TableProposal,
     table: Table,
     clock: Clock,
-    settle_ms: float,
+    outcome_timeout_ms: float,
 ) -> EditAccepted:
-    # The answer of a write can be lost, and the write may land later still.
-    # Reading the old version back proves nothing then. The same conditional
-    # write is sent again instead: if it is accepted, the earlier one can no
-    # longer be, as the version that both replace is gone; if it is refused,
-    # some write has replaced that version for good, and the history says
-    # which one it was.
+    # The response to a write can be lost while the write is still delayed in
+    # the network, so reading back the old version proves nothing. Instead the
+    # same conditional write is retried: if it succeeds, the earlier one can no
+    # longer take effect, as its base version is replaced; if it conflicts, some
+    # write has replaced that version, and the history shows which one.
     value_json = msgspec.json.encode(table)
     if_version = proposal.base_version or None
     unknown = False
-    with clock.timeout_ms(settle_ms):
+    with clock.timeout_ms(outcome_timeout_ms):
         while True:
             try:
                 version = await platform.put(
                     ObjectKind.TABLE, TABLE_NAME, value_json, if_version=if_version
                 )
             except WriteConflict:
-                current = await _read_past(platform, proposal.base_version, clock)
-                return _settled(proposal, current, unknown=unknown)
+                current = await _read_newer_than(platform, proposal.base_version, clock)
+                return _resolve_conflict(proposal, current, unknown=unknown)
             except IbisfrontError:
                 unknown = True
-                await clock.sleep_ms(_RETRY_MS)
+                await clock.sleep_ms(_RETRY_INTERVAL_MS)
             else:
                 changes = table.history[-1].changes
                 return EditAccepted(proposal.edit_id, version, changes)
-    raise _unsettled(proposal)
+    raise _unknown_outcome(proposal)
 
 
-async def _read_past(
+async def _read_newer_than(
     platform: ConditionalPlatform, version: Version, clock: Clock
-) -> EditedTable:
+) -> VersionedTable:
     while True:
         try:
             current = await read_table(platform)
         except IbisfrontError:
-            await clock.sleep_ms(_RETRY_MS)
+            await clock.sleep_ms(_RETRY_INTERVAL_MS)
             continue
         if current.version > version:
             return current
-        await clock.sleep_ms(_RETRY_MS)
+        await clock.sleep_ms(_RETRY_INTERVAL_MS)
 
 
-def _settled(
-    proposal: TableProposal, current: EditedTable, *, unknown: bool
+def _resolve_conflict(
+    proposal: TableProposal, current: VersionedTable, *, unknown: bool
 ) -> EditAccepted:
-    accepted = _accepted(proposal, current)
+    accepted = _find_accepted(proposal, current)
     if accepted is not None:
         return accepted
     replaced = any(
         edit.base_version == proposal.base_version for edit in current.table.history
     )
     if unknown and not replaced:
-        raise _unsettled(proposal)
+        raise _unknown_outcome(proposal)
     raise _conflict(proposal, current)
 
 
-def _accepted(proposal: TableProposal, current: EditedTable) -> EditAccepted | None:
+def _find_accepted(
+    proposal: TableProposal, current: VersionedTable
+) -> EditAccepted | None:
     history = current.table.history
     for position, edit in enumerate(history):
         if edit.edit_id == proposal.edit_id:
@@ -336,19 +339,19 @@
     return None
 
 
-def _conflict(proposal: TableProposal, current: EditedTable) -> TableConflictError:
+def _conflict(proposal: TableProposal, current: VersionedTable) -> TableConflictError:
     history = current.table.history
     theirs = tuple(
         edit for edit in history if edit.base_version >= proposal.base_version
     )
-    traced = (
+    has_full_history = (
         bool(theirs)
         and theirs[0].base_version == proposal.base_version
         and all(edit.whole for edit in theirs)
     )
     yours = None
-    if traced:
-        base = undo_changes(current.table, theirs)
+    if has_full_history:
+        base = undo_edits(current.table, theirs)
         yours = changes_between(base, proposal.table)
     overlaps = yours is None or any(
         changes_overlap(yours, edit.changes) for edit in theirs
@@ -364,9 +367,9 @@
     )
 
 
-def _unsettled(proposal: TableProposal) -> IbisfrontError:
+def _unknown_outcome(proposal: TableProposal) -> IbisfrontError:
     return IbisfrontError(
         ErrorKind.WRITE_UNKNOWN,
-        f"edit {proposal.edit_id} may or may not take effect: send it again with "
+        f"edit {proposal.edit_id} may or may not take effect: retry it with "
         f"the same id and base version {proposal.base_version}",
     )
--- a/properties/test_spread_properties.py
+++ b/properties/test_spread_properties.py
@@ -393,7 +393,7 @@
         async def run() -> EditAccepted:
             await read_table(self.platform)
             return await edit_table(
-                self.platform, proposal, clock=Clock(), settle_ms=250.0
+                self.platform, proposal, clock=Clock(), outcome_timeout_ms=250.0
             )
 
         return trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0.0))
