--- a/ibisfront/core/settings.py
+++ b/ibisfront/core/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one process: what may be set, the ranges and the defaults.
+"""Settings of one process, with their ranges and defaults.
 
-Each setting says what it is for, and each number its range. The checks, the
-page for operators and ``ibisfront check-settings`` are made from that.
+Each setting has a description, and each number a range. Validation, the
+operators' reference page and ``ibisfront check-settings`` are derived from them.
 """
 
 from __future__ import annotations
@@ -49,44 +49,44 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who this instance is."""
+    """Identity of this instance."""
 
-    name: Annotated[_Name, Meta(description="Its name, unique over all instances.")]
-    zone: Annotated[_Name, Meta(description="Its availability zone.")]
+    name: Annotated[_Name, Meta(description="Name, unique among all instances.")]
+    zone: Annotated[_Name, Meta(description="Availability zone.")]
     outgoing_ip: Annotated[
         str | None,
         Meta(
             extra=OWN_IP,
-            description="The IP number that its own connections come from; the"
-            " system picks one if it is left out.",
+            description="Source IP address of outgoing connections; the system"
+            " chooses one if it is not set.",
         ),
     ] = None
 
 
 class CallerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The listener for callers."""
+    """Listener for callers."""
 
     address: Annotated[
-        str, Meta(extra=OWN_ADDRESS, description="Where callers reach it.")
+        str, Meta(extra=OWN_ADDRESS, description="Listen address for callers.")
     ]
     maximum_body_bytes: Annotated[
         int,
-        Meta(ge=1, le=16_777_216, description="A longer request body is refused."),
+        Meta(ge=1, le=16_777_216, description="Maximum size of a request body."),
     ] = 65_536
     default_deadline_ms: Annotated[
         int,
-        Meta(ge=1, le=600_000, description="For a request without `X-Deadline-Ms`."),
+        Meta(ge=1, le=600_000, description="Deadline without `X-Deadline-Ms`."),
     ] = 2_000
     maximum_deadline_ms: Annotated[
-        int, Meta(ge=1, le=600_000, description="A longer deadline counts as this.")
+        int, Meta(ge=1, le=600_000, description="Longer deadlines are reduced to it.")
     ] = 30_000
 
 
 class AdminSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The listener for operators."""
+    """Listener for operators."""
 
     address: Annotated[
-        str, Meta(extra=OWN_ADDRESS, description="Where operators reach it.")
+        str, Meta(extra=OWN_ADDRESS, description="Listen address for operators.")
     ]
     token: Annotated[
         str,
@@ -94,56 +94,56 @@
             min_length=16,
             max_length=512,
             extra=SECRET_TEXT,
-            description="The bearer token that each request of an operator carries.",
+            description="Bearer token required in every operator request.",
         ),
     ]
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The listener for the other instances."""
+    """Listener for other instances."""
 
     address: Annotated[
-        str, Meta(extra=OWN_ADDRESS, description="Where the other instances reach it.")
+        str, Meta(extra=OWN_ADDRESS, description="Listen address for other instances.")
     ]
     seeds: Annotated[
         tuple[_RemoteAddress, ...],
-        Meta(description="Peer addresses to try first, before any list is known."),
+        Meta(description="Peer addresses used until the list of members is known."),
     ] = ()
     advertised_address: Annotated[
         str | None,
         Meta(
             extra=REMOTE_ADDRESS,
-            description="Where the others reach the listener, if that is not the"
-            " address that it listens on.",
+            description="Address at which other instances reach the listener, if it"
+            " differs from the listen address.",
         ),
     ] = None
 
     @property
-    def reached_at(self) -> Address:
-        """Where the other instances reach the listener."""
+    def effective_address(self) -> Address:
+        """Address at which other instances reach the listener."""
         return self.advertised_address or self.address
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform's object API."""
+    """Connection to the platform's object API."""
 
     address: Annotated[
-        str, Meta(extra=REMOTE_ADDRESS, description="Where the object API is.")
+        str, Meta(extra=REMOTE_ADDRESS, description="Address of the object API.")
     ]
     watch_wait_ms: Annotated[
-        int, Meta(ge=100, le=300_000, description="How long one watch waits.")
+        int, Meta(ge=100, le=300_000, description="Duration of one watch request.")
     ] = 20_000
 
 
 class StopSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a planned stop goes."""
+    """Timing of a planned stop."""
 
     balancer_lag_ms: Annotated[
         int,
         Meta(
             ge=0,
             le=60_000,
-            description="How long the balancer may go on sending callers to an"
+            description="How long the load balancer may still send requests to an"
             " instance that is no longer ready.",
         ),
     ] = 3_000
@@ -152,17 +152,17 @@
         Meta(
             ge=0,
             le=700_000,
-            description="How long requests in flight may run on after that. Below"
-            " `callers.maximum_deadline_ms`, a planned stop can cut off requests.",
+            description="How long requests in flight may still run after that. Below"
+            " `callers.maximum_deadline_ms`, a planned stop can abort requests.",
         ),
     ] = 31_000
 
 
 class ShareSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the table's limits are shared over the instances.
+    """Distribution of the table's limits among the instances.
 
-    The lease itself is no setting: instances with different ones would let
-    each other's shares run twice.
+    The lease duration is not configurable: if it differed between instances, a
+    share could be in use at two instances at the same time.
     """
 
     join_ms: Annotated[
@@ -170,24 +170,24 @@
         Meta(
             ge=0,
             le=60_000,
-            description="How long a new process is not ready and uses only what"
-            " others grant it; below two leases (2,000), a restart under load can"
-            " go over a limit for a moment.",
+            description="How long a new process is not ready and uses only shares"
+            " granted by others; below two leases (2,000), a restart under load can"
+            " briefly exceed a limit.",
         ),
     ] = 2_000
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The log, written to standard error."""
+    """Log, written to standard error."""
 
     level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        Meta(description="The least severe lines written; `debug` has each request."),
+        Meta(description="Lowest severity logged; `debug` includes each request."),
     ] = "info"
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything that a settings file says."""
+    """Contents of a settings file."""
 
     instance: InstanceSettings
     callers: CallerSettings
@@ -202,14 +202,14 @@
 
 
 class SettingsError(IbisfrontError):
-    """Settings that cannot be used, with every fault in them.
+    """Invalid settings, with all of their faults.
 
     Parameters
     ----------
     source : str
-        Where the settings came from.
+        Origin of the settings, such as a file name.
     faults : tuple of SettingsFault
-        All of them, in the order of the settings.
+        All faults, in the order of the settings.
     """
 
     def __init__(self, source: str, faults: tuple[SettingsFault, ...]) -> None:
@@ -220,20 +220,19 @@
 
 
 def check_settings(text: str, *, source: str = "the settings") -> Settings:
-    """Return the settings that a TOML text says.
+    """Parse and validate settings given as TOML.
 
     Parameters
     ----------
     text : str
         The TOML text.
     source : str, optional
-        Where it came from, for the error.
+        Origin of the text, for error messages.
 
     Raises
     ------
     SettingsError
-        ``bad_settings``, with all faults at once; each names the value and
-        the cure.
+        ``bad_settings`` with all faults; each states the value and the cure.
     """
     parsed = parse_toml(text)
     if isinstance(parsed, SettingsFault):
@@ -249,18 +248,18 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     SettingsError
-        ``bad_settings``, with all faults at once.
+        ``bad_settings`` with all faults.
     """
     try:
         text = path.read_bytes().decode()
     except OSError as error:
         fault = SettingsFault(
-            "", f"cannot be read ({error.strerror})", "name a file that can be read"
+            "", f"cannot be read ({error.strerror})", "choose a readable file"
         )
         raise SettingsError(str(path), (fault,)) from error
     except UnicodeDecodeError as error:
--- a/ibisfront/core/settings_check.py
+++ b/ibisfront/core/settings_check.py
@@ -1,8 +1,7 @@
-"""Finding all faults of a settings file at once.
+"""Validation of a settings file that reports all faults at once.
 
 ``msgspec`` stops at the first fault of a document, so each value is checked
-by itself here and the faults are gathered, so that an operator mends a file in
-one go.
+separately here; operators can then fix all faults in one pass.
 """
 
 from __future__ import annotations
@@ -36,23 +35,23 @@
 
 _CHECK = "check"
 OWN_ADDRESS = {_CHECK: "own address"}
-"""Marks a setting as an address that this process listens on."""
+"""Marks a setting as a listen address of this process."""
 
 OWN_IP = {_CHECK: "own IP"}
-"""Marks a setting as an IP number of this machine."""
+"""Marks a setting as an IP address of this host."""
 
 REMOTE_ADDRESS = {_CHECK: "remote address"}
 """Marks a setting as the address of another process."""
 
 VISIBLE_TEXT = {_CHECK: "visible text"}
-"""Marks a setting as ASCII text without spaces, fit for a header."""
+"""Marks a setting as printable ASCII without spaces, valid in a header."""
 
 SECRET_TEXT = {_CHECK: "secret text"}
-"""Marks visible text that is never shown, also not in a fault."""
+"""Marks visible text that must not appear in output, including faults."""
 
 _TEXT_CHECKS = (VISIBLE_TEXT[_CHECK], SECRET_TEXT[_CHECK])
 _ADDRESS_CHECKS = (OWN_ADDRESS[_CHECK], REMOTE_ADDRESS[_CHECK])
-_IP_EXAMPLE = 'write an IP number, such as "10.0.0.7"'
+_IP_EXAMPLE = 'write an IP address, such as "10.0.0.7"'
 _ADDRESS_EXAMPLE = 'write IP:PORT, such as "10.0.0.7:7000"'
 _ADDRESS_PATTERN = re.compile(r"(?P<ip>[0-9.]+):(?P<port>[0-9]{1,5})")
 _MAXIMUM_PORT = 65_535
@@ -60,16 +59,16 @@
 
 
 class SettingsFault(msgspec.Struct, frozen=True):
-    """One fault of a settings file.
+    """A fault in a settings file.
 
     Attributes
     ----------
     key : str
-        The dotted key; empty for the file as a whole.
+        Dotted key of the setting; empty for the file as a whole.
     problem : str
-        What is wrong, with the value.
+        Description of the problem, with the value.
     cure : str
-        What to write in its place.
+        How to fix it.
     """
 
     key: str
@@ -83,22 +82,24 @@
 
 
 class Leaf(msgspec.Struct, frozen=True):
-    """One setting that holds a value, with its dotted key."""
+    """A setting that is not a table, with its dotted key."""
 
     key: str
     field: inspect.Field
 
 
 def parse_toml(text: str) -> TomlTable | SettingsFault:
-    """Return the table that a TOML text holds, or what is wrong with the text."""
+    """Parse a TOML text; return a fault if it is not valid TOML."""
     try:
         return tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        return SettingsFault("", f"is not TOML ({error})", "mend the line named")
+        return SettingsFault(
+            "", f"is not valid TOML ({error})", "fix the indicated line"
+        )
 
 
 def find_leaves(struct_type: type[msgspec.Struct], prefix: str = "") -> list[Leaf]:
-    """Return every setting of a struct and the structs in it, in order."""
+    """Return all settings of a struct and its nested structs, in order."""
     leaves = []
     for field in _fields(struct_type):
         key = prefix + field.encode_name
@@ -112,37 +113,39 @@
 def check_struct(
     values: TomlTable, struct_type: type[msgspec.Struct], prefix: str = ""
 ) -> list[SettingsFault]:
-    """Return every fault of the values of a struct.
+    """Validate the values of a struct and return all faults.
 
     Parameters
     ----------
     values : mapping
-        What the file says.
+        Values from the file.
     struct_type : type
-        The struct that the values must fit.
+        The struct that defines the settings.
     prefix : str, optional
-        The dotted key of the struct, with a closing dot.
+        Dotted key of the struct, with a trailing dot.
     """
     fields = {field.encode_name: field for field in _fields(struct_type)}
-    faults = [_unknown(prefix, key, fields) for key in values if key not in fields]
+    faults = [
+        _unknown_setting(prefix, key, fields) for key in values if key not in fields
+    ]
     for key, field in fields.items():
         if key in values:
             faults += _check_field(values[key], field, prefix + key)
         elif field.required:
-            faults += _missing(field, prefix + key)
+            faults += _missing_setting(field, prefix + key)
     return faults
 
 
 def check_distinct_addresses(
     values: TomlTable, struct_type: type[msgspec.Struct]
 ) -> list[SettingsFault]:
-    """Return a fault for each address that an earlier setting uses already.
+    """Return a fault for each address that an earlier setting already uses.
 
-    Two listeners cannot share an address, and the platform cannot be at one
-    of ours.
+    Two listeners cannot share an address, and the platform cannot have the
+    address of a listener.
     """
     faults = []
-    first_key: dict[str, str] = {}
+    key_by_address: dict[str, str] = {}
     for leaf in find_leaves(struct_type):
         address = _value_at(values, leaf.key)
         is_address = _check_name(leaf.field.type) in _ADDRESS_CHECKS
@@ -150,77 +153,85 @@
             continue
         if address_problem(address) is not None:
             continue
-        if address in first_key:
-            problem = f"is {_shown(address)}, as is {first_key[address]}"
+        if address in key_by_address:
+            problem = f"is {_format_value(address)}, as is {key_by_address[address]}"
             faults.append(
-                SettingsFault(leaf.key, problem, "give each its own address and port")
+                SettingsFault(leaf.key, problem, "use a different address or port")
             )
-        first_key.setdefault(address, leaf.key)
+        key_by_address.setdefault(address, leaf.key)
     return faults
 
 
-def describe_type(described: inspect.Type) -> str:
-    """Return what a setting takes, as a phrase."""
-    match described:
+def describe_type(setting_type: inspect.Type) -> str:
+    """Return a phrase that describes the values a setting accepts."""
+    match setting_type:
         case inspect.Metadata():
-            return _described_metadata(described)
+            return _describe_metadata(setting_type)
         case inspect.IntType():
-            return f"a whole number{_described_range(described)}"
+            return f"an integer{_describe_range(setting_type)}"
         case inspect.FloatType():
-            return f"a number{_described_range(described)}"
+            return f"a number{_describe_range(setting_type)}"
         case inspect.BoolType():
             return "true or false"
         case inspect.StrType():
-            return f"a text{_described_length(described)}"
+            return f"a string{_describe_length(setting_type)}"
         case inspect.LiteralType():
-            return " or ".join(f'"{value}"' for value in described.values)
+            return " or ".join(f'"{value}"' for value in setting_type.values)
         case inspect.VarTupleType() | inspect.ListType():
-            return f"a list, each entry {describe_type(described.item_type)}"
+            return f"a list, each item {describe_type(setting_type.item_type)}"
     return "a value of another type"
 
 
 def _fields(struct_type: type[msgspec.Struct]) -> tuple[inspect.Field, ...]:
-    described = inspect.type_info(struct_type)
-    assert isinstance(described, inspect.StructType)
-    return described.fields
+    setting_type = inspect.type_info(struct_type)
+    assert isinstance(setting_type, inspect.StructType)
+    return setting_type.fields
 
 
 def _check_field(value: Any, field: inspect.Field, key: str) -> list[SettingsFault]:
     if not isinstance(field.type, inspect.StructType):
         return _check_value(value, field.type, key)
     if not isinstance(value, Mapping):
-        return [SettingsFault(key, f"is {_shown(value)}", f"write a table [{key}]")]
+        return [
+            SettingsFault(key, f"is {_format_value(value)}", f"write a table [{key}]")
+        ]
     return check_struct(value, field.type.cls, f"{key}.")
 
 
-def _check_value(value: Any, described: inspect.Type, key: str) -> list[SettingsFault]:
-    plain = _plain(described)
-    if isinstance(plain, inspect.VarTupleType) and isinstance(value, list):
+def _check_value(
+    value: Any, setting_type: inspect.Type, key: str
+) -> list[SettingsFault]:
+    base_type = _base_type(setting_type)
+    if isinstance(base_type, inspect.VarTupleType) and isinstance(value, list):
         faults = []
         for number, item in enumerate(value):
-            faults += _check_value(item, plain.item_type, f"{key}[{number}]")
+            faults += _check_value(item, base_type.item_type, f"{key}[{number}]")
         return faults
-    check = _check_name(described)
-    shown = "is not fit" if check == SECRET_TEXT[_CHECK] else f"is {_shown(value)}"
-    if not _fits(value, plain):
-        return [SettingsFault(key, shown, f"write {describe_type(described)}")]
+    check = _check_name(setting_type)
+    problem = (
+        "is invalid" if check == SECRET_TEXT[_CHECK] else f"is {_format_value(value)}"
+    )
+    if not _is_valid(value, base_type):
+        return [SettingsFault(key, problem, f"write {describe_type(setting_type)}")]
     if check == OWN_IP[_CHECK]:
         return _check_ip(value, key)
     if check in _TEXT_CHECKS:
-        return _check_text(value, key, shown)
+        return _check_text(value, key, problem)
     return [] if check is None else _check_address(value, check, key)
 
 
-def _check_text(value: str, key: str, shown: str) -> list[SettingsFault]:
+def _check_text(value: str, key: str, problem: str) -> list[SettingsFault]:
     if value.isascii() and value.isprintable() and " " not in value:
         return []
-    return [SettingsFault(key, shown, "use ASCII letters, digits and signs only")]
+    return [
+        SettingsFault(key, problem, "use only ASCII letters, digits and punctuation")
+    ]
 
 
 def _check_ip(value: str, key: str) -> list[SettingsFault]:
     if _is_ip(value):
         return []
-    return [SettingsFault(key, f"is {_shown(value)}", _IP_EXAMPLE)]
+    return [SettingsFault(key, f"is {_format_value(value)}", _IP_EXAMPLE)]
 
 
 def _check_address(value: str, check: str, key: str) -> list[SettingsFault]:
@@ -229,87 +240,95 @@
         problem = _unspecified_problem(value)
     if problem is None:
         return []
-    return [SettingsFault(key, f"is {_shown(value)}, {problem}", _ADDRESS_EXAMPLE)]
+    return [
+        SettingsFault(key, f"is {_format_value(value)}, {problem}", _ADDRESS_EXAMPLE)
+    ]
 
 
-def _fits(value: Any, plain: inspect.Type) -> bool:
-    match plain:
+def _is_valid(value: Any, base_type: inspect.Type) -> bool:
+    match base_type:
         case inspect.BoolType():
             return isinstance(value, bool)
         case inspect.IntType() | inspect.FloatType():
-            return _is_number(value, plain) and _in_range(value, plain)
+            return _is_number(value, base_type) and _in_range(value, base_type)
         case inspect.StrType():
-            return isinstance(value, str) and _has_length(value, plain)
+            return isinstance(value, str) and _has_length(value, base_type)
         case inspect.LiteralType():
-            return value in plain.values
+            return value in base_type.values
     return False
 
 
-def _is_number(value: Any, plain: inspect.IntType | inspect.FloatType) -> bool:
+def _is_number(value: Any, base_type: inspect.IntType | inspect.FloatType) -> bool:
     if isinstance(value, bool):
         return False
-    if isinstance(plain, inspect.IntType):
+    if isinstance(base_type, inspect.IntType):
         return isinstance(value, int)
-    # TOML has nan and inf; nan would pass no comparison and inf end no wait.
+    # TOML allows nan and inf: nan fails every comparison, a wait of inf never ends.
     return isinstance(value, int | float) and abs(value) < float("inf")
 
 
-def _in_range(value: float, plain: inspect.IntType | inspect.FloatType) -> bool:
+def _in_range(value: float, base_type: inspect.IntType | inspect.FloatType) -> bool:
     return (
-        (plain.ge is None or value >= plain.ge)
-        and (plain.gt is None or value > plain.gt)
-        and (plain.le is None or value <= plain.le)
-        and (plain.lt is None or value < plain.lt)
+        (base_type.ge is None or value >= base_type.ge)
+        and (base_type.gt is None or value > base_type.gt)
+        and (base_type.le is None or value <= base_type.le)
+        and (base_type.lt is None or value < base_type.lt)
     )
 
 
-def _has_length(value: str, plain: inspect.StrType) -> bool:
-    minimum = plain.min_length or 0
-    maximum = len(value) if plain.max_length is None else plain.max_length
+def _has_length(value: str, base_type: inspect.StrType) -> bool:
+    minimum = base_type.min_length or 0
+    maximum = len(value) if base_type.max_length is None else base_type.max_length
     return minimum <= len(value) <= maximum
 
 
-def _unknown(
+def _unknown_setting(
     prefix: str, key: str, fields: Mapping[str, inspect.Field]
 ) -> SettingsFault:
-    known = difflib.get_close_matches(key, fields, n=1)
-    cure = f"did you mean {known[0]}?" if known else f"known are {', '.join(fields)}"
+    matches = difflib.get_close_matches(key, fields, n=1)
+    cure = (
+        f"did you mean {matches[0]}?"
+        if matches
+        else f"valid keys are {', '.join(fields)}"
+    )
     return SettingsFault(prefix + key, "is unknown", cure)
 
 
-def _missing(field: inspect.Field, key: str) -> list[SettingsFault]:
+def _missing_setting(field: inspect.Field, key: str) -> list[SettingsFault]:
     if isinstance(field.type, inspect.StructType):
         return check_struct({}, field.type.cls, f"{key}.")
     return [SettingsFault(key, "is missing", f"write {describe_type(field.type)}")]
 
 
-def _plain(described: inspect.Type) -> inspect.Type:
-    if isinstance(described, inspect.Metadata):
-        return _plain(described.type)
-    if isinstance(described, inspect.UnionType):
-        # TOML has no null: a setting that may be None is left out instead.
-        return next(t for t in described.types if not isinstance(t, inspect.NoneType))
-    return described
+def _base_type(setting_type: inspect.Type) -> inspect.Type:
+    if isinstance(setting_type, inspect.Metadata):
+        return _base_type(setting_type.type)
+    if isinstance(setting_type, inspect.UnionType):
+        # TOML has no null: a setting that may be None is omitted instead.
+        return next(
+            t for t in setting_type.types if not isinstance(t, inspect.NoneType)
+        )
+    return setting_type
 
 
-def _check_name(described: inspect.Type) -> str | None:
-    if not isinstance(described, inspect.Metadata):
+def _check_name(setting_type: inspect.Type) -> str | None:
+    if not isinstance(setting_type, inspect.Metadata):
         return None
-    return (described.extra or {}).get(_CHECK)
+    return (setting_type.extra or {}).get(_CHECK)
 
 
 def _value_at(values: TomlTable, key: str) -> object:
-    found: object = values
+    value: object = values
     for part in key.split("."):
-        found = found.get(part) if isinstance(found, Mapping) else None
-    return found
+        value = value.get(part) if isinstance(value, Mapping) else None
+    return value
 
 
 def address_problem(address: str) -> str | None:
-    """Return what keeps a text from being an address; None if nothing does."""
+    """Return why a text is not a valid address; None if it is valid."""
     matched = _ADDRESS_PATTERN.fullmatch(address)
     if matched is None or not _is_ip(matched["ip"]):
-        return "not an IP number and a port"
+        return "not an IP address and a port"
     if not 1 <= int(matched["port"]) <= _MAXIMUM_PORT:
         return f"whose port is not from 1 to {_MAXIMUM_PORT}"
     return None
@@ -324,41 +343,47 @@
 
 
 def _unspecified_problem(address: str) -> str | None:
-    # Operators and other instances are told this address; one that stands for
-    # all interfaces would send each of them to itself.
+    # This address is advertised to operators and other instances, for whom
+    # 0.0.0.0 would refer to their own host.
     if ipaddress.IPv4Address(address.rpartition(":")[0]).is_unspecified:
-        return "which nobody else can reach"
+        return "which other hosts cannot reach"
     return None
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     text = repr(value) if not isinstance(value, str) else f'"{value}"'
     if len(text) <= _MAXIMUM_SHOWN_LENGTH:
         return text
     return text[:_MAXIMUM_SHOWN_LENGTH] + "..."
 
 
-def _described_metadata(described: inspect.Metadata) -> str:
-    if _check_name(described) in _ADDRESS_CHECKS:
+def _describe_metadata(setting_type: inspect.Metadata) -> str:
+    if _check_name(setting_type) in _ADDRESS_CHECKS:
         return "an address IP:PORT"
-    if _check_name(described) == OWN_IP[_CHECK]:
-        return "an IP number"
-    return describe_type(_plain(described))
+    if _check_name(setting_type) == OWN_IP[_CHECK]:
+        return "an IP address"
+    return describe_type(_base_type(setting_type))
 
 
-def _described_range(plain: inspect.IntType | inspect.FloatType) -> str:
-    low = plain.ge if plain.ge is not None else plain.gt
-    high = plain.le if plain.le is not None else plain.lt
+def _describe_range(base_type: inspect.IntType | inspect.FloatType) -> str:
+    low = base_type.ge if base_type.ge is not None else base_type.gt
+    high = base_type.le if base_type.le is not None else base_type.lt
     if low is None and high is None:
         return ""
     if high is None:
-        return f", {'at least' if plain.ge is not None else 'above'} {low}"
+        return f", {'at least' if base_type.ge is not None else 'above'} {low}"
     if low is None:
-        return f", {'at most' if plain.le is not None else 'below'} {high}"
-    return f" from {low} to {high}" if plain.gt is None else f" above {low} to {high}"
+        return f", {'at most' if base_type.le is not None else 'below'} {high}"
+    return (
+        f" from {low} to {high}" if base_type.gt is None else f" above {low} to {high}"
+    )
 
 
-def _described_length(plain: inspect.StrType) -> str:
-    if plain.max_length is None:
-        return "" if plain.min_length is None else f" of {plain.min_length} or more"
-    return f" of {plain.min_length or 0} to {plain.max_length} characters"
+def _describe_length(base_type: inspect.StrType) -> str:
+    if base_type.max_length is None:
+        return (
+            ""
+            if base_type.min_length is None
+            else f" of {base_type.min_length} or more"
+        )
+    return f" of {base_type.min_length or 0} to {base_type.max_length} characters"
--- a/ibisfront/core/settings_reference.py
+++ b/ibisfront/core/settings_reference.py
@@ -1,4 +1,4 @@
-"""The settings as a page for operators, made from the checked settings."""
+"""Reference of all settings for operators, generated from their definitions."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 def settings_reference() -> str:
-    """Return a Markdown table of every setting."""
-    lines = ["| Setting | Takes | Default | What for |", "| --- | --- | --- | --- |"]
+    """Return a Markdown table of all settings."""
+    lines = ["| Setting | Value | Default | Description |", "| --- | --- | --- | --- |"]
     lines += [_line(leaf) for leaf in find_leaves(Settings)]
     return "\n".join([*lines, ""])
 
@@ -36,7 +36,7 @@
 
 def _default(field: inspect.Field) -> str:
     if field.required:
-        return "must be set"
+        return "required"
     if field.default is None or field.default == ():
         return "none"
     if field.default is msgspec.NODEFAULT:
@@ -44,7 +44,7 @@
     return f"`{msgspec.json.encode(field.default).decode()}`"
 
 
-def _description(described: inspect.Type) -> str:
-    if not isinstance(described, inspect.Metadata):
+def _description(setting_type: inspect.Type) -> str:
+    if not isinstance(setting_type, inspect.Metadata):
         return ""
-    return str((described.extra_json_schema or {}).get("description", ""))
+    return str((setting_type.extra_json_schema or {}).get("description", ""))
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -239,7 +239,7 @@
     return Member(
         name=settings.instance.name,
         zone=settings.instance.zone,
-        peer_address=settings.peers.reached_at,
+        peer_address=settings.peers.effective_address,
         admin_address=settings.admin.address,
         incarnation=int(clock.wall_ms()),
     )
