--- a/ibisfront/__init__.py
+++ b/ibisfront/__init__.py
@@ -52,7 +52,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Imported when it is first asked for; see ibisfront.core.
+    # Imported lazily; see ibisfront.core.
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     import ibisfront.core
--- a/ibisfront/core/bounded_log.py
+++ b/ibisfront/core/bounded_log.py
@@ -1,4 +1,4 @@
-"""A log handler that never blocks and writes a bounded number of lines."""
+"""A non-blocking log handler with a rate limit for each level."""
 
 from __future__ import annotations
 
@@ -20,38 +20,38 @@
     logging.WARNING: 40.0,
     logging.ERROR: 40.0,
 }
-"""Lines a second that a process may write of each level. Warnings, which tell of
-failures, keep their own share however many ordinary ones come."""
+"""Log lines per second of a process, by level. Separate limits keep ordinary lines
+from displacing warnings, which report failures."""
 
 _BURST_S = 4.0
-"""How many seconds' lines may come at once, at a start or a change."""
+"""Burst size, in seconds of the rate, for the many lines of a start or change."""
 
-_QUEUED_LINES = 2_000
-"""Lines that wait at the most: about a megabyte."""
+_MAX_QUEUED_LINES = 2_000
+"""Maximum number of queued lines, about 1 MB."""
 
-_FLUSH_MS = 250.0
-"""How often lines are written: one wake-up for many of them."""
+_FLUSH_INTERVAL_MS = 250.0
+"""Interval between writes; one wake-up writes many lines."""
 
-_WRITE_BYTES = 65_536
-"""Bytes written at once: what a pipe holds."""
+_WRITE_CHUNK_BYTES = 65_536
+"""Approximate size of one write: the capacity of a pipe."""
 
 
-class _Allowance:
-    """Lines of one level that may be written, refilled over time."""
+class _TokenBucket:
+    """Rate limit of the lines of one level."""
 
-    __slots__ = ("_at_ms", "_per_s", "_tokens")
+    __slots__ = ("_per_s", "_refilled_at_ms", "_tokens")
 
     def __init__(self, per_s: float, now_ms: float) -> None:
         self._per_s = per_s
         self._tokens = per_s * _BURST_S
-        self._at_ms = now_ms
+        self._refilled_at_ms = now_ms
 
     def try_take(self, now_ms: float) -> bool:
-        """Take one line; return False if none is left."""
-        passed_s = (now_ms - self._at_ms) / 1000.0
-        self._at_ms = now_ms
-        most = self._per_s * _BURST_S
-        self._tokens = min(most, self._tokens + passed_s * self._per_s)
+        """Take a token for one line; return False if none is left."""
+        elapsed_s = (now_ms - self._refilled_at_ms) / 1000.0
+        self._refilled_at_ms = now_ms
+        capacity = self._per_s * _BURST_S
+        self._tokens = min(capacity, self._tokens + elapsed_s * self._per_s)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -59,21 +59,21 @@
 
 
 class BoundedLogHandler(logging.Handler):
-    """Queues lines in memory and writes them when the output takes them.
+    """Queues lines in memory and writes them when the output accepts them.
 
-    Writing to an output that nobody reads would stop the whole process in the
-    middle of a request. Lines wait in a queue of bounded length instead; what
-    does not fit, or is beyond the budget of its level, is counted, and the
-    next line that gets through says how many are missing.
+    A blocking write to an output that nobody reads would stall the whole
+    process in the middle of a request. Lines are queued up to a bound instead;
+    lines that exceed the queue or the rate limit of their level are counted as
+    dropped, and the next accepted line reports the counts.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; set to be non-blocking.
+        File descriptor of the output; it is set to non-blocking mode.
     instance : str
-        Stands in each line.
+        Name of the instance, included in each line.
     clock : Clock
-        The tier's clock.
+        Clock of the tier.
     """
 
     def __init__(self, descriptor: int, *, instance: str, clock: Clock) -> None:
@@ -83,8 +83,8 @@
         self._clock = clock
         self._lines: deque[bytes] = deque()
         self._dropped: Counter[str] = Counter()
-        self._rest = b""
-        self._allowances: dict[int, _Allowance] = {}
+        self._unwritten = b""
+        self._buckets: dict[int, _TokenBucket] = {}
         self.setFormatter(
             JsonFormatter(
                 "%(levelname)s %(message)s",
@@ -96,7 +96,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
-        if not self._is_allowed(record) or len(self._lines) >= _QUEUED_LINES:
+        if not self._is_allowed(record) or len(self._lines) >= _MAX_QUEUED_LINES:
             self._dropped[record.levelname.lower()] += 1
             return
         if self._dropped:
@@ -105,52 +105,51 @@
         try:
             line = self.format(record)
         except (TypeError, ValueError) as error:
-            line = f'{{"level": "ERROR", "message": "instance: a line: {error!r}"}}'
+            line = f'{{"level": "ERROR", "message": "instance: bad record: {error!r}"}}'
         self._lines.append(line.encode() + b"\n")
 
     def flush(self) -> None:
-        """Write what the output takes now; keep the rest."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._next_piece()
+        """Write as much as the output accepts now; keep the rest."""
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._next_chunk()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads the output any more, and there is no other
-                # place to say so.
-                self._rest = b""
+                # The output is closed, and there is nowhere else to report it.
+                self._unwritten = b""
                 self._lines.clear()
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     async def run(self) -> None:
-        """Write the queued lines from time to time, until cancelled."""
+        """Write queued lines periodically until cancelled."""
         while True:
-            await self._clock.sleep_ms(_FLUSH_MS)
+            await self._clock.sleep_ms(_FLUSH_INTERVAL_MS)
             self.flush()
 
     def _is_allowed(self, record: logging.LogRecord) -> bool:
         now_ms = self._now_ms()
-        allowance = self._allowances.get(record.levelno)
-        if allowance is None:
+        bucket = self._buckets.get(record.levelno)
+        if bucket is None:
             per_s = LINES_PER_S.get(record.levelno, LINES_PER_S[logging.ERROR])
-            allowance = self._allowances[record.levelno] = _Allowance(per_s, now_ms)
-        return allowance.try_take(now_ms)
+            bucket = self._buckets[record.levelno] = _TokenBucket(per_s, now_ms)
+        return bucket.try_take(now_ms)
 
     def _now_ms(self) -> float:
         try:
             return self._clock.now_ms()
         except RuntimeError:
-            # Before the start and after the end of the tasks there is no
-            # clock; the few lines then pass.
+            # No clock is available before trio starts and after it ends; the few
+            # lines logged then are let through.
             return 0.0
 
-    def _next_piece(self) -> bytes:
-        pieces: list[bytes] = []
+    def _next_chunk(self) -> bytes:
+        lines: list[bytes] = []
         size = 0
-        while self._lines and size < _WRITE_BYTES:
-            pieces.append(self._lines.popleft())
-            size += len(pieces[-1])
-        return b"".join(pieces)
+        while self._lines and size < _WRITE_CHUNK_BYTES:
+            lines.append(self._lines.popleft())
+            size += len(lines[-1])
+        return b"".join(lines)
--- a/ibisfront/core/clock.py
+++ b/ibisfront/core/clock.py
@@ -1,4 +1,4 @@
-"""The tier's one clock, in milliseconds."""
+"""Clock of the tier, in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import trio
 
-__all__ = ["MILLISECONDS_PER_SECOND", "OVERSLEPT_MS", "Clock"]
+__all__ = ["LATE_WAKE_UP_MS", "MILLISECONDS_PER_SECOND", "Clock"]
 
 MILLISECONDS_PER_SECOND = 1000.0
 
-OVERSLEPT_MS = 8.0
-"""Lateness of a wake-up that shows that the process did not run: a small instance
-may be kept from running for half of a tenth of a second."""
+LATE_WAKE_UP_MS = 8.0
+"""Lateness of a wake-up above which the process is assumed to have been suspended.
+CPU throttling can suspend a small instance for 50 ms."""
 
 
 def _system_wall_ms() -> float:
@@ -21,17 +21,18 @@
 
 
 class Clock:
-    """Tells and waits for time in milliseconds.
+    """Time and timers in milliseconds.
 
-    The monotonic time is trio's, so that a test under trio's mock clock
-    drives it; it goes on while the process is stopped, so that a process
-    that wakes sees how long it was away.
+    Monotonic time comes from trio, so tests control it with trio's mock clock.
+    It advances while the process is suspended, so that a resumed process can
+    tell for how long.
 
     Parameters
     ----------
     wall : callable, optional
-        Returns the time of day in milliseconds since 1970. Only for values
-        that leave the process (key times, edit times); never for waiting.
+        Returns the wall-clock time in milliseconds since the Unix epoch. Only
+        for values that leave the process (key times, edit times), never for
+        waiting.
     """
 
     __slots__ = ("_wall",)
@@ -44,17 +45,17 @@
         return trio.current_time() * MILLISECONDS_PER_SECOND
 
     def wall_ms(self) -> float:
-        """Return the time of day in milliseconds since 1970."""
+        """Return the wall-clock time in milliseconds since the Unix epoch."""
         return self._wall()
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Wait for a duration; a negative one counts as none."""
+        """Sleep for a duration; negative values count as zero."""
         await trio.sleep(max(duration_ms, 0.0) / MILLISECONDS_PER_SECOND)
 
     def timeout_ms(self, duration_ms: float) -> trio.CancelScope:
-        """Return a cancel scope that ends after a duration."""
+        """Return a cancel scope that expires after a duration."""
         return trio.move_on_after(max(duration_ms, 0.0) / MILLISECONDS_PER_SECOND)
 
     def extend_ms(self, scope: trio.CancelScope, duration_ms: float) -> None:
-        """Let a scope of :meth:`timeout_ms` end a duration after now instead."""
+        """Make a scope of :meth:`timeout_ms` expire a duration from now instead."""
         scope.deadline = trio.current_time() + duration_ms / MILLISECONDS_PER_SECOND
--- a/ibisfront/core/counters.py
+++ b/ibisfront/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what this instance did and refused, by reason."""
+"""Counters of completed and rejected operations, by reason."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CounterKind(StrEnum):
-    """What is counted; each kind is split by reason."""
+    """Kinds of counted events; each kind is split by reason."""
 
     ANSWERS = "answers"
     REFUSALS = "refusals"
@@ -38,34 +38,34 @@
 
 
 COUNTER_HELP: dict[CounterKind, str] = {
-    CounterKind.ANSWERS: "Requests, each once, by what the sender was told.",
-    CounterKind.REFUSALS: "Requests that admission refused, by why.",
+    CounterKind.ANSWERS: "Requests, each counted once, by the outcome returned.",
+    CounterKind.REFUSALS: "Requests rejected by admission control, by reason.",
     CounterKind.SUB_REQUESTS: "Sub-requests sent to backend servers.",
-    CounterKind.MISSING: "Services missing from an answer, by why.",
-    CounterKind.RETRIES: "Sub-requests sent again, by why.",
-    CounterKind.RETRIES_WITHHELD: "Retries not sent, by why.",
-    CounterKind.HEDGES: "Hedged requests, by why.",
-    CounterKind.HEDGES_WITHHELD: "Hedged requests not sent, by why.",
-    CounterKind.CANCELLATIONS: "Work given up before its end, by why.",
-    CounterKind.CONNECTIONS: "Connections to backend servers, by what happened.",
-    CounterKind.EJECTIONS: "Backend servers taken out of use for a time, by why.",
+    CounterKind.MISSING: "Services missing from an answer, by reason.",
+    CounterKind.RETRIES: "Retried sub-requests, by reason.",
+    CounterKind.RETRIES_WITHHELD: "Retries not sent, by reason.",
+    CounterKind.HEDGES: "Hedged requests, by reason.",
+    CounterKind.HEDGES_WITHHELD: "Hedged requests not sent, by reason.",
+    CounterKind.CANCELLATIONS: "Work cancelled before completion, by reason.",
+    CounterKind.CONNECTIONS: "Connections to backend servers, by event.",
+    CounterKind.EJECTIONS: "Ejections of backend servers, by reason.",
     CounterKind.QUARANTINES: "Requests suspected of crashing backend servers.",
-    CounterKind.PLATFORM_CALLS: "Calls of the platform, by what came of them.",
-    CounterKind.PEER_MESSAGES: "Messages between instances, by what came of them.",
-    CounterKind.PEER_BYTES: "Bytes between instances.",
-    CounterKind.MEMBER_CHANGES: "Changes of the members as seen here.",
-    CounterKind.TABLE_CHANGES: "Versions of the table put in force or refused here.",
-    CounterKind.OBJECT_CHANGES: "Changed objects, by where they came from.",
-    CounterKind.SERVER_ENTRIES: "Entries of backend servers that name none, by why.",
-    CounterKind.SERVER_LOADS: "Loads that backend servers told, left aside, by why.",
-    CounterKind.CLAIMS: "Claims of non-idempotent requests, by what came of them.",
-    CounterKind.SHARES: "Shares of limits, by what happened to them.",
+    CounterKind.PLATFORM_CALLS: "Calls to the platform, by outcome.",
+    CounterKind.PEER_MESSAGES: "Messages between instances, by outcome.",
+    CounterKind.PEER_BYTES: "Bytes exchanged between instances.",
+    CounterKind.MEMBER_CHANGES: "Membership changes observed by this instance.",
+    CounterKind.TABLE_CHANGES: "Table versions applied or rejected by this instance.",
+    CounterKind.OBJECT_CHANGES: "Changed objects, by source.",
+    CounterKind.SERVER_ENTRIES: "Entries that define no backend server, by reason.",
+    CounterKind.SERVER_LOADS: "Ignored load reports of backend servers, by reason.",
+    CounterKind.CLAIMS: "Claims of non-idempotent requests, by outcome.",
+    CounterKind.SHARES: "Shares of limits, by event.",
 }
-"""One line on each kind, for operators."""
+"""Description of each kind, for operators."""
 
 
 class CounterValue(msgspec.Struct, frozen=True, order=True):
-    """One counter as it stands."""
+    """Current value of one counter."""
 
     kind: CounterKind
     reason: str
@@ -73,7 +73,7 @@
 
 
 class Counters:
-    """Counts by kind and reason since the process started."""
+    """Event counts by kind and reason since the process started."""
 
     __slots__ = ("_values",)
 
@@ -81,15 +81,15 @@
         self._values: Counter[tuple[CounterKind, str]] = Counter()
 
     def add(self, kind: CounterKind, reason: str, amount: int = 1) -> None:
-        """Count something."""
+        """Increment a counter."""
         self._values[kind, reason] += amount
 
     def value(self, kind: CounterKind, reason: str) -> int:
-        """Return one count; zero if it never happened."""
+        """Return the value of one counter; zero if there was no event."""
         return self._values[kind, reason]
 
     def values(self) -> list[CounterValue]:
-        """Return every counter, in order."""
+        """Return all counters, sorted."""
         return sorted(
             CounterValue(kind, reason, value)
             for (kind, reason), value in self._values.items()
--- a/ibisfront/core/errors.py
+++ b/ibisfront/core/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds, and the answer that each one gives.
+"""Error kinds and the response to each of them.
 
-Every refusal or failure that a caller or operator can see is one
-:class:`ErrorKind`. :data:`ANSWERS` maps each kind to its HTTP status, to what
-it says about whether the request ran, and to its advice on coming back.
+Every rejection or failure visible to a caller or operator is one
+:class:`ErrorKind`. :data:`ANSWERS` maps each kind to its HTTP status, to whether
+the request ran, and to the advised delay before a retry.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a request ran at a backend server, as far as is known."""
+    """Whether a request ran at a backend server."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -23,7 +23,7 @@
 
 
 class ErrorKind(StrEnum):
-    """The code of an error, as it stands in a problem document."""
+    """Error code, as used in problem documents."""
 
     BAD_REQUEST = "bad_request"
     BAD_SETTINGS = "bad_settings"
@@ -60,19 +60,19 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """What a caller is told for one kind of error.
+    """Response to a caller for one kind of error.
 
     Attributes
     ----------
     status : int
-        The HTTP status.
+        HTTP status.
     ran : Ran
-        What is known about the request having run.
+        Whether the request ran.
     title : str
-        One line for a person.
+        One-line summary for people.
     retry_after_ms : int or None
-        When coming back can help, the wait advised if nothing better is
-        known, in milliseconds; None when the same request cannot succeed.
+        Default delay before a retry, in milliseconds; None if the same
+        request cannot succeed.
     """
 
     status: int
@@ -148,19 +148,18 @@
 
 
 class IbisfrontError(Exception):
-    """An error of one kind, with what this case adds.
+    """An error of one kind, with the details of the occurrence.
 
     Parameters
     ----------
     kind : ErrorKind
-        The code, from the closed list.
+        Error code.
     detail : str
-        What was wrong, naming the value, and the cure.
+        Description of the problem, with the value and the cure.
     retry_after_ms : int, optional
-        When to come back; the kind's own advice if left out.
+        Delay before a retry, in milliseconds; by default that of the kind.
     ran : Ran, optional
-        What is known here about the request having run; the kind's own word
-        if left out.
+        Whether the request ran; by default that of the kind.
     """
 
     def __init__(
--- a/ibisfront/core/lenient_json.py
+++ b/ibisfront/core/lenient_json.py
@@ -1,27 +1,27 @@
-"""Reading JSON that others have written badly."""
+"""Repair of malformed JSON from other writers."""
 
 from __future__ import annotations
 
 import json
 
-__all__ = ["UNREADABLE", "made_proper"]
+__all__ = ["REPLACEMENT_CHARACTER", "repair_json"]
 
-UNREADABLE = "\ufffd"
-"""The character that stands where a text could not be read."""
+REPLACEMENT_CHARACTER = "\ufffd"
+"""Unicode replacement character, which marks undecodable text."""
 
 
-def made_proper(raw: bytes) -> bytes:
-    """Return JSON in which only what cannot be read has changed.
+def repair_json(raw: bytes) -> bytes:
+    """Return JSON with only its invalid parts replaced.
 
-    Numbers that JSON does not have become ``null``; bytes in no encoding and
-    lone surrogates become :data:`UNREADABLE`. What is no JSON at all is
-    returned as it is.
+    Numbers that JSON does not allow become ``null``; undecodable bytes and lone
+    surrogates become :data:`REPLACEMENT_CHARACTER`. Input that cannot be parsed
+    is returned unchanged.
     """
     text = raw.decode("utf-8", "replace")
     try:
-        found = json.loads(text, strict=False, parse_constant=lambda name: None)
+        value = json.loads(text, strict=False, parse_constant=lambda name: None)
     except ValueError:
-        # The strict decoder, which has the next turn, says what is wrong.
+        # The strict decoder that runs next reports the error.
         return raw
-    proper = json.dumps(found, ensure_ascii=False)
-    return proper.encode("utf-16", "surrogatepass").decode("utf-16", "replace").encode()
+    fixed = json.dumps(value, ensure_ascii=False)
+    return fixed.encode("utf-16", "surrogatepass").decode("utf-16", "replace").encode()
--- a/ibisfront/core/logs.py
+++ b/ibisfront/core/logs.py
@@ -1,4 +1,4 @@
-"""Loggers with a fixed prefix for each part."""
+"""Loggers with a fixed prefix for each part of an instance."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LogPart(StrEnum):
-    """The parts of an instance that log; the value is the prefix."""
+    """Parts of an instance that log; the value is the message prefix."""
 
     INSTANCE = "instance"
     CALLERS = "callers"
@@ -30,24 +30,24 @@
 
 
 LOG_PART_HELP: dict[LogPart, str] = {
-    LogPart.INSTANCE: "the process as a whole: start, end, standstill, faults",
-    LogPart.CALLERS: "callers' requests; those refused unrun only at `debug`",
+    LogPart.INSTANCE: "the process as a whole: start, exit, pauses, internal errors",
+    LogPart.CALLERS: "callers' requests; those that did not run only at `debug`",
     LogPart.ADMIN: "operators' requests",
     LogPart.QUERY: "searches: requests that crash backend servers",
-    LogPart.BACKEND: "backend servers: which are left out, drain or come back",
-    LogPart.PLATFORM: "the platform's object API: watches that fail and recover",
-    LogPart.TABLE: "versions of the table: from where, in force, refused",
+    LogPart.BACKEND: "backend servers that are ejected, drain or are readmitted",
+    LogPart.PLATFORM: "the platform's object API: failure and recovery of watches",
+    LogPart.TABLE: "versions of the table: origin, applied or rejected",
     LogPart.PEERS: "streams to the other instances",
-    LogPart.MEMBERS: "instances that come, are suspected, die or leave",
-    LogPart.LIMITS: "the table's limits and the shares of them",
+    LogPart.MEMBERS: "instances that join, are suspected, fail or leave",
+    LogPart.LIMITS: "the table's limits and the shares of each instance",
     LogPart.LEDGER: "claims of non-idempotent requests",
-    LogPart.STOP: "a planned stop, and each request that it cut off",
+    LogPart.STOP: "planned stops and the requests aborted by them",
 }
-"""What each part's lines are about."""
+"""Subjects of the log lines of each part."""
 
 
 class PartLogger(logging.LoggerAdapter[logging.Logger]):
-    """Puts the prefix of a part before each message."""
+    """Adds the prefix of a part to each message."""
 
     def process(
         self, msg: Any, kwargs: MutableMapping[str, Any]
--- a/ibisfront/core/metrics_text.py
+++ b/ibisfront/core/metrics_text.py
@@ -1,4 +1,4 @@
-"""The state of an instance as Prometheus text."""
+"""Metrics of an instance in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 __all__ = ["CONTENT_TYPE", "Gauge", "LatencySample", "MetricLabel", "metrics_text"]
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-"""The media type of the text format."""
+"""Media type of the text format."""
 
 _PREFIX = "ibisfront_"
 _LATENCY = "request_latency_ms"
@@ -25,10 +25,10 @@
 
 
 class Gauge(msgspec.Struct, frozen=True):
-    """A number that goes up and down."""
+    """A value that can go up and down."""
 
     name: str
-    text: str
+    help_text: str
     value: float
 
 
@@ -40,7 +40,7 @@
 
 
 class LatencySample(msgspec.Struct, frozen=True):
-    """The latencies of one kind of request since the process started."""
+    """Latencies of one kind of request since the process started."""
 
     labels: tuple[MetricLabel, ...]
     count: int
@@ -56,30 +56,30 @@
     latencies: Sequence[LatencySample],
     gauges: Iterable[Gauge],
 ) -> str:
-    """Return counters, latencies and gauges in Prometheus' text format."""
+    """Return counters, latencies and gauges in the Prometheus text format."""
     lines: list[str] = []
     for kind, values in groupby(counters, key=lambda counter: counter.kind):
         name = f"{kind.value}_total"
-        lines += _head(name, COUNTER_HELP[kind], "counter")
+        lines += _header_lines(name, COUNTER_HELP[kind], "counter")
         lines += [
             _sample(name, value.value, MetricLabel("reason", value.reason))
             for value in values
         ]
     if latencies:
-        lines += _head(_LATENCY, _LATENCY_HELP, "summary")
+        lines += _header_lines(_LATENCY, _LATENCY_HELP, "summary")
         lines += [line for value in latencies for line in _latency_lines(value)]
     for gauge in gauges:
-        lines += _head(gauge.name, gauge.text, "gauge")
+        lines += _header_lines(gauge.name, gauge.help_text, "gauge")
         lines.append(_sample(gauge.name, gauge.value))
     return "\n".join([*lines, ""])
 
 
-def _head(name: str, text: str, kind: str) -> list[str]:
-    return [f"# HELP {_PREFIX}{name} {text}", f"# TYPE {_PREFIX}{name} {kind}"]
+def _header_lines(name: str, help_text: str, kind: str) -> list[str]:
+    return [f"# HELP {_PREFIX}{name} {help_text}", f"# TYPE {_PREFIX}{name} {kind}"]
 
 
 def _latency_lines(value: LatencySample) -> list[str]:
-    row = value.labels
+    labels = value.labels
     quantiles = {
         "0.5": value.p50_ms,
         "0.9": value.p90_ms,
@@ -88,22 +88,26 @@
     }
     return [
         *(
-            _sample(_LATENCY, duration_ms, *row, MetricLabel("quantile", quantile))
+            _sample(_LATENCY, duration_ms, *labels, MetricLabel("quantile", quantile))
             for quantile, duration_ms in quantiles.items()
         ),
-        _sample(f"{_LATENCY}_sum", value.sum_ms, *row),
-        _sample(f"{_LATENCY}_count", value.count, *row),
+        _sample(f"{_LATENCY}_sum", value.sum_ms, *labels),
+        _sample(f"{_LATENCY}_count", value.count, *labels),
     ]
 
 
 def _sample(name: str, value: float, *labels: MetricLabel) -> str:
-    written = ",".join(f'{label.name}="{_escaped(label.value)}"' for label in labels)
-    return f"{_PREFIX}{name}{{{written}}} {value}" if labels else _bare(name, value)
+    label_text = ",".join(f'{label.name}="{_escape(label.value)}"' for label in labels)
+    return (
+        f"{_PREFIX}{name}{{{label_text}}} {value}"
+        if labels
+        else _unlabelled_sample(name, value)
+    )
 
 
-def _bare(name: str, value: float) -> str:
+def _unlabelled_sample(name: str, value: float) -> str:
     return f"{_PREFIX}{name} {value}"
 
 
-def _escaped(text: str) -> str:
+def _escape(text: str) -> str:
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/ibisfront/core/types.py
+++ b/ibisfront/core/types.py
@@ -1,4 +1,4 @@
-"""Shared aliases."""
+"""Shared type aliases."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 __all__ = ["Address", "JsonBytes", "ServerState", "Version"]
 
 Version: TypeAlias = int
-"""A platform version: one counter over all objects, so newest is largest."""
+"""A platform version, from one counter over all objects: the newest is the largest."""
 
 JsonBytes: TypeAlias = bytes
 """A JSON document as UTF-8 bytes, not yet decoded."""
@@ -16,4 +16,4 @@
 """A TCP address, ``IP:PORT``."""
 
 ServerState: TypeAlias = Literal["live", "draining"]
-"""What operators say of a backend server."""
+"""State of a backend server, as set by operators."""
--- a/ibisfront/gateway/instances/zone_path_monitor.py
+++ b/ibisfront/gateway/instances/zone_path_monitor.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ibisfront.core.clock import OVERSLEPT_MS
+from ibisfront.core.clock import LATE_WAKE_UP_MS
 from ibisfront.core.counters import CounterKind
 from ibisfront.core.logs import LogPart, part_logger
 from ibisfront.gateway.instances.zone_paths import PathAction
@@ -81,7 +81,7 @@
             now_ms = self._clock.now_ms()
             late_ms = now_ms - due_ms
             for path in self._paths.all():
-                if late_ms > OVERSLEPT_MS:
+                if late_ms > LATE_WAKE_UP_MS:
                     path.postpone(late_ms)
                 else:
                     self._take_step(path, path.step(now_ms), now_ms)
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ibisfront.core.clock import OVERSLEPT_MS
+from ibisfront.core.clock import LATE_WAKE_UP_MS
 from ibisfront.gateway.queries.service_call import ServiceCall
 
 if TYPE_CHECKING:
@@ -195,7 +195,7 @@
         self._start(self.calls)
         while not self._is_over():
             now_ms = self._context.clock.now_ms()
-            if now_ms > self._wake_at_ms + OVERSLEPT_MS:
+            if now_ms > self._wake_at_ms + LATE_WAKE_UP_MS:
                 # The processor was away: replies may lie unread, and every
                 # part would look late. They are read first.
                 self._wake_at_ms = math.inf
--- a/ibisfront/platform/documents.py
+++ b/ibisfront/platform/documents.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ibisfront.core.lenient_json import UNREADABLE
+from ibisfront.core.lenient_json import REPLACEMENT_CHARACTER
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.gateway.state.configuration import (
     CallerLimits,
@@ -82,7 +82,9 @@
 
 _MILLISECONDS_PER_SECOND = 1000.0
 
-_Readable = Annotated[str, msgspec.Meta(pattern=f"^[^{UNREADABLE}]*$", max_length=256)]
+_Readable = Annotated[
+    str, msgspec.Meta(pattern=f"^[^{REPLACEMENT_CHARACTER}]*$", max_length=256)
+]
 _Text = Annotated[_Readable, msgspec.Meta(min_length=1)]
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ibisfront.core.lenient_json import made_proper
+from ibisfront.core.lenient_json import repair_json
 from ibisfront.core.logs import LogPart, part_logger
 from ibisfront.gateway.instances.directory import InstanceEntry
 from ibisfront.gateway.state.store import (
@@ -280,7 +280,7 @@
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
         _LOG.warning("An answer of the store is no proper JSON: %s.", error)
-    return _decoded(made_proper(raw), kind)
+    return _decoded(repair_json(raw), kind)
 
 
 def _stored(item: _Object) -> StoredObject:
--- a/ibisfront/tests/test_bounded_log.py
+++ b/ibisfront/tests/test_bounded_log.py
@@ -95,7 +95,7 @@
                 await trio.sleep(1.0)
         self.assertLessEqual(len(self.pipe.handler._lines), 2_000)
         lines = self.pipe.lines()
-        while self.pipe.handler._lines or self.pipe.handler._rest:
+        while self.pipe.handler._lines or self.pipe.handler._unwritten:
             self.pipe.handler.flush()
             lines += self.pipe.lines()
         self.pipe.log.warning("Back.")
--- a/ibisfront/tests/test_observation.py
+++ b/ibisfront/tests/test_observation.py
@@ -19,7 +19,7 @@
 from ibisfront.core.logs import LOGGER_NAME, LogPart, part_logger
 from ibisfront.core.metrics_text import Gauge, metrics_text
 from ibisfront.core.settings import check_settings
-from ibisfront.tests.test_settings import changed
+from ibisfront.tests.test_settings import settings_with
 
 
 def exchange(error=None, **fields):
@@ -93,7 +93,7 @@
         before = (log.handlers[:], log.level, log.propagate)
         try:
             with mock.patch.object(sys, "stderr", written):
-                start_logs(check_settings(changed("logs", level="debug")))
+                start_logs(check_settings(settings_with("logs", level="debug")))
             part_logger(LogPart.CALLERS).info("It is so.", extra={"request_id": "r-1"})
         finally:
             log.handlers[:], log.level, log.propagate = before
