--- a/ibisfront/testing/local_platform.py
+++ b/ibisfront/testing/local_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in behind the interface of ``PlatformClient``."""
+"""The fake platform with the interface of ``PlatformClient``."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 
 
 class LocalPlatform:
-    """Calls a platform in this process as one instance would.
+    """Calls a fake platform in the same process, as one instance would.
 
     Parameters
     ----------
     platform : FakePlatform
-        The platform.
+        The fake platform.
     clock : Clock
-        The test's clock.
+        Clock of the test.
 
     Attributes
     ----------
-    cut_off : bool
-        While set, every call times out, as from a zone that is cut off.
+    is_partitioned : bool
+        While true, every call times out, as from a partitioned zone.
     """
 
     def __init__(self, platform: FakePlatform, *, clock: Clock) -> None:
-        self.cut_off = False
+        self.is_partitioned = False
         self._platform = platform
         self._clock = clock
 
     async def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
-        """Return an object, or None if there is none."""
+        """Return an object, or None if it does not exist."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
                 return _object(await self._platform.get(kind, name))
             except PlatformRefused as refused:
@@ -67,9 +67,9 @@
         raise _unavailable()
 
     async def list_objects(self, kinds: Sequence[ObjectKind]) -> ObjectsRead:
-        """Return every object of some kinds."""
+        """Return all objects of the given kinds."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
                 return _read(await self._platform.list(frozenset(kinds)))
             except (PlatformRefused, AnswerLost) as error:
@@ -79,12 +79,12 @@
     async def changes(
         self, kinds: Sequence[ObjectKind], *, after: Version, wait_ms: float
     ) -> ObjectsRead | None:
-        """Wait for changes after a revision; None if it is too old."""
+        """Wait for changes after a revision; return None if it is too old."""
         timeout_ms = wait_ms + _CALL_TIMEOUT_MS
         with self._clock.timeout_ms(timeout_ms):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
-                found = await self._platform.changes(
+                changes = await self._platform.changes(
                     frozenset(kinds), after=after, wait_ms=wait_ms
                 )
             except PlatformRefused as refused:
@@ -93,9 +93,9 @@
                 raise _unavailable() from refused
             except AnswerLost as lost:
                 raise _unavailable() from lost
-            if self.cut_off:
+            if self.is_partitioned:
                 raise _unavailable()
-            return _read(found)
+            return _read(changes)
         raise _unavailable()
 
     async def put(
@@ -106,10 +106,10 @@
         *,
         if_version: Version | None,
     ) -> Version:
-        """Replace one version of an object, or create it."""
+        """Replace the given version of an object, or create the object."""
         value = msgspec.json.decode(value_json)
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
                 return await self._platform.put(
                     kind, name, value, if_version=if_version
@@ -123,9 +123,9 @@
         raise _unknown()
 
     async def members(self) -> list[Member]:
-        """Return the listed instances that are live, as first contacts."""
+        """Return the listed live instances as initial contacts."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
                 listed = await self._platform.instances()
             except (PlatformRefused, AnswerLost) as error:
@@ -137,13 +137,13 @@
             ]
         raise _unavailable()
 
-    async def _check_cut(self) -> None:
-        if self.cut_off:
+    async def _hang_if_partitioned(self) -> None:
+        if self.is_partitioned:
             await trio.sleep_forever()
 
 
-def _read(found: ObjectList | ChangeList) -> ObjectsRead:
-    return ObjectsRead(found.revision, tuple(_object(item) for item in found.objects))
+def _read(result: ObjectList | ChangeList) -> ObjectsRead:
+    return ObjectsRead(result.revision, tuple(_object(item) for item in result.objects))
 
 
 def _object(stored: StoredObject) -> VersionedObject:
@@ -154,8 +154,8 @@
 
 
 def _unavailable() -> IbisfrontError:
-    return IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform is out")
+    return IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform is unavailable")
 
 
 def _unknown() -> IbisfrontError:
-    return IbisfrontError(ErrorKind.WRITE_UNKNOWN, "the answer was lost")
+    return IbisfrontError(ErrorKind.WRITE_UNKNOWN, "the response was lost")
--- a/ibisfront/testing/pages.py
+++ b/ibisfront/testing/pages.py
@@ -1,7 +1,7 @@
-"""The generated parts of the pages.
+"""Generated sections of the documentation pages.
 
-``python -m ibisfront.testing.pages`` (``make pages``) writes them anew. A test
-fails while a page differs from the code.
+``python -m ibisfront.testing.pages`` (``make pages``) updates them. A test fails
+if a page does not match the code.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-__all__ = ["PAGES", "main", "with_generated_parts"]
+__all__ = ["PAGES", "main", "update_generated_sections"]
 
 PAGES = (Path("docs/INTERFACE.md"), Path("docs/OPERATIONS.md"))
-"""The pages that have generated parts."""
+"""Pages with generated sections."""
 
-_PART = re.compile(
+_SECTION_PATTERN = re.compile(
     r"(?P<begin><!-- generated: (?P<name>[\w-]+) -->\n).*?(?P<end><!-- end -->)",
     re.DOTALL,
 )
 
 
-def with_generated_parts(text: str) -> str:
-    """Return a page with each of its generated parts made anew."""
+def update_generated_sections(text: str) -> str:
+    """Return the text of a page with its generated sections updated."""
 
-    def make(found: re.Match[str]) -> str:
-        part = _PARTS[found["name"]]()
-        return f"{found['begin']}\n{part.strip()}\n\n{found['end']}"
+    def render(match: re.Match[str]) -> str:
+        section = _SECTION_RENDERERS[match["name"]]()
+        return f"{match['begin']}\n{section.strip()}\n\n{match['end']}"
 
-    return _PART.sub(make, text)
+    return _SECTION_PATTERN.sub(render, text)
 
 
 def _errors_for_callers() -> str:
@@ -60,7 +60,7 @@
         (f"`{kind.value}`", answer.title, ADVICE[kind].operator)
         for kind, answer in ANSWERS.items()
     ]
-    return _table(("Code", "Meaning", "What to do if it goes on"), rows)
+    return _table(("Code", "Meaning", "What to do if it persists"), rows)
 
 
 def _log_prefixes() -> str:
@@ -85,7 +85,7 @@
     return "\n".join(f"| {' | '.join(cells)} |" for cells in lines)
 
 
-_PARTS: dict[str, Callable[[], str]] = {
+_SECTION_RENDERERS: dict[str, Callable[[], str]] = {
     "counters": _counters,
     "errors-for-callers": _errors_for_callers,
     "errors-for-operators": _errors_for_operators,
@@ -96,9 +96,9 @@
 
 
 def main() -> None:
-    """Write every page's generated parts."""
+    """Update the generated sections of all pages."""
     for path in PAGES:
-        path.write_text(with_generated_parts(path.read_text()))
+        path.write_text(update_generated_sections(path.read_text()))
 
 
 if __name__ == "__main__":
--- a/ibisfront/testing/shared_state_cluster.py
+++ b/ibisfront/testing/shared_state_cluster.py
@@ -151,13 +151,13 @@
         addresses = frozenset(node.members.own.peer_address for node in inside)
         self.network.cut(addresses)
         for node in inside:
-            node.platform.cut_off = from_platform
+            node.platform.is_partitioned = from_platform
 
     def heal(self) -> None:
         """End every partition."""
         self.network.mend()
         for node in self.nodes.values():
-            node.platform.cut_off = False
+            node.platform.is_partitioned = False
 
     async def wait_until(
         self, condition: Callable[[], bool], *, within_ms: float = 60_000.0
--- a/ibisfront/tests/test_bounded_log.py
+++ b/ibisfront/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log handler that never blocks."""
+"""Tests of the non-blocking log handler."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from ibisfront.tests import trio_test
 
 
-class Pipe:
-    """A handler that writes to a pipe."""
+class PipedHandler:
+    """A log handler that writes to a pipe."""
 
     def __init__(self):
         self.read_end, self.write_end = os.pipe()
-        self.rest = b""
+        self.partial = b""
         self.handler = BoundedLogHandler(self.write_end, instance="i1", clock=Clock())
         logger = logging.Logger("test")
         logger.addHandler(self.handler)
         self.log = PartLogger(logger, {"part": LogPart.QUERY.value})
 
     def lines(self):
-        """Return the whole lines that were written since the last call."""
+        """Return the complete lines written since the last call."""
         os.set_blocking(self.read_end, False)
-        # An empty pipe shows as a refusal to block: all was read.
+        # A non-blocking read of an empty pipe raises: everything has been read.
         with suppress(BlockingIOError):
-            while piece := os.read(self.read_end, 65536):
-                self.rest += piece
-        *whole, self.rest = self.rest.split(b"\n")
-        return [json.loads(line) for line in whole]
+            while chunk := os.read(self.read_end, 65536):
+                self.partial += chunk
+        *complete, self.partial = self.partial.split(b"\n")
+        return [json.loads(line) for line in complete]
 
     def close(self):
         os.close(self.read_end)
@@ -44,10 +44,10 @@
 
 
 class BoundedLogTest(unittest.TestCase):
-    """Volume is bounded, failures go first, nothing blocks."""
+    """Volume is bounded, warnings are kept, and nothing blocks."""
 
     def setUp(self):
-        self.pipe = Pipe()
+        self.pipe = PipedHandler()
         self.addCleanup(self.pipe.close)
 
     @trio_test
@@ -59,12 +59,12 @@
         self.assertEqual((line["instance"], line["request_id"]), ("i1", "r1"))
 
     @trio_test
-    async def test_flood_stays_within_the_budget_and_is_counted(self):
-        """A flood of ordinary lines fills the log and hides the failures.
+    async def test_flood_is_limited_and_counted(self):
+        """A flood of ordinary lines must not displace failures from the log.
 
-        Ten thousand answered requests come in ten seconds, and a few fail.
-        The ordinary lines are cut to their budget, every failure has its
-        line, and the lines say how many are missing.
+        Ten thousand requests succeed in ten seconds, and a few fail. Ordinary
+        lines are reduced to their limit, every failure is logged, and the log
+        reports the number of dropped lines.
         """
         for second in range(10):
             for _ in range(1000):
@@ -73,19 +73,19 @@
             self.pipe.handler.flush()
             await trio.sleep(1.0)
         lines = self.pipe.lines()
-        ordinary = [line for line in lines if line["level"] == "INFO"]
-        failed = [line for line in lines if line["level"] == "WARNING"]
-        self.assertEqual(len(failed), 10)
-        self.assertLessEqual(len(ordinary), LINES_PER_S[logging.INFO] * (10 + 4))
+        info_lines = [line for line in lines if line["level"] == "INFO"]
+        warnings = [line for line in lines if line["level"] == "WARNING"]
+        self.assertEqual(len(warnings), 10)
+        self.assertLessEqual(len(info_lines), LINES_PER_S[logging.INFO] * (10 + 4))
         dropped = sum(line.get("dropped", {}).get("info", 0) for line in lines)
-        self.assertEqual(dropped + len(ordinary), 10_000)
+        self.assertEqual(dropped + len(info_lines), 10_000)
 
     @trio_test
-    async def test_output_that_nobody_reads_delays_nothing(self):
-        """Every request hangs since the log's reader has stopped.
+    async def test_unread_output_does_not_block(self):
+        """Requests would hang if the log's reader stopped and the pipe were full.
 
-        The pipe is full. Logging and flushing return at once, the queue is
-        bounded, and what was dropped is counted once the reader is back.
+        Logging and flushing return immediately, the queue is bounded, and the
+        number of dropped lines is reported once the reader resumes.
         """
         with trio.fail_after(1000.0):
             for _ in range(200):
@@ -104,7 +104,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """A request's lines are found among those of several instances."""
+    """The lines of a request are found in the logs of several instances."""
 
     def test_lines_are_found_in_time_order(self):
         texts = [
--- a/ibisfront/tests/test_exports.py
+++ b/ibisfront/tests/test_exports.py
@@ -1,4 +1,4 @@
-"""Tests of what the packages export, and of what a start imports."""
+"""Tests of the packages' exports and of the modules imported at start-up."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class ExportsTest(unittest.TestCase):
-    """Names that are imported when they are first asked for."""
+    """Lazily imported names, and modules that a daemon does not load."""
 
-    def test_every_exported_name_is_there(self):
+    def test_every_exported_name_exists(self):
         for package in ("ibisfront", "ibisfront.core"):
             module = importlib.import_module(package)
             for name in module.__all__:
@@ -24,10 +24,10 @@
                 _ = importlib.import_module(package).nothing
 
     def test_front_daemon_starts_without_the_other_interface(self):
-        """Callers find nobody for longer than need be after a loss of power.
+        """Imports for the other interface only would delay the start.
 
-        A starting process imports what only the other interface takes: its
-        tables, its ledger, its listeners.
+        After a power failure callers wait until the processes have started;
+        tables, ledger and listeners of the other interface must not be loaded.
         """
         code = "import sys, ibisfront.front.daemon; print(*sys.modules)"
         run = subprocess.run(
@@ -37,10 +37,10 @@
         self.assertEqual(unneeded & set(run.stdout.split()), set())
 
     def test_front_daemon_runs_without_openssl(self):
-        """Each instance holds 4.7 MB of a library that it never uses.
+        """OpenSSL occupies 4.7 MB in each instance, which never uses it.
 
-        trio loads it for TLS streams. Without it the event loop, sockets and
-        digests must work as ever.
+        trio loads it for TLS streams. The event loop, sockets and digests must
+        work without it.
         """
         code = """
 import sys
--- a/ibisfront/tests/test_pages.py
+++ b/ibisfront/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages say what the code does."""
+"""Tests that the documentation pages match the code."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 from ibisfront.core.errors import ErrorKind
 from ibisfront.core.logs import LOG_PART_HELP, LogPart
 from ibisfront.core.settings import check_settings
-from ibisfront.testing.pages import PAGES, with_generated_parts
+from ibisfront.testing.pages import PAGES, update_generated_sections
 
 ROOT = Path(__file__).parents[2]
 INTERFACE = (ROOT / "docs/INTERFACE.md").read_text()
 EVERY_PAGE = (ROOT / "README.md", ROOT / "CONTRIBUTING.md", *ROOT.glob("docs/*.md"))
 
 
-class GeneratedPartsTest(unittest.TestCase):
-    """The generated parts are up to date."""
+class GeneratedSectionsTest(unittest.TestCase):
+    """The generated sections are up to date."""
 
     def test_pages_match_the_code(self):
         for path in PAGES:
             with self.subTest(path=path):
                 text = (ROOT / path).read_text()
-                self.assertEqual(text, with_generated_parts(text), "run: make pages")
+                self.assertEqual(
+                    text, update_generated_sections(text), "run: make pages"
+                )
 
-    def test_every_error_and_log_part_is_explained(self):
+    def test_every_error_and_log_part_is_documented(self):
         self.assertEqual(set(ADVICE), set(ErrorKind))
         self.assertEqual(set(LOG_PART_HELP), set(LogPart))
 
 
 class InterfacePageTest(unittest.TestCase):
-    """The interface page names what is there, and nothing else."""
+    """The interface page lists exactly what exists."""
 
     def setUp(self):
         instance = mock.Mock()
@@ -46,7 +48,7 @@
             *admin_routes(instance, platform=mock.Mock(), clock=mock.Mock()),
         )
 
-    def answers(self, method, path):
+    def has_route(self, method, path):
         return any(
             route.method == method and route.pattern.fullmatch(path)
             for route in self.routes
@@ -57,13 +59,13 @@
         self.assertGreaterEqual(len(calls), 8)
         for method, path in calls:
             with self.subTest(method=method, path=path):
-                self.assertTrue(self.answers(method, path))
+                self.assertTrue(self.has_route(method, path))
 
     def test_every_operator_route_is_listed(self):
         listed = re.findall(r"^\| `([A-Z]+) (/\S+)`", INTERFACE, re.MULTILINE)
         for method, path in listed:
             with self.subTest(method=method, path=path):
-                self.assertTrue(self.answers(method, path))
+                self.assertTrue(self.has_route(method, path))
         operators = len(
             admin_routes(mock.Mock(), platform=mock.Mock(), clock=mock.Mock())
         )
@@ -75,15 +77,15 @@
 
 
 class EveryPageTest(unittest.TestCase):
-    """Links lead somewhere, and what is shown works."""
+    """Links resolve, and examples are valid."""
 
-    def test_links_lead_to_files(self):
+    def test_links_resolve(self):
         for page in EVERY_PAGE:
             for target in re.findall(r"\]\(([^)#:]+)\)", page.read_text()):
                 with self.subTest(page=page.name, target=target):
                     self.assertTrue((page.parent / target).exists())
 
-    def test_the_settings_of_the_readme_are_good(self):
+    def test_the_settings_in_the_readme_are_valid(self):
         shown = re.search(r"```toml\n(.*?)```", EVERY_PAGE[0].read_text(), re.DOTALL)
         check_settings(shown[1])
 
--- a/ibisfront/tests/test_problems.py
+++ b/ibisfront/tests/test_problems.py
@@ -1,4 +1,4 @@
-"""A walk over the closed list of errors, as a caller sees each."""
+"""Tests of the problem document that a caller receives for each error kind."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from ibisfront.tests.raw_http import ProblemBody, RawReply
 
 
-class Listener:
-    """An ASGI server of one request at a time, without sockets."""
+class AsgiServer:
+    """An ASGI server without sockets, for one request at a time."""
 
     def __init__(self, handler):
         self.exchanges = []
@@ -28,7 +28,7 @@
         )
 
     async def post(self, *headers, path="/v1/try/x", method="POST"):
-        """Send one request and return what came back."""
+        """Send one request and return the response."""
         sent = []
         scope = {
             "type": "http",
@@ -51,15 +51,17 @@
         )
 
 
-class ErrorWalkTest(unittest.TestCase):
-    """Every kind of error comes back as the table says."""
+class ProblemDocumentTest(unittest.TestCase):
+    """Every error kind produces the response defined for it."""
 
     @trio_test
-    async def test_each_kind_brings_its_problem(self):
+    async def test_each_kind_has_its_problem_document(self):
         for kind in ErrorKind:
             with self.subTest(kind=kind):
-                listener = Listener(raising(IbisfrontError(kind, "detail of it")))
-                reply = await listener.post((b"X-Request-Id", b"r-1"))
+                server = AsgiServer(
+                    handler_raising(IbisfrontError(kind, "detail of it"))
+                )
+                reply = await server.post((b"X-Request-Id", b"r-1"))
                 answer = ANSWERS[kind]
                 self.assertEqual(
                     reply.problem,
@@ -86,31 +88,31 @@
             self.assertGreaterEqual(int(reply.headers["retry-after"]) * 1000, advised)
 
     @trio_test
-    async def test_a_fault_of_ours_may_have_run_and_shows_nothing_inside(self):
-        listener = Listener(raising(KeyError("secret inside")))
-        reply = await listener.post()
+    async def test_internal_error_may_have_run_and_reveals_no_details(self):
+        server = AsgiServer(handler_raising(KeyError("secret inside")))
+        reply = await server.post()
         self.assertEqual(reply.problem.code, "internal")
         self.assertEqual(reply.problem.ran, Ran.MAYBE)
         self.assertNotIn(b"secret", reply.body)
-        self.assertIsInstance(listener.exchanges[0].error, KeyError)
+        self.assertIsInstance(server.exchanges[0].error, KeyError)
 
     @trio_test
-    async def test_wrong_method_names_the_right_ones(self):
-        reply = await Listener(echo).post(method="GET")
+    async def test_wrong_method_lists_the_allowed_ones(self):
+        reply = await AsgiServer(echo).post(method="GET")
         self.assertEqual(reply.problem.code, "method_not_allowed")
         self.assertEqual(reply.headers["allow"], "POST")
 
     @trio_test
-    async def test_a_made_request_id_is_the_same_everywhere(self):
-        listener = Listener(raising(IbisfrontError(ErrorKind.OVERLOADED, "full")))
-        reply = await listener.post()
-        self.assertEqual(reply.headers["x-request-id"], reply.problem.request_id)
-        self.assertEqual(
-            listener.exchanges[0].request_id, reply.headers["x-request-id"]
+    async def test_generated_request_id_is_consistent(self):
+        server = AsgiServer(
+            handler_raising(IbisfrontError(ErrorKind.OVERLOADED, "full"))
         )
+        reply = await server.post()
+        self.assertEqual(reply.headers["x-request-id"], reply.problem.request_id)
+        self.assertEqual(server.exchanges[0].request_id, reply.headers["x-request-id"])
 
 
-def raising(error):
+def handler_raising(error):
     """Return a handler that raises an error."""
 
     async def handler(request: HttpRequest):
@@ -120,5 +122,5 @@
 
 
 async def echo(request: HttpRequest):
-    """Answer with what came."""
+    """Return the request as JSON."""
     return msgspec.json.encode(request)
--- a/ibisfront/tests/test_shared_state.py
+++ b/ibisfront/tests/test_shared_state.py
@@ -87,7 +87,7 @@
 
         async def scenario(cluster) -> None:
             for node in cluster.nodes.values():
-                node.platform.cut_off = node.members.own.zone == "z1"
+                node.platform.is_partitioned = node.members.own.zone == "z1"
             version = await cluster.put(ObjectKind.TABLE, TABLE_NAME, _table(2.0))
             took_ms = await cluster.wait_until(lambda: _in_force(cluster, version))
             self.assertLessEqual(took_ms, 1000.0)
@@ -162,7 +162,7 @@
             (fresh,) = cluster.start(1)
 
             def lose_platform(item: VersionedObject) -> None:
-                fresh.platform.cut_off = True
+                fresh.platform.is_partitioned = True
 
             fresh.store.subscribe(lose_platform)
             await cluster.wait_until(lambda: fresh.catalogue.table_version == old)
--- a/properties/test_entry_properties.py
+++ b/properties/test_entry_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the list of backend servers, for any history of entries."""
+"""Properties of the server registry under arbitrary histories of entries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from ibisfront.gateway.state.store import Listing, ObjectChange, StoredObject
 
 IDS = ("i-1", "i-2", "i-3")
-ODD_SPECS = (
+MALFORMED_SPECS = (
     b"null",
     b"[1]",
     b"{",
@@ -33,7 +33,7 @@
 
 
 def spec_of(server_id, born, state):
-    """Return a proper entry, as its server writes it."""
+    """Return a valid entry, as written by its server."""
     number = IDS.index(server_id) + 1
     fields = {
         "service": "s",
@@ -53,18 +53,18 @@
     st.sampled_from(IDS),
     st.one_of(
         st.tuples(st.integers(1, 4), st.sampled_from(("ready", "draining"))),
-        st.sampled_from(ODD_SPECS),
+        st.sampled_from(MALFORMED_SPECS),
         st.none(),
     ),
 )
 
 
-class Oracle:
-    """What the published page says of a history: plain, and by itself.
+class RegistryModel:
+    """Independent model of the documented rules for entries.
 
-    For each id the newest start that was ever listed counts. An entry of an
-    earlier start says nothing, a removed or odd one names no server, and a
-    draining server gets no new request.
+    For each id only the newest start ever listed counts, and entries of earlier
+    starts are ignored. A removed or malformed entry defines no server, and a
+    draining server receives no new requests.
     """
 
     def __init__(self):
@@ -90,10 +90,10 @@
 
 
 class EntryHistoryProperties(unittest.TestCase):
-    """No history of entries leads to a request for the wrong server."""
+    """Requests go only to the right servers after any history of entries."""
 
     def setUp(self):
-        # Some thousand odd entries are drawn, and each is logged.
+        # Hypothesis generates thousands of malformed entries, and each is logged.
         log = logging.getLogger("ibisfront.backend")
         self.addCleanup(log.setLevel, log.level)
         log.setLevel(logging.CRITICAL)
@@ -102,23 +102,23 @@
     @given(
         st.lists(st.tuples(WRITES, st.booleans()), min_size=1, max_size=25),
     )
-    def test_those_asked_are_the_newest_that_are_ready(self, history):
-        """Searches go to a server that is dead, or leave one out that lives.
+    def test_usable_servers_are_the_newest_ready_ones(self, history):
+        """Searches must not use a dead server or omit a live one.
 
-        Servers start again under their ids, other writers put odd entries in
-        their place, entries are removed, and what was written earlier is read
-        again, by changes and by whole lists in any order.
+        Servers restart under the same ids, other writers replace their entries
+        with malformed ones, entries are removed, and earlier writes are read
+        again, as changes and complete lists in any order.
         """
-        trio.run(self._play, history, clock=MockClock())
+        trio.run(self._run_history, history, clock=MockClock())
 
-    async def _play(self, history):
+    async def _run_history(self, history):
         registry = ServerRegistry(
             clock=Clock(), make_pool=lambda server: None, zone="z"
         )
         target = servers_target(_process_of(registry))
-        oracle, objects = Oracle(), {}
+        model, objects = RegistryModel(), {}
         for revision, ((server_id, written), as_list) in enumerate(history, 1):
-            oracle.write(server_id, written)
+            model.write(server_id, written)
             change = _change(server_id, written, revision)
             if change.is_removed:
                 objects.pop(server_id, None)
@@ -128,12 +128,12 @@
                 target.replace(Listing(list(objects.values()), revision), False)
             else:
                 target.change([change])
-            asked = {
+            usable = {
                 (server.entry.server_id, server.entry.born_ms)
                 for server in registry.of_service("s")
                 if server.is_usable
             }
-            self.assertEqual(asked, oracle.expected())
+            self.assertEqual(usable, model.expected())
 
 
 def _change(server_id, written, revision):
@@ -144,7 +144,7 @@
 
 
 def _process_of(registry):
-    """Return what taking entries in needs of a process."""
+    """Return the parts of a process that are needed to apply entries."""
     return SimpleNamespace(
         registry=registry,
         observer=Observer(),
