--- a/ibisfront/core/clock.py
+++ b/ibisfront/core/clock.py
@@ -13,7 +13,7 @@
 
 LATE_WAKE_UP_MS = 8.0
 """Lateness of a wake-up above which the process is assumed to have been suspended.
-CPU throttling can suspend a small instance for 50 ms."""
+A small instance may not be scheduled for 50 ms at a time."""
 
 
 def _system_wall_ms() -> float:
--- a/ibisfront/core/errors.py
+++ b/ibisfront/core/errors.py
@@ -15,7 +15,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a request ran at a backend server."""
+    """Whether a request ran at a backend server, as far as is known."""
 
     NO = "no"
     MAYBE = "maybe"
