--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -1,4 +1,4 @@
-"""How much of each server this instance may use: connections, and cold requests."""
+"""An instance's share of each server: connections, and requests while cold."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 __all__ = ["Connections"]
 
-_PEER_CONNECTIONS = 16
+_MAX_PEER_CONNECTIONS = 16
 """Connections to another instance, each with one delegated query at a time: at
-a hundred queries a second of a tenth of a second each, ten are under way."""
+100 queries/s of 0.1 s each, ten are in flight."""
 
-_ALONE_AFTER_MS = 3_000.0
-"""After how long without a list of instances this one acts as if alone: the
-list is read within a tenth of a second if the store answers."""
+_INSTANCE_LIST_TIMEOUT_MS = 3_000.0
+"""Time without a list of instances after which this one acts as if alone; the
+list is read within 0.1 s if the store answers."""
 
 
 class Connections:
-    """Shares out the connections that servers accept.
+    """Divides the connections that servers accept among instances.
 
     Parameters
     ----------
     coordinators : Coordinators
-        Which instances gather.
+        The instances that coordinate queries.
     budgets : RetryBudgets
-        Knows how many instances there are.
+        Holds the number of instances.
     find_table : callable
-        Returns the configuration in force, if one is known.
+        Returns the configuration in force, or None.
     find_bounds : callable
         Returns the bounds of the deployment.
     nursery : trio.Nursery
@@ -90,39 +90,39 @@
             decode_reply=WIRE.decode_reply, clock=clock, nursery=nursery
         )
 
-    def server_pool(self, server: Server) -> ServerPool:
-        """Return the connections of a new backend server."""
+    def create_server_pool(self, server: Server) -> ServerPool:
+        """Return the connection pool of a new backend server."""
         service = server.entry.service
-        pool = self._pool(server, self._maximum(service))
+        pool = self._pool(server, self._connection_limit(service))
         pool.keeps_idle = self._keeps_idle(service)
-        self._limit_cold(server)
+        self._limit_cold_requests(server)
         return pool
 
-    def peer_pool(self, peer: Server) -> ServerPool:
-        """Return the connections of another instance."""
-        return self._pool(peer, _PEER_CONNECTIONS)
+    def create_peer_pool(self, peer: Server) -> ServerPool:
+        """Return the connection pool of another instance."""
+        return self._pool(peer, _MAX_PEER_CONNECTIONS)
 
-    def share(self, registry: ServerRegistry) -> None:
-        """Share out what servers accept, and give back what is not ours."""
+    def update_limits(self, registry: ServerRegistry) -> None:
+        """Update all pools to this instance's share; close excess idle connections."""
         for server in registry.servers():
             pool = server.pool
             if pool is None:
                 continue
             service = server.entry.service
-            pool.maximum = self._maximum(service)
+            pool.maximum = self._connection_limit(service)
             pool.keeps_idle = self._keeps_idle(service)
-            self._limit_cold(server)
+            self._limit_cold_requests(server)
             if not pool.keeps_idle:
                 pool.close_idle()
 
     def warm_up(self, registry: ServerRegistry) -> None:
-        """Open a first connection to the servers that requests may reach.
+        """Open a first connection to each server that requests may use.
 
         The first query of an instance, and the first after a repartition,
         would otherwise wait for a connection to each of its servers.
         """
         table = self._find_table()
-        if table is None or not self._knows_instances:
+        if table is None or not self._has_instance_list:
             return
         names = table.service_names
         if not self._coordinators.is_coordinator:
@@ -133,47 +133,50 @@
                     server.pool.warm_up()
 
     @property
-    def _knows_instances(self) -> bool:
-        """Whether the list of instances was read, or should have been.
+    def _has_instance_list(self) -> bool:
+        """Whether the list of instances was read, or its timeout has passed.
 
-        Without it every instance of many would open connections to all
+        Without the list, each of many instances would open connections to all
         servers at its start, more than they accept.
         """
         if len(self._coordinators.instances) > 1:
             return True
-        return self._clock.now_ms() - self._started_ms > _ALONE_AFTER_MS
+        return self._clock.now_ms() - self._started_ms > _INSTANCE_LIST_TIMEOUT_MS
 
     def _keeps_idle(self, service: str) -> bool:
         """Return whether connections to a service are kept open while idle.
 
-        A server accepts fewer connections than there are instances. Kept by each
-        that forwards a request now and then, they use up what it accepts; those of
-        the instances that gather are reset, and their parts are missing.
+        A server may accept fewer connections than there are instances. If each
+        instance that forwards an occasional request kept one, the limit would be
+        used up: coordinators' connections are reset, and their parts are missing.
         """
         table = self._find_table()
         if table is None or self._coordinators.is_coordinator:
             return True
         return service not in table.gathered_services
 
-    def _maximum(self, service: str) -> int:
-        """Return this instance's share of what a server accepts."""
+    def _connection_limit(self, service: str) -> int:
+        """Return this instance's share of the connections a server accepts."""
         table = self._find_table()
         routed = None if table is None else table.configuration.services.get(service)
         if table is None or routed is None:
             return 1
         shared = routed.maximum_connections * CONNECTIONS_SHARE
         instances = max(self._budgets.instances, 1)
-        if self._coordinators.is_followed and service in table.gathered_services:
+        if (
+            self._coordinators.receives_delegated_queries
+            and service in table.gathered_services
+        ):
             instances = self._coordinators.count
         return max(int(shared / instances), 1)
 
-    def _limit_cold(self, server: Server) -> None:
-        """Give this instance its share of what a cold server bears."""
+    def _limit_cold_requests(self, server: Server) -> None:
+        """Set this instance's share of the requests a cold server accepts."""
         table = self._find_table()
         service = server.entry.service
         routed = None if table is None else table.configuration.services.get(service)
         limit = server.cold_start_limit
-        limit.share = None
+        limit.share_per_s = None
         if table is None or routed is None:
             return
         limit.warm_up_ms = routed.warm_up_ms
@@ -182,7 +185,7 @@
         senders = [item.name for item in self._coordinators.instances]
         if self._coordinators.uses_coordinators and service in table.gathered_services:
             senders = self._coordinators.names
-        limit.share = cold_share(
+        limit.share_per_s = cold_share(
             server.entry.server_id,
             own=self._coordinators.own_name,
             senders=senders,
--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -17,8 +17,8 @@
 from ibisfront.core.logs import LOGGER_NAME, LogPart, part_logger
 from ibisfront.front.garbage_collection import collect_garbage
 from ibisfront.front.process import FrontProcess
-from ibisfront.front.stopping import stop_in_order
-from ibisfront.gateway.instances.directory import keep_instances
+from ibisfront.front.stopping import stop_gracefully
+from ibisfront.gateway.instances.directory import sync_instances
 from ibisfront.http1.caller_listener import CallerListener
 from ibisfront.http1.listening import listening_socket
 from ibisfront.platform.headers import WIRE
@@ -40,7 +40,7 @@
 _LOG = part_logger(LogPart.INSTANCE)
 _STDOUT = 1
 _SETTINGS_POLL_MS = 2_000.0
-"""How often the settings file is looked at; it may change without a signal."""
+"""Interval at which the settings file is polled; it may change without a signal."""
 
 
 def main(start: EarlyStart) -> None:
@@ -49,11 +49,11 @@
     handler = BoundedLogHandler(_STDOUT, instance=start.settings.instance, clock=clock)
     with ExitStack() as stack:
         stack.callback(handler.flush)
-        _use_log(handler)
+        _install_log_handler(handler)
         trio.run(run_front, start, handler, clock)
 
 
-def _use_log(handler: BoundedLogHandler) -> None:
+def _install_log_handler(handler: BoundedLogHandler) -> None:
     log = logging.getLogger(LOGGER_NAME)
     log.addHandler(handler)
     log.setLevel(logging.INFO)
@@ -64,7 +64,7 @@
 async def run_front(
     start: EarlyStart, handler: BoundedLogHandler, clock: Clock
 ) -> None:
-    """Serve until SIGTERM, and stop in order."""
+    """Serve until SIGTERM, then stop gracefully."""
     settings, path = start.settings, start.path
     async with AsyncExitStack() as stack:
         nursery = await stack.enter_async_context(trio.open_nursery())
@@ -76,25 +76,25 @@
             settings.callers_address,
             process.gateway.answer,
             limits,
-            sock=start.callers,
+            sock=start.callers_socket,
         )
         if settings.metrics_address is not None:
             listen(settings.metrics_address, process.answer_metrics, limits)
         if settings.peers_address is not None:
             listen(settings.peers_address, process.answer_peer, process.peer_limits)
-            _join(settings, process, nursery, stack, clock)
+            _join_instances(settings, process, nursery, stack, clock)
         else:
             process.state_sync.record_listed()
         nursery.start_soon(process.state_sync.run)
-        nursery.start_soon(process.keep_up)
+        nursery.start_soon(process.run_maintenance)
         nursery.start_soon(process.zone_path_monitor.run)
         nursery.start_soon(handler.run)
         nursery.start_soon(collect_garbage, clock)
         nursery.start_soon(_watch_settings, process, path, clock)
-        fields = {"zone": settings.zone, "early": start.callers is not None}
+        fields = {"zone": settings.zone, "early": start.callers_socket is not None}
         _LOG.info("%s starts.", settings.instance, extra=fields)
-        await _until_stopped(process, path)
-        await stop_in_order(process, callers, clock=clock)
+        await _wait_for_stop(process, path)
+        await stop_gracefully(process, callers, clock=clock)
         nursery.cancel_scope.cancel()
 
 
@@ -118,23 +118,23 @@
     return listener
 
 
-def _join(
+def _join_instances(
     settings: GatewaySettings,
     process: FrontProcess,
     nursery: trio.Nursery,
     stack: AsyncExitStack,
     clock: Clock,
 ) -> None:
-    """Register this instance and keep up with the others."""
+    """Register this instance and track the others."""
     directory = PlatformDirectory(settings.store_address)
     stack.callback(directory.close)
     nursery.start_soon(
         partial(
-            keep_instances,
+            sync_instances,
             directory,
             process.own,
-            on_list=process.take_instances,
-            on_first_try=process.state_sync.record_listed,
+            on_list=process.apply_instances,
+            on_first_attempt=process.state_sync.record_listed,
             is_needed=lambda: process.state_sync.watches_store,
             is_first_start=settings.is_first_start,
             clock=clock,
@@ -142,12 +142,12 @@
     )
 
 
-async def _until_stopped(process: FrontProcess, path: Path) -> None:
+async def _wait_for_stop(process: FrontProcess, path: Path) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as signals:
-        await _next_stop(signals, process, path)
+        await _handle_signals(signals, process, path)
 
 
-async def _next_stop(
+async def _handle_signals(
     signals: AsyncIterator[int], process: FrontProcess, path: Path
 ) -> None:
     async for number in signals:
@@ -157,13 +157,13 @@
 
 
 async def _watch_settings(process: FrontProcess, path: Path, clock: Clock) -> None:
-    """Read the settings again when their file has changed without a signal."""
-    seen = _modified_ns(path)
+    """Reload the settings when their file changes without a signal."""
+    last_modified_ns = _modified_ns(path)
     while True:
         await clock.sleep_ms(_SETTINGS_POLL_MS)
-        found = _modified_ns(path)
-        if found is not None and found != seen:
-            seen = found
+        modified_ns = _modified_ns(path)
+        if modified_ns is not None and modified_ns != last_modified_ns:
+            last_modified_ns = modified_ns
             _reload(process, path)
 
 
@@ -171,17 +171,17 @@
     try:
         return path.stat().st_mtime_ns
     except OSError as error:
-        _LOG.warning("The settings file cannot be looked at: %s.", error)
+        _LOG.warning("The settings file cannot be read: %s.", error)
         return None
 
 
 def _reload(process: FrontProcess, path: Path) -> None:
-    """Take in changed settings; wrong ones are logged and left aside."""
+    """Apply changed settings; invalid ones are logged and ignored."""
     try:
         settings = read_platform_settings(path)
     except IbisfrontError as error:
-        _LOG.error("The settings stay as they are: %s.", error.detail)
+        _LOG.error("The settings are invalid and stay unchanged: %s.", error.detail)
         return
     changed = settings != process.settings
     process.apply_settings(settings)
-    _LOG.info("The settings were read again; changed: %s.", changed)
+    _LOG.info("The settings were reloaded; changed: %s.", changed)
