--- a/ibisfront/core/table_edit.py
+++ b/ibisfront/core/table_edit.py
@@ -158,18 +158,18 @@
         ``platform_unavailable``, or ``internal`` if the value is not a
         valid table.
     """
-    found = await platform.get(ObjectKind.TABLE, TABLE_NAME)
-    if found is None or found.value_json is None:
+    stored = await platform.get(ObjectKind.TABLE, TABLE_NAME)
+    if stored is None or stored.value_json is None:
         return VersionedTable(0, Table())
     try:
-        table = msgspec.json.decode(found.value_json, type=Table)
+        table = msgspec.json.decode(stored.value_json, type=Table)
     except msgspec.MsgspecError as error:
         raise IbisfrontError(
             ErrorKind.INTERNAL,
-            f"version {found.version} in the platform is not a valid table: {error}",
+            f"version {stored.version} in the platform is not a valid table: {error}",
             ran=Ran.NO,
         ) from error
-    return VersionedTable(found.version, table)
+    return VersionedTable(stored.version, table)
 
 
 async def edit_table(
--- a/ibisfront/testing/local_platform.py
+++ b/ibisfront/testing/local_platform.py
@@ -57,24 +57,24 @@
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
             await self._hang_if_partitioned()
             try:
-                return _object(await self._platform.get(kind, name))
+                return _to_versioned_object(await self._platform.get(kind, name))
             except PlatformRefused as refused:
                 if refused.status == HTTPStatus.NOT_FOUND:
                     return None
-                raise _unavailable() from refused
+                raise _unavailable_error() from refused
             except AnswerLost as lost:
-                raise _unavailable() from lost
-        raise _unavailable()
+                raise _unavailable_error() from lost
+        raise _unavailable_error()
 
     async def list_objects(self, kinds: Sequence[ObjectKind]) -> ObjectsRead:
         """Return all objects of the given kinds."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
             await self._hang_if_partitioned()
             try:
-                return _read(await self._platform.list(frozenset(kinds)))
+                return _to_objects_read(await self._platform.list(frozenset(kinds)))
             except (PlatformRefused, AnswerLost) as error:
-                raise _unavailable() from error
-        raise _unavailable()
+                raise _unavailable_error() from error
+        raise _unavailable_error()
 
     async def changes(
         self, kinds: Sequence[ObjectKind], *, after: Version, wait_ms: float
@@ -90,13 +90,13 @@
             except PlatformRefused as refused:
                 if refused.status == HTTPStatus.GONE:
                     return None
-                raise _unavailable() from refused
+                raise _unavailable_error() from refused
             except AnswerLost as lost:
-                raise _unavailable() from lost
+                raise _unavailable_error() from lost
             if self.is_partitioned:
-                raise _unavailable()
-            return _read(changes)
-        raise _unavailable()
+                raise _unavailable_error()
+            return _to_objects_read(changes)
+        raise _unavailable_error()
 
     async def put(
         self,
@@ -117,10 +117,10 @@
             except PlatformRefused as refused:
                 if refused.status == HTTPStatus.PRECONDITION_FAILED:
                     raise WriteConflict(f"{kind}/{name}") from refused
-                raise _unknown() from refused
+                raise _unknown_outcome_error() from refused
             except AnswerLost as lost:
-                raise _unknown() from lost
-        raise _unknown()
+                raise _unknown_outcome_error() from lost
+        raise _unknown_outcome_error()
 
     async def members(self) -> list[Member]:
         """Return the listed live instances as initial contacts."""
@@ -129,33 +129,35 @@
             try:
                 listed = await self._platform.instances()
             except (PlatformRefused, AnswerLost) as error:
-                raise _unavailable() from error
+                raise _unavailable_error() from error
             return [
                 Member(item.name, item.zone, item.peer_address, item.admin_address)
                 for item in listed.instances
                 if item.state is InstanceState.LIVE
             ]
-        raise _unavailable()
+        raise _unavailable_error()
 
     async def _hang_if_partitioned(self) -> None:
         if self.is_partitioned:
             await trio.sleep_forever()
 
 
-def _read(result: ObjectList | ChangeList) -> ObjectsRead:
-    return ObjectsRead(result.revision, tuple(_object(item) for item in result.objects))
+def _to_objects_read(result: ObjectList | ChangeList) -> ObjectsRead:
+    return ObjectsRead(
+        result.revision, tuple(_to_versioned_object(item) for item in result.objects)
+    )
 
 
-def _object(stored: StoredObject) -> VersionedObject:
+def _to_versioned_object(stored: StoredObject) -> VersionedObject:
     value_json = None if stored.value is None else msgspec.json.encode(stored.value)
     return VersionedObject(
         ObjectKind(stored.kind), stored.name, stored.version, value_json
     )
 
 
-def _unavailable() -> IbisfrontError:
+def _unavailable_error() -> IbisfrontError:
     return IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform is unavailable")
 
 
-def _unknown() -> IbisfrontError:
+def _unknown_outcome_error() -> IbisfrontError:
     return IbisfrontError(ErrorKind.WRITE_UNKNOWN, "the response was lost")
