--- a/ibisfront/lab/__init__.py
+++ b/ibisfront/lab/__init__.py
@@ -1,21 +1,21 @@
-"""A laboratory: the tier's decisions under modelled load, in virtual time.
+"""Simulates the tier under load in virtual time.
 
-Several instances that gather run in one process with the decision code of the product,
-against modelled servers, links and callers. The same seed gives the same run.
+Several coordinators run the production decision code in one process, against
+simulated servers, network paths and callers. The same seed gives the same run.
 """
 
 from __future__ import annotations
 
-from ibisfront.lab.comparing import Comparison, compare
+from ibisfront.lab.comparison import Comparison, compare
 from ibisfront.lab.pattern import Pattern, PatternError, read_pattern
-from ibisfront.lab.results import QueryFigures, RunResult
-from ibisfront.lab.running import run_pattern
+from ibisfront.lab.results import QuerySummary, RunResult
+from ibisfront.lab.runner import run_pattern
 
 __all__ = [
     "Comparison",
     "Pattern",
     "PatternError",
-    "QueryFigures",
+    "QuerySummary",
     "RunResult",
     "compare",
     "read_pattern",
--- a/ibisfront/lab/callers.py
+++ b/ibisfront/lab/callers.py
@@ -1,4 +1,4 @@
-"""Callers: independent, with a deadline, who come again after a failure."""
+"""Simulated callers: independent arrivals with a deadline that retry failed queries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import trio
 
 from ibisfront.gateway.messages import CallerReply, InboundRequest
-from ibisfront.lab.connections import MISSING, RETRY_AFTER_MS
+from ibisfront.lab.connections import MISSING_SHARDS, RETRY_AFTER_MS
 from ibisfront.lab.deployment import HOST
 from ibisfront.lab.results import Outcome, Recorder
 
@@ -18,59 +18,59 @@
 
     from ibisfront.core.clock import Clock
     from ibisfront.gateway.gateway import Gateway
-    from ibisfront.lab.pattern import Pattern, Queries
+    from ibisfront.lab.pattern import Pattern, QueryKind
 
-__all__ = ["Arrival", "Callers", "arrivals"]
+__all__ = ["Arrival", "Callers", "draw_arrivals"]
 
 _OK = 200
 _UNAVAILABLE = 503
-_LONGEST_WAIT_SHARE = 1.0 / 3.0
-"""Share of the time left for which a caller waits before it comes again."""
+_MAX_BACKOFF_FRACTION = 1.0 / 3.0
+"""Longest wait before a retry, as a fraction of the time left until the deadline."""
 
 
 class Arrival(msgspec.Struct, frozen=True, order=True):
-    """One caller.
+    """Arrival of one caller.
 
     Attributes
     ----------
     at_ms : float
-        When it comes, from the start of the load.
-    kind : int
-        Which of the pattern's queries it asks.
+        Arrival time from the start of the load.
+    query_index : int
+        Index of its query in the pattern's queries.
     is_impatient : bool
-        Whether it leaves before its deadline.
+        Whether it abandons the query before its deadline.
     instances : tuple of int
-        Which instances the balancer sends its tries to.
+        Instances that the load balancer sends its successive tries to.
     """
 
     at_ms: float
-    kind: int
+    query_index: int
     is_impatient: bool
     instances: tuple[int, ...]
 
 
-def arrivals(pattern: Pattern, random: np.random.Generator) -> list[Arrival]:
-    """Return all callers of a run, in order."""
-    found = []
-    for kind, queries in enumerate(pattern.queries):
+def draw_arrivals(pattern: Pattern, random: np.random.Generator) -> list[Arrival]:
+    """Draw the arrivals of all callers of a run, sorted by time."""
+    arrivals = []
+    for query_index, query_kind in enumerate(pattern.queries):
         at_s = 0.0
-        most_per_s = queries.per_s * _most_load(pattern)
+        peak_per_s = query_kind.per_s * _peak_load(pattern)
         while True:
-            at_s += float(random.exponential(1.0 / most_per_s))
+            at_s += float(random.exponential(1.0 / peak_per_s))
             if at_s >= pattern.duration_s:
                 break
-            if random.random() * most_per_s >= queries.per_s * _load(pattern, at_s):
+            if random.random() * peak_per_s >= query_kind.per_s * _load(pattern, at_s):
                 continue
-            instances = random.integers(pattern.gatherers, size=queries.retries + 1)
-            found.append(
+            instances = random.integers(pattern.gatherers, size=query_kind.retries + 1)
+            arrivals.append(
                 Arrival(
                     at_s * 1000.0,
-                    kind,
-                    bool(random.random() < queries.impatient),
-                    tuple(int(number) for number in instances),
+                    query_index,
+                    bool(random.random() < query_kind.impatient),
+                    tuple(int(instance) for instance in instances),
                 )
             )
-    return sorted(found)
+    return sorted(arrivals)
 
 
 def _load(pattern: Pattern, at_s: float) -> float:
@@ -82,27 +82,34 @@
     return load
 
 
-def _most_load(pattern: Pattern) -> float:
+def _peak_load(pattern: Pattern) -> float:
     bursts = [burst.factor for burst in pattern.bursts if burst.factor > 1.0]
     return (1.0 + pattern.swing) * math.prod(bursts)
 
 
 class Callers:
-    """Plays the callers of a run.
+    """Simulates the callers of a run.
 
     Parameters
     ----------
     pattern : Pattern
-        What they ask.
+        Defines the queries.
     gateways : list of Gateway
-        Whom they ask.
+        Receive the queries.
     recorder : Recorder
-        Takes what came of it.
+        Records the outcomes.
     clock : Clock
         The virtual clock.
     """
 
-    __slots__ = ("_clock", "_count", "_gateways", "_pattern", "_recorder", "_start_ms")
+    __slots__ = (
+        "_clock",
+        "_gateways",
+        "_pattern",
+        "_recorder",
+        "_request_count",
+        "_start_ms",
+    )
 
     def __init__(
         self,
@@ -116,92 +123,104 @@
         self._gateways = gateways
         self._recorder = recorder
         self._clock = clock
-        self._count = 0
+        self._request_count = 0
         self._start_ms = clock.now_ms()
 
-    async def run(self, coming: list[Arrival]) -> None:
-        """Let all of them come, and wait until the last has gone."""
+    async def run(self, arrivals: list[Arrival]) -> None:
+        """Start a caller at each arrival, and wait for all of them."""
         async with trio.open_nursery() as nursery:
-            for arrival in coming:
+            for arrival in arrivals:
                 due_ms = self._start_ms + arrival.at_ms
                 await self._clock.sleep_ms(due_ms - self._clock.now_ms())
-                nursery.start_soon(self._come, arrival)
+                nursery.start_soon(self._run_caller, arrival)
 
-    async def _come(self, arrival: Arrival) -> None:
-        queries = self._pattern.queries[arrival.kind]
+    async def _run_caller(self, arrival: Arrival) -> None:
+        query_kind = self._pattern.queries[arrival.query_index]
         started_ms = self._clock.now_ms()
         reply: CallerReply | None = None
-        wait_ms = queries.patience_ms if arrival.is_impatient else queries.deadline_ms
-        with self._clock.timeout_ms(wait_ms) as scope:
-            reply = await self._ask(arrival, queries, started_ms + queries.deadline_ms)
-        took_ms = self._clock.now_ms() - started_ms
-        has_left = arrival.is_impatient and scope.cancelled_caught
-        outcome = _outcome(queries, reply, took_ms, has_left=has_left)
-        self._recorder.note(
-            queries.name,
+        timeout_ms = (
+            query_kind.patience_ms if arrival.is_impatient else query_kind.deadline_ms
+        )
+        with self._clock.timeout_ms(timeout_ms) as scope:
+            reply = await self._send_with_retries(
+                arrival, query_kind, started_ms + query_kind.deadline_ms
+            )
+        latency_ms = self._clock.now_ms() - started_ms
+        has_abandoned = arrival.is_impatient and scope.cancelled_caught
+        outcome = _outcome(query_kind, reply, latency_ms, has_abandoned=has_abandoned)
+        self._recorder.record(
+            query_kind.name,
             outcome,
-            came_s=arrival.at_ms / 1000.0,
-            took_ms=took_ms,
-            earned=_earned(queries, outcome, reply, self._pattern.shards),
-            owed=queries.worth,
+            arrived_s=arrival.at_ms / 1000.0,
+            latency_ms=latency_ms,
+            achieved_worth=_achieved_worth(
+                query_kind, outcome, reply, self._pattern.shards
+            ),
+            full_worth=query_kind.worth,
         )
 
-    async def _ask(
-        self, arrival: Arrival, queries: Queries, until_ms: float
+    async def _send_with_retries(
+        self, arrival: Arrival, query_kind: QueryKind, deadline_at_ms: float
     ) -> CallerReply:
-        """Ask, and ask again as often as such callers do."""
+        """Send the query, retrying until it succeeds or the tries are used up."""
         reply = CallerReply(0, [], b"", "")
-        for number in arrival.instances:
-            left_ms = until_ms - self._clock.now_ms()
-            gateway = self._gateways[number]
-            reply = await gateway.answer(self._request(arrival, queries, left_ms))
-            if reply.status == _OK or number is arrival.instances[-1]:
+        for instance in arrival.instances:
+            remaining_ms = deadline_at_ms - self._clock.now_ms()
+            gateway = self._gateways[instance]
+            reply = await gateway.answer(
+                self._request(arrival, query_kind, remaining_ms)
+            )
+            if reply.status == _OK or instance is arrival.instances[-1]:
                 break
-            left_ms = until_ms - self._clock.now_ms()
-            await self._clock.sleep_ms(_wait_ms(reply, left_ms))
+            remaining_ms = deadline_at_ms - self._clock.now_ms()
+            await self._clock.sleep_ms(_backoff_ms(reply, remaining_ms))
         return reply
 
     def _request(
-        self, arrival: Arrival, queries: Queries, left_ms: float
+        self, arrival: Arrival, query_kind: QueryKind, remaining_ms: float
     ) -> InboundRequest:
-        self._count += 1
+        self._request_count += 1
         return InboundRequest(
             method=b"GET",
-            target=f"/{queries.name}/{arrival.kind}".encode(),
+            target=f"/{query_kind.name}/{arrival.query_index}".encode(),
             host=HOST,
-            request_id=str(self._count),
-            deadline_ms=left_ms,
+            request_id=str(self._request_count),
+            deadline_ms=remaining_ms,
             headers=[],
             body=b"",
             arrived_at_ms=self._clock.now_ms(),
         )
 
 
-def _wait_ms(reply: CallerReply, left_ms: float) -> float:
+def _backoff_ms(reply: CallerReply, remaining_ms: float) -> float:
     if reply.status != _UNAVAILABLE:
         return 0.0
-    asked_ms = float(dict(reply.headers).get(RETRY_AFTER_MS, b"0"))
-    return min(asked_ms, left_ms * _LONGEST_WAIT_SHARE)
+    retry_after_ms = float(dict(reply.headers).get(RETRY_AFTER_MS, b"0"))
+    return min(retry_after_ms, remaining_ms * _MAX_BACKOFF_FRACTION)
 
 
 def _outcome(
-    queries: Queries, reply: CallerReply | None, took_ms: float, *, has_left: bool
+    query_kind: QueryKind,
+    reply: CallerReply | None,
+    latency_ms: float,
+    *,
+    has_abandoned: bool,
 ) -> Outcome:
-    if has_left:
+    if has_abandoned:
         return Outcome.LEFT
     if reply is None or reply.status not in (_OK, _UNAVAILABLE):
         return Outcome.UNSERVED
     if reply.status == _UNAVAILABLE:
         return Outcome.REFUSED
-    return Outcome.IN_TIME if took_ms <= queries.objective_ms else Outcome.LATE
+    return Outcome.IN_TIME if latency_ms <= query_kind.objective_ms else Outcome.LATE
 
 
-def _earned(
-    queries: Queries, outcome: Outcome, reply: CallerReply | None, shards: int
+def _achieved_worth(
+    query_kind: QueryKind, outcome: Outcome, reply: CallerReply | None, shards: int
 ) -> float:
     if reply is None or outcome not in (Outcome.IN_TIME, Outcome.LATE):
         return 0.0
-    missing = int(dict(reply.headers).get(MISSING, b"0"))
-    share = (shards - missing) / shards
-    worth = queries.worth * share * share
-    return worth if outcome is Outcome.IN_TIME else worth * queries.late_worth
+    missing = int(dict(reply.headers).get(MISSING_SHARDS, b"0"))
+    coverage = (shards - missing) / shards
+    worth = query_kind.worth * coverage * coverage
+    return worth if outcome is Outcome.IN_TIME else worth * query_kind.late_worth
--- a/ibisfront/lab/deployment.py
+++ b/ibisfront/lab/deployment.py
@@ -1,4 +1,4 @@
-"""The modelled deployment: servers, and instances with the product's decisions."""
+"""Simulated deployment: servers, and instances that run the production gateway."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     RoutedService,
     RouteTable,
 )
-from ibisfront.lab.connections import LAB_WIRE, connect
+from ibisfront.lab.connections import LAB_WIRE_CODEC, connect
 from ibisfront.lab.pattern import FaultKind
-from ibisfront.lab.servers import ModelServer
+from ibisfront.lab.servers import SimulatedServer
 
 if TYPE_CHECKING:
     import trio
@@ -37,27 +37,27 @@
     from ibisfront.core.types import Address
     from ibisfront.gateway.servers.pool import ServerConnection
     from ibisfront.gateway.servers.server import Server
-    from ibisfront.lab.agenda import Agenda
     from ibisfront.lab.pattern import Fault, Pattern
+    from ibisfront.lab.scheduler import EventScheduler
 
 __all__ = ["HOST", "Deployment"]
 
 HOST = "lab.example"
-_SHARE_OF_CONNECTIONS = 0.9
-_UPKEEP_MS = 100.0
+_USABLE_CONNECTION_FRACTION = 0.9
+_PROBE_INTERVAL_MS = 100.0
 
 
 class Deployment:
-    """Servers and instances of a pattern.
+    """Servers and instances of a load pattern.
 
     Parameters
     ----------
     pattern : Pattern
-        What there is.
+        Defines the deployment.
     random : numpy.random.Generator
-        Draws the servers' work, and which of them a fault hits.
-    agenda : Agenda
-        Plans what the model does.
+        Draws service times and the servers that each fault affects.
+    scheduler : EventScheduler
+        Schedules the simulated events.
     clock : Clock
         The virtual clock.
     nursery : trio.Nursery
@@ -67,18 +67,18 @@
     ----------
     gateways : list of Gateway
         The instances.
-    servers : list of ModelServer
-        The servers, those of a shard one after the other.
+    servers : list of SimulatedServer
+        The servers, grouped by shard.
     """
 
     __slots__ = (
-        "_agenda",
         "_by_address",
         "_clock",
         "_nursery",
         "_pattern",
         "_random",
         "_registries",
+        "_scheduler",
         "gateways",
         "servers",
     )
@@ -88,50 +88,52 @@
         pattern: Pattern,
         *,
         random: np.random.Generator,
-        agenda: Agenda,
+        scheduler: EventScheduler,
         clock: Clock,
         nursery: trio.Nursery,
     ) -> None:
-        # Lines of modelled instances say nothing to an operator.
+        # Log lines of simulated instances are of no use to operators.
         logging.getLogger(LOGGER_NAME).setLevel(logging.CRITICAL)
         self._pattern = pattern
         self._random = random
-        self._agenda = agenda
+        self._scheduler = scheduler
         self._clock = clock
         self._nursery = nursery
         self.servers = [
-            self._server(shard, copy)
+            self._make_server(shard, replica)
             for shard in range(pattern.shards)
-            for copy in range(pattern.servers_per_shard)
+            for replica in range(pattern.servers_per_shard)
         ]
         self._registries: list[ServerRegistry] = []
         self._by_address = {item.entry.address: item for item in self.servers}
-        self.gateways = [self._gateway(n) for n in range(pattern.gatherers)]
+        self.gateways = [self._make_gateway(n) for n in range(pattern.gatherers)]
         for fault in pattern.faults:
-            self._plan(fault)
+            self._schedule_fault(fault)
 
-    async def keep_up(self) -> None:
-        """Look after what the instances know of servers, until cancelled."""
+    async def probe_servers(self) -> None:
+        """Probe unreachable servers periodically until cancelled."""
         while True:
-            await self._clock.sleep_ms(_UPKEEP_MS)
+            await self._clock.sleep_ms(_PROBE_INTERVAL_MS)
             for registry in self._registries:
                 registry.probe_unreachable()
 
-    def _server(self, shard: int, copy: int) -> ModelServer:
-        zone = f"z{(shard + copy) % self._pattern.zones}"
-        name = f"{shard}.{copy}"
+    def _make_server(self, shard: int, replica: int) -> SimulatedServer:
+        zone = f"z{(shard + replica) % self._pattern.zones}"
+        name = f"{shard}.{replica}"
         entry = ServerEntry(name, f"shard-{shard}", name, zone, self._pattern.slots)
-        return ModelServer(
+        return SimulatedServer(
             entry,
             self._pattern,
             random=np.random.default_rng(self._random.integers(2**63)),
-            agenda=self._agenda,
+            scheduler=self._scheduler,
         )
 
-    def _gateway(self, number: int) -> Gateway:
+    def _make_gateway(self, number: int) -> Gateway:
         pattern = self._pattern
         zone = f"z{number % pattern.zones}"
-        registry = ServerRegistry(clock=self._clock, make_pool=self._pool, zone=zone)
+        registry = ServerRegistry(
+            clock=self._clock, make_pool=self._make_pool, zone=zone
+        )
         self._registries.append(registry)
         for server in self.servers:
             registry.put(server.entry)
@@ -142,7 +144,7 @@
             RequestServices(
                 registry=registry,
                 budgets=RetryBudgets(bounds, instances=pattern.gatherers),
-                wire=LAB_WIRE,
+                wire=LAB_WIRE_CODEC,
                 clock=self._clock,
                 observer=Observer(),
             )
@@ -166,56 +168,60 @@
             )
             for item in self._pattern.queries
         )
-        accepted = self._pattern.connections
-        services = {name: RoutedService(name, accepted) for name in names}
+        max_connections = self._pattern.connections
+        services = {name: RoutedService(name, max_connections) for name in names}
         return Configuration(1, routes, services, CallerLimits())
 
-    def _pool(self, server: Server) -> ServerPool:
+    def _make_pool(self, server: Server) -> ServerPool:
         pattern = self._pattern
-        shared = pattern.connections * _SHARE_OF_CONNECTIONS
-        way_ms = pattern.way_near_ms if server.is_near else pattern.way_far_ms
+        usable = pattern.connections * _USABLE_CONNECTION_FRACTION
+        path_delay_ms = pattern.way_near_ms if server.is_near else pattern.way_far_ms
         return ServerPool(
             server,
-            open_connection=partial(self._connect, way_ms),
+            open_connection=partial(self._connect, path_delay_ms),
             nursery=self._nursery,
             clock=self._clock,
-            maximum=max(int(shared / pattern.gatherers), 1),
+            maximum=max(int(usable / pattern.gatherers), 1),
         )
 
-    async def _connect(self, way_ms: float, address: Address) -> ServerConnection:
+    async def _connect(
+        self, path_delay_ms: float, address: Address
+    ) -> ServerConnection:
         return await connect(
             self._by_address[address],
-            way_ms=way_ms,
+            path_delay_ms=path_delay_ms,
             connect_ms=self._pattern.connect_ms,
-            most=self._pattern.connections,
-            agenda=self._agenda,
+            max_connections=self._pattern.connections,
+            scheduler=self._scheduler,
             clock=self._clock,
         )
 
-    def _plan(self, fault: Fault) -> None:
-        """Plan a fault's beginning and its end."""
-        hit = self._hit(fault)
+    def _schedule_fault(self, fault: Fault) -> None:
+        """Schedule the start and end of a fault."""
+        affected = self._draw_affected_servers(fault)
         start_ms = self._clock.now_ms() + fault.from_s * 1000.0
-        self._agenda.at(start_ms, partial(_begin, fault, hit))
-        self._agenda.at(start_ms + fault.for_s * 1000.0, partial(_finish, fault, hit))
+        self._scheduler.call_at(start_ms, partial(_apply_fault, fault, affected))
+        self._scheduler.call_at(
+            start_ms + fault.for_s * 1000.0, partial(_clear_fault, fault, affected)
+        )
 
-    def _hit(self, fault: Fault) -> list[ModelServer]:
-        """Draw the servers that a fault hits."""
+    def _draw_affected_servers(self, fault: Fault) -> list[SimulatedServer]:
+        """Draw the servers that a fault affects."""
         if fault.servers:
             count = round(fault.servers * len(self.servers))
             chosen = self._random.choice(len(self.servers), count, replace=False)
             return [self.servers[int(number)] for number in chosen]
-        copies = self._pattern.servers_per_shard
+        replicas = self._pattern.servers_per_shard
         count = round(fault.shards * self._pattern.shards)
         shards = self._random.choice(self._pattern.shards, count, replace=False)
         return [
-            self.servers[int(shard) * copies + copy]
+            self.servers[int(shard) * replicas + replica]
             for shard in shards
-            for copy in range(fault.copies)
+            for replica in range(fault.copies)
         ]
 
 
-def _begin(fault: Fault, servers: list[ModelServer]) -> None:
+def _apply_fault(fault: Fault, servers: list[SimulatedServer]) -> None:
     for server in servers:
         match fault.kind:
             case FaultKind.SLOW:
@@ -223,10 +229,10 @@
             case FaultKind.SILENT:
                 server.is_silent = True
             case FaultKind.DOWN:
-                server.go_down()
+                server.crash()
 
 
-def _finish(fault: Fault, servers: list[ModelServer]) -> None:
+def _clear_fault(fault: Fault, servers: list[SimulatedServer]) -> None:
     for server in servers:
         match fault.kind:
             case FaultKind.SLOW:
--- a/ibisfront/lab/pattern.py
+++ b/ibisfront/lab/pattern.py
@@ -1,4 +1,4 @@
-"""Load patterns: what callers ask, what servers there are and what befalls them."""
+"""Load patterns: queries of callers, deployment, faults and bursts."""
 
 from __future__ import annotations
 
@@ -9,60 +9,60 @@
 
 import msgspec
 
-__all__ = ["Fault", "FaultKind", "Pattern", "PatternError", "Queries", "read_pattern"]
+__all__ = ["Fault", "FaultKind", "Pattern", "PatternError", "QueryKind", "read_pattern"]
 
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Proportion = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, msgspec.Meta(gt=0.0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0.0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0.0)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 
 
 class PatternError(ValueError):
-    """A pattern file that cannot be used; the text says where and why."""
+    """Raised for an invalid pattern file; the message says where and why."""
 
 
 class FaultKind(StrEnum):
-    """What befalls servers."""
+    """Kind of a server fault."""
 
     SLOW = "slow"
-    """They work slower by ``factor``."""
+    """The servers take ``factor`` times as long."""
 
     SILENT = "silent"
-    """They take requests and reply nothing."""
+    """The servers accept requests and never reply."""
 
     DOWN = "down"
-    """They refuse connections; what they had is lost."""
+    """The servers refuse connections; their pending requests are lost."""
 
 
-class Queries(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class QueryKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One kind of query.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the kind, unique in the pattern.
     per_s : float
-        How many come in a second, from independent callers.
+        Arrival rate from independent callers, per second.
     work_ms : float
-        Median work of one part at a server.
+        Median service time of one shard's sub-request.
     objective_ms, deadline_ms : float
-        Until when an answer has its full worth, and until when it has any.
+        Latency up to which a reply has its full worth, and up to which it has any.
     minimum_coverage : float
-        The least share of the shards in an answer.
+        Smallest fraction of the shards in a reply.
     spread : float
-        Standard deviation of the logarithm of the work.
+        Standard deviation of the logarithm of the service time.
     tail, tail_factor : float
-        The share of parts that are longer, and by how much.
+        Fraction of sub-requests that take longer, and their slowdown.
     rank : int
-        0 goes first.
+        Priority; 0 is the highest.
     worth, late_worth : float
-        What an answer in time is worth, and the share of it that a late one is.
+        Worth of a reply in time, and the fraction of it that a late reply keeps.
     retries : int
-        How often a caller comes again after a failure.
+        Number of times a caller retries a failed query.
     patience_ms : float
-        After how long impatient callers leave; 0 for never.
+        Time after which impatient callers abandon the query; 0 for never.
     impatient : float
-        The share of callers that do.
+        Fraction of callers that are impatient.
     """
 
     name: str
@@ -70,51 +70,51 @@
     work_ms: Positive
     objective_ms: Positive
     deadline_ms: Positive
-    minimum_coverage: Share = 0.95
-    spread: NotNegative = 0.35
-    tail: Share = 0.01
+    minimum_coverage: Proportion = 0.95
+    spread: NonNegative = 0.35
+    tail: Proportion = 0.01
     tail_factor: Positive = 5.0
     rank: Annotated[int, msgspec.Meta(ge=0)] = 1
     worth: Positive = 1.0
-    late_worth: Share = 0.1
+    late_worth: Proportion = 0.1
     retries: Annotated[int, msgspec.Meta(ge=0, le=10)] = 1
-    patience_ms: NotNegative = 0.0
-    impatient: Share = 0.0
+    patience_ms: NonNegative = 0.0
+    impatient: Proportion = 0.0
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What befalls some servers for a while.
+    """Temporary fault of some servers.
 
     Attributes
     ----------
     kind : FaultKind
-        What.
+        Kind of the fault.
     from_s, for_s : float
-        When, from the start of the load.
+        Start, from the start of the load, and duration.
     shards : float
-        The share of the shards that are hit.
+        Fraction of the shards that are affected.
     copies : int
-        How many servers of each of these.
+        Number of affected servers in each of these shards.
     servers : float
-        The share of all servers that are hit, whatever their shard; in place of the
-        two above.
+        Fraction of all servers that are affected, regardless of shard; replaces
+        ``shards`` and ``copies``.
     factor : float
-        How much slower.
+        Slowdown of a ``SLOW`` fault.
     """
 
     kind: FaultKind
-    from_s: NotNegative
+    from_s: NonNegative
     for_s: Positive
-    shards: Share = 0.0
+    shards: Proportion = 0.0
     copies: Count = 1
-    servers: Share = 0.0
+    servers: Proportion = 0.0
     factor: Positive = 4.0
 
 
 class Burst(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """More callers for a while: ``factor`` times as many."""
+    """Temporary increase of the arrival rate by ``factor``."""
 
-    from_s: NotNegative
+    from_s: NonNegative
     for_s: Positive
     factor: Positive
 
@@ -125,36 +125,37 @@
     Attributes
     ----------
     title : str
-        What it is about.
-    queries : list of Queries
-        What callers ask.
+        Short description.
+    queries : list of QueryKind
+        Queries that callers send.
     duration_s : float
-        How long callers come.
+        Period during which callers arrive.
     shards, servers_per_shard, gatherers, zones : int
-        The deployment.
+        Size of the deployment; ``gatherers`` is the number of coordinators.
     slots, queue, connections : int
-        What a server runs at once, keeps waiting, and accepts.
+        Limits of a server on running requests, queued requests and connections.
     connect_ms, way_near_ms, way_far_ms : float
-        What a connection costs a server, and a way within and between zones takes.
+        Time that a server takes to accept a connection, and one-way network delay
+        within a zone and between zones.
     pause_ms, pause_every_s : float
-        How long a server pauses, and how often; 0 for never.
+        Duration (0 for none) and period of the pauses of a server.
     noise_share, noise_factor, noise_every_ms : float
-        The share of the time in which others on a server's machine make its work
-        longer, by how much, and for how long at a time.
+        Fraction of the time in which other processes slow a server down, the
+        slowdown, and the length of each interval.
     tells_load : bool
-        Whether replies say how busy their server is.
+        Whether replies report the load of their server.
     swing, period_s : float
-        How much the load rises and falls, as a share, and in what time.
+        Relative amplitude and period of the sinusoidal load.
     extra_ratio, extra_allowance : float
-        The budget of extra sub-requests of a service.
+        Budget of a service for extra sub-requests.
     faults : list of Fault
-        What befalls servers.
+        Server faults.
     bursts : list of Burst
-        When more callers come.
+        Temporary increases of the arrival rate.
     """
 
     title: str
-    queries: Annotated[list[Queries], msgspec.Meta(min_length=1)]
+    queries: Annotated[list[QueryKind], msgspec.Meta(min_length=1)]
     duration_s: Positive = 20.0
     shards: Count = 129
     servers_per_shard: Count = 2
@@ -163,30 +164,30 @@
     slots: Count = 2
     queue: Count = 12
     connections: Count = 120
-    connect_ms: NotNegative = 6.0
-    way_near_ms: NotNegative = 0.2
-    way_far_ms: NotNegative = 1.4
-    pause_ms: NotNegative = 0.0
+    connect_ms: NonNegative = 6.0
+    way_near_ms: NonNegative = 0.2
+    way_far_ms: NonNegative = 1.4
+    pause_ms: NonNegative = 0.0
     pause_every_s: Positive = 6.0
-    noise_share: Share = 0.0
+    noise_share: Proportion = 0.0
     noise_factor: Positive = 1.0
     noise_every_ms: Positive = 500.0
     tells_load: bool = False
-    swing: Share = 0.0
+    swing: Proportion = 0.0
     period_s: Positive = 11.0
-    extra_ratio: NotNegative = 0.2
-    extra_allowance: NotNegative = 430.0
+    extra_ratio: NonNegative = 0.2
+    extra_allowance: NonNegative = 430.0
     faults: list[Fault] = []
     bursts: list[Burst] = []
 
 
 def read_pattern(path: Path | str) -> Pattern:
-    """Return a pattern, checked whole.
+    """Read and validate a pattern file.
 
     Raises
     ------
     PatternError
-        If the file cannot be read, or something in it cannot be used.
+        If the file cannot be read or is invalid; names every error found.
     """
     try:
         text = Path(path).read_text()
@@ -195,35 +196,35 @@
         raise PatternError(f"{path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise PatternError(f"{path}: {error}") from error
-    faults = list(_faults_of(pattern))
-    if faults:
-        raise PatternError(f"{path}: " + "; ".join(faults))
+    errors = list(_validation_errors(pattern))
+    if errors:
+        raise PatternError(f"{path}: " + "; ".join(errors))
     return pattern
 
 
-def _faults_of(pattern: Pattern) -> list[str]:
-    """Return all that does not go together, each with its cure."""
-    found = []
+def _validation_errors(pattern: Pattern) -> list[str]:
+    """Return every inconsistency of a pattern, each with its remedy."""
+    errors = []
     names = [item.name for item in pattern.queries]
-    found += [
-        f"two kinds of queries are called {name}: rename one"
+    errors += [
+        f"two kinds of queries are named {name}: rename one"
         for name in sorted({name for name in names if names.count(name) > 1})
     ]
-    found += [
-        f"{item.name}: the objective of {item.objective_ms:g} ms is past the deadline"
+    errors += [
+        f"{item.name}: the objective of {item.objective_ms:g} ms exceeds the deadline"
         f" of {item.deadline_ms:g}: lower it"
         for item in pattern.queries
         if item.objective_ms > item.deadline_ms
     ]
-    found += [
-        f"a fault hits {item.copies} servers of a shard, which has"
+    errors += [
+        f"a fault affects {item.copies} servers of a shard, which has"
         f" {pattern.servers_per_shard}: lower copies"
         for item in pattern.faults
         if item.copies > pattern.servers_per_shard
     ]
-    found += [
-        f"the fault at {item.from_s:g} s hits both shards and servers: keep one"
+    errors += [
+        f"the fault at {item.from_s:g} s sets both shards and servers: keep one"
         for item in pattern.faults
         if item.shards and item.servers
     ]
-    return found
+    return errors
--- a/ibisfront/lab/results.py
+++ b/ibisfront/lab/results.py
@@ -1,4 +1,4 @@
-"""What came of a run."""
+"""Results of a run."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-__all__ = ["Outcome", "QueryFigures", "Recorder", "RunResult", "SecondFigures"]
+__all__ = ["Outcome", "QuerySummary", "Recorder", "RunResult", "SecondSummary"]
 
-_HIGHEST_US = 60_000_000
-_DIGITS = 3
+_MAX_LATENCY_US = 60_000_000
+_SIGNIFICANT_DIGITS = 3
 
 
 class Outcome(StrEnum):
-    """What came of a caller's query, its further tries included."""
+    """Outcome of a caller's query after all its retries."""
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -24,17 +24,18 @@
     LEFT = "left"
 
 
-class QueryFigures(msgspec.Struct, frozen=True):
-    """What came of one kind of query.
+class QuerySummary(msgspec.Struct, frozen=True):
+    """Results of one kind of query.
 
     Attributes
     ----------
     outcomes : dict
-        How many callers had which outcome.
+        Number of callers by outcome.
     worth : float
-        What was earned, as a share of what was owed; parts count by their square.
+        Achieved worth as a fraction of the full worth; a partial reply counts by the
+        square of its coverage.
     p50_ms, p99_ms : float
-        Latencies of answers, from the caller's first try.
+        Reply latency, from the caller's first try.
     """
 
     outcomes: dict[str, int]
@@ -43,34 +44,34 @@
     p99_ms: float
 
 
-class SecondFigures(msgspec.Struct, frozen=True):
-    """How many callers that came in a second had which outcome."""
+class SecondSummary(msgspec.Struct, frozen=True):
+    """Number of callers that arrived in one second, by outcome."""
 
     second: int
     outcomes: dict[str, int]
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """One run.
+    """Results of one run.
 
     Attributes
     ----------
     title : str
-        The pattern's.
+        Title of the pattern.
     seed : int
-        The run's.
+        Seed of the run.
     worth : float
-        What was earned, as a share of what was owed.
+        Achieved worth as a fraction of the full worth.
     unserved : float
-        The share of callers that were not served, refused ones included.
+        Fraction of callers that were not served, including rejected ones.
     extra : float
-        Sub-requests beyond the first of each part, as a share of those.
+        Extra sub-requests as a fraction of the primary ones.
     shed : int
-        Sub-requests that servers turned away.
+        Number of sub-requests that servers rejected.
     queries : dict
-        The figures of each kind.
-    seconds : list of SecondFigures
-        The same over time.
+        Summary of each kind of query.
+    seconds : list of SecondSummary
+        Outcomes by second of arrival.
     """
 
     title: str
@@ -79,79 +80,90 @@
     unserved: float
     extra: float
     shed: int
-    queries: dict[str, QueryFigures]
-    seconds: list[SecondFigures]
+    queries: dict[str, QuerySummary]
+    seconds: list[SecondSummary]
 
 
 class Recorder:
-    """Counts what came of each caller."""
+    """Collects the outcome of each caller."""
 
-    __slots__ = ("_by_second", "_earned", "_latencies", "_outcomes", "_owed")
+    __slots__ = (
+        "_achieved_worth",
+        "_by_second",
+        "_full_worth",
+        "_latencies",
+        "_outcomes",
+    )
 
     def __init__(self) -> None:
         self._outcomes: dict[str, Counter[str]] = {}
         self._by_second: dict[int, Counter[str]] = {}
         self._latencies: dict[str, HdrHistogram] = {}
-        self._earned: Counter[str] = Counter()
-        self._owed: Counter[str] = Counter()
+        self._achieved_worth: Counter[str] = Counter()
+        self._full_worth: Counter[str] = Counter()
 
-    def note(
+    def record(
         self,
         name: str,
         outcome: Outcome,
         *,
-        came_s: float,
-        took_ms: float,
-        earned: float,
-        owed: float,
+        arrived_s: float,
+        latency_ms: float,
+        achieved_worth: float,
+        full_worth: float,
     ) -> None:
-        """Take in one caller."""
+        """Record the outcome of one caller."""
         self._outcomes.setdefault(name, Counter())[outcome.value] += 1
-        self._by_second.setdefault(int(came_s), Counter())[outcome.value] += 1
+        self._by_second.setdefault(int(arrived_s), Counter())[outcome.value] += 1
         if outcome is Outcome.LEFT:
             return
-        self._earned[name] += earned  # type: ignore[assignment]
-        self._owed[name] += owed  # type: ignore[assignment]
+        self._achieved_worth[name] += achieved_worth  # type: ignore[assignment]
+        self._full_worth[name] += full_worth  # type: ignore[assignment]
         if outcome in (Outcome.IN_TIME, Outcome.LATE):
             histogram = self._latencies.get(name)
             if histogram is None:
-                histogram = HdrHistogram(1, _HIGHEST_US, _DIGITS)
+                histogram = HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
                 self._latencies[name] = histogram
-            histogram.record_value(int(took_ms * 1000.0))
+            histogram.record_value(int(latency_ms * 1000.0))
 
     def result(
-        self, title: str, seed: int, *, primaries: int, arrivals: int, shed: int
+        self, title: str, seed: int, *, primaries: int, received: int, shed: int
     ) -> RunResult:
-        """Return the figures."""
+        """Return the results of the run."""
         callers: Counter[str] = Counter()
         for outcomes in self._outcomes.values():
             callers.update(outcomes)
-        lost = callers[Outcome.REFUSED.value] + callers[Outcome.UNSERVED.value]
+        failed = callers[Outcome.REFUSED.value] + callers[Outcome.UNSERVED.value]
         staying = callers.total() - callers[Outcome.LEFT.value]
         return RunResult(
             title=title,
             seed=seed,
-            worth=round(self._earned.total() / max(self._owed.total(), 1e-9), 4),
-            unserved=round(lost / max(staying, 1), 4),
-            extra=round(max(arrivals - primaries, 0) / max(primaries, 1), 4),
+            worth=round(
+                self._achieved_worth.total() / max(self._full_worth.total(), 1e-9), 4
+            ),
+            unserved=round(failed / max(staying, 1), 4),
+            extra=round(max(received - primaries, 0) / max(primaries, 1), 4),
             shed=shed,
-            queries={name: self._figures(name) for name in sorted(self._outcomes)},
+            queries={name: self._summarize(name) for name in sorted(self._outcomes)},
             seconds=[
-                SecondFigures(second, dict(sorted(self._by_second[second].items())))
+                SecondSummary(second, dict(sorted(self._by_second[second].items())))
                 for second in sorted(self._by_second)
             ],
         )
 
-    def _figures(self, name: str) -> QueryFigures:
+    def _summarize(self, name: str) -> QuerySummary:
         histogram = self._latencies.get(name)
         percentiles = [0.0, 0.0]
         if histogram is not None:
             percentiles = [
-                histogram.get_value_at_percentile(at) / 1000.0 for at in (50.0, 99.0)
+                histogram.get_value_at_percentile(percentile) / 1000.0
+                for percentile in (50.0, 99.0)
             ]
-        return QueryFigures(
+        return QuerySummary(
             outcomes=dict(sorted(self._outcomes[name].items())),
-            worth=round(self._earned[name] / max(self._owed[name], 1e-9), 4),
+            worth=round(
+                self._achieved_worth[name] / max(self._full_worth[name], 1e-9), 4
+            ),
             p50_ms=round(percentiles[0], 1),
             p99_ms=round(percentiles[1], 1),
         )
--- a/ibisfront/lab/running.py
+++ b/ibisfront/lab/runner.py
@@ -1,4 +1,4 @@
-"""Running a load pattern in virtual time."""
+"""Runs a load pattern in virtual time."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 import trio.testing
 
 from ibisfront.core.clock import Clock
-from ibisfront.lab.agenda import Agenda
-from ibisfront.lab.callers import Callers, arrivals
+from ibisfront.lab.callers import Callers, draw_arrivals
 from ibisfront.lab.deployment import Deployment
 from ibisfront.lab.results import Recorder
+from ibisfront.lab.scheduler import EventScheduler
 
 if TYPE_CHECKING:
     from ibisfront.lab.pattern import Pattern
@@ -28,14 +28,14 @@
     Parameters
     ----------
     pattern : Pattern
-        What happens.
+        The pattern.
     seed : int
-        Draws callers, work and which servers a fault hits. Callers and faults of one
-        seed are the same whatever the tier decides.
+        Seed for arrivals, service times and the servers that faults affect. Arrivals
+        and faults depend on the seed alone, not on the tier's decisions.
     """
-    # The product varies its choices at random, and trio the order of tasks.
+    # The gateway makes random choices, and trio randomizes the order of tasks.
     random.seed(seed)
-    _fix_task_order(seed)
+    _make_task_order_deterministic(seed)
     clock = trio.testing.MockClock(autojump_threshold=0.0)
     return trio.run(_run, pattern, seed, clock=clock)
 
@@ -45,35 +45,39 @@
         np.random.default_rng(item) for item in np.random.SeedSequence(seed).spawn(2)
     )
     clock = Clock()
-    agenda = Agenda()
+    scheduler = EventScheduler()
     recorder = Recorder()
     async with trio.open_nursery() as nursery:
         deployment = Deployment(
-            pattern, random=servers_random, agenda=agenda, clock=clock, nursery=nursery
+            pattern,
+            random=servers_random,
+            scheduler=scheduler,
+            clock=clock,
+            nursery=nursery,
         )
-        nursery.start_soon(agenda.run)
-        nursery.start_soon(deployment.keep_up)
+        nursery.start_soon(scheduler.run)
+        nursery.start_soon(deployment.probe_servers)
         callers = Callers(
             pattern, gateways=deployment.gateways, recorder=recorder, clock=clock
         )
-        coming = arrivals(pattern, callers_random)
-        await callers.run(coming)
+        arrivals = draw_arrivals(pattern, callers_random)
+        await callers.run(arrivals)
         nursery.cancel_scope.cancel()
     servers = deployment.servers
     return recorder.result(
         pattern.title,
         seed,
-        primaries=len(coming) * pattern.shards,
-        arrivals=sum(server.arrivals for server in servers),
+        primaries=len(arrivals) * pattern.shards,
+        received=sum(server.received for server in servers),
         shed=sum(server.shed for server in servers),
     )
 
 
-def _fix_task_order(seed: int) -> None:
-    """Let trio run tasks that are ready together in an order that repeats.
+def _make_task_order_deterministic(seed: int) -> None:
+    """Make trio run tasks that are ready at the same time in a reproducible order.
 
-    trio has this switch for property tests, and no public name for it.
+    trio has this switch for property tests, without a public API.
     """
-    scheduler = trio._core._run
-    scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
-    scheduler._r.seed(seed)
+    trio_run = trio._core._run
+    trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
+    trio_run._r.seed(seed)
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Tests of the laboratory: patterns, the model, and what comparing says."""
+"""Tests of the load simulation: patterns, simulated servers, runs and comparison."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from ibisfront.gateway.queries.gather_run import GatherRun
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.lab import PatternError, RunResult, compare, read_pattern, run_pattern
-from ibisfront.lab.agenda import Agenda
-from ibisfront.lab.pattern import Fault, FaultKind, Pattern, Queries
-from ibisfront.lab.servers import Job, ModelServer
+from ibisfront.lab.pattern import Fault, FaultKind, Pattern, QueryKind
+from ibisfront.lab.scheduler import EventScheduler
+from ibisfront.lab.servers import Job, SimulatedServer
 
 _PATTERNS = Path(__file__).parent.parent / "lab" / "patterns"
 
 
 def pattern(**changes):
     """Return a small pattern."""
-    queries = Queries(
+    queries = QueryKind(
         "search", per_s=20.0, work_ms=10.0, objective_ms=100.0, deadline_ms=1000.0
     )
     fields = {"duration_s": 3.0, "shards": 12, "gatherers": 2, "zones": 2}
@@ -32,7 +32,7 @@
 
 
 class PatternTest(unittest.TestCase):
-    """What a pattern file may say."""
+    """Validation of pattern files."""
 
     def read(self, text):
         with tempfile.TemporaryDirectory() as folder:
@@ -40,11 +40,11 @@
             path.write_text(text)
             return read_pattern(path)
 
-    def test_patterns_that_come_along_are_sound(self):
+    def test_bundled_patterns_are_valid(self):
         titles = {read_pattern(path).title for path in _PATTERNS.glob("*.toml")}
         self.assertEqual(len(titles), len(list(_PATTERNS.glob("*.toml"))))
 
-    def test_all_faults_are_named_at_once(self):
+    def test_all_errors_are_reported_at_once(self):
         text = (
             'title = "x"\n[[queries]]\nname = "a"\nper_s = 1\nwork_ms = 1\n'
             "objective_ms = 20\ndeadline_ms = 10\n"
@@ -56,7 +56,7 @@
         self.assertIn("lower it", str(caught.exception))
         self.assertIn("lower copies", str(caught.exception))
 
-    def test_unknown_fields_and_wrong_values_are_refused(self):
+    def test_unknown_fields_and_invalid_values_are_rejected(self):
         for text in ("title = 1", 'title = "x"\nqueries = []', "slot = 2", "= 1"):
             with self.subTest(text), self.assertRaises(PatternError):
                 self.read(text)
@@ -64,56 +64,56 @@
             read_pattern("no such file")
 
 
-class ModelTest(unittest.TestCase):
-    """The modelled server."""
+class SimulatedServerTest(unittest.TestCase):
+    """Simulated servers."""
 
     def server(self, **changes):
         entry = ServerEntry("a", "s", "a", "z0", 2)
         self.replies = []
-        return ModelServer(
+        return SimulatedServer(
             entry,
             pattern(**changes),
             random=np.random.default_rng(1),
-            agenda=Agenda(),
+            scheduler=EventScheduler(),
         )
 
     def job(self):
         return Job(0, 1000.0, self.replies.append)
 
-    def test_full_server_turns_work_away(self):
+    def test_full_server_rejects_requests(self):
         server = self.server(slots=2, queue=1)
         for _ in range(5):
-            server.take(self.job(), 0.0)
-        self.assertEqual((server.arrivals, server.shed), (5, 2))
+            server.receive(self.job(), 0.0)
+        self.assertEqual((server.received, server.shed), (5, 2))
         self.assertTrue(all(reply.not_run for reply in self.replies))
 
-    def test_dropped_work_frees_its_slot(self):
+    def test_cancelled_request_frees_its_slot(self):
         server = self.server(slots=1, queue=0)
         first = self.job()
-        server.take(first, 0.0)
-        server.drop(first, 1.0)
-        server.take(self.job(), 1.0)
+        server.receive(first, 0.0)
+        server.cancel(first, 1.0)
+        server.receive(self.job(), 1.0)
         self.assertEqual(server.shed, 0)
 
-    def test_work_waits_for_the_end_of_a_pause(self):
+    def test_work_is_suspended_during_a_pause(self):
         server = self.server(pause_ms=250.0, pause_every_s=1.0)
         ends = [server._end_ms(start, 10.0) - start for start in range(1000)]
         self.assertEqual(min(ends), 10.0)
         self.assertAlmostEqual(max(ends), 260.0, delta=1.0)
 
-    def test_noise_takes_its_share_of_the_time_and_is_told(self):
-        """Guards against a model whose servers tell another load than they have."""
+    def test_noise_has_its_share_of_the_time_and_is_reported(self):
+        """Guards against simulated servers that report a load other than their own."""
         server = self.server(noise_share=0.2, noise_factor=4.0, tells_load=True)
         factors = [
-            server._load(spell * server._pattern.noise_every_ms).work_factor
-            for spell in range(2_000)
+            server._load(interval * server._pattern.noise_every_ms).work_factor
+            for interval in range(2_000)
         ]
         self.assertEqual(set(factors), {1.0, 4.0})
         self.assertAlmostEqual(factors.count(4.0) / len(factors), 0.2, delta=0.04)
 
 
 class RunTest(unittest.TestCase):
-    """Whole runs."""
+    """Complete runs."""
 
     def test_same_seed_gives_the_same_run(self):
         faulty = pattern(faults=[Fault(FaultKind.SLOW, 1.0, 1.0, 0.3, factor=6.0)])
@@ -126,19 +126,19 @@
         self.assertGreater(result.worth, 0.98)
         self.assertEqual((result.unserved, result.shed), (0.0, 0))
 
-    def test_silent_servers_are_worked_round(self):
+    def test_silent_servers_are_avoided(self):
         silent = Fault(FaultKind.SILENT, 1.0, 1.0, 0.5)
         result = run_pattern(pattern(faults=[silent]), seed=4)
         self.assertEqual(result.unserved, 0.0)
 
-    def test_parts_that_were_turned_away_are_asked_for_again(self):
-        """Searches fail with most of their time left while servers are full.
+    def test_rejected_sub_requests_are_retried(self):
+        """Searches failed with most of their time left while servers were full.
 
-        One server each of a third of the shards is down, and the other one, with a slot
-        and a place to wait, turns work away in waves. All parts are needed; a caller
-        has ten objectives' time.
+        In a third of the shards one server is down, and the other, with one slot and
+        one queue place, rejects requests in waves. Every shard is required, and the
+        deadline is ten times the latency objective.
         """
-        queries = Queries(
+        queries = QueryKind(
             "search",
             per_s=40.0,
             work_ms=10.0,
@@ -159,7 +159,7 @@
 
 
 class CompareTest(unittest.TestCase):
-    """What may be said of two sets of runs."""
+    """Comparison of two sets of runs."""
 
     def runs(self, worths):
         return [
@@ -171,7 +171,7 @@
         (found,) = compare(self.runs(before), self.runs(after))
         return found.verdict
 
-    def test_difference_is_claimed_only_where_the_pairs_show_it(self):
+    def test_difference_is_reported_only_if_significant(self):
         before = [0.50, 0.60, 0.70, 0.80, 0.90]
         better = [0.53, 0.62, 0.73, 0.82, 0.93]
         mixed = [0.53, 0.57, 0.73, 0.77, 0.90]
@@ -179,11 +179,11 @@
         self.assertEqual(self.verdict(better, before), "worse")
         self.assertEqual(self.verdict(before, mixed), "no difference seen")
 
-    def test_runs_without_a_seed_in_common_are_refused(self):
+    def test_runs_without_a_common_seed_are_rejected(self):
         with self.assertRaises(PatternError):
             compare(self.runs([0.5]), [])
 
-    def test_seeds_are_a_number_or_two(self):
+    def test_seeds_are_a_number_or_a_range(self):
         self.assertEqual(list(seeds_of("3-5")), [3, 4, 5])
         self.assertEqual(list(seeds_of("7")), [7])
         for text in ("", "a", "5-1", "1-x"):
