--- a/ibisfront/cli/__init__.py
+++ b/ibisfront/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""Command line for operators."""
 
 from __future__ import annotations
 
--- a/ibisfront/cli/application.py
+++ b/ibisfront/cli/application.py
@@ -1,4 +1,4 @@
-"""Putting the commands together."""
+"""Command line application: registers and runs the commands."""
 
 from __future__ import annotations
 
@@ -57,17 +57,17 @@
     TableShow,
 )
 _HELP = f"""
-Every command says with --help what it takes, and prints JSON with --json.
+Every command describes its arguments with --help and prints JSON with --json.
 
-Where the instances are: --admin IP:PORT and --token-file FILE, or IBISFRONT_ADMIN
-and IBISFRONT_TOKEN, or --settings FILE of an instance. To begin:
+Give the instances with --admin IP:PORT and --token-file FILE, IBISFRONT_ADMIN and
+IBISFRONT_TOKEN, or --settings FILE of an instance. Examples:
 
   ibisfront status --settings instance.toml
   ibisfront table show --settings instance.toml
   ibisfront table set vestry name-check --weight 2 --settings instance.toml
 
-An edit names the version that it was made on. It is called accepted only when
-that is known; then the tool says where it is in force.
+An edit names the version that it is based on. It is reported as accepted only
+once this is certain; the tool then reports where it is in force.
 
 Exit codes:
 {exit_code_help()}
@@ -76,26 +76,26 @@
 
 
 class _IbisfrontApplication(Application):
-    """The tool, with a help text for newcomers."""
+    """The command line application, with an introductory help text."""
 
     @property
     def help(self) -> str:
-        """What ``ibisfront --help`` prints above the commands."""
+        """Text that ``ibisfront --help`` prints above the commands."""
         return f"{self.long_version}\n{_HELP}"
 
 
 def build_application() -> Application:
-    """Return the tool with all its commands."""
+    """Return the application with all commands registered."""
     application = _IbisfrontApplication("ibisfront", ibisfront.__version__)
     for command in _COMMANDS:
         application.add(command())
     return application
 
 
-def _with_overview(argv: list[str]) -> list[str]:
-    """Return the arguments, with a lone ``--help`` read as "list the commands".
+def _expand_help_option(argv: list[str]) -> list[str]:
+    """Return the arguments without a lone ``--help``, so that commands are listed.
 
-    ``cleo`` explains its own ``list`` command there, which helps nobody.
+    ``cleo`` would print the help of its own ``list`` command instead.
     """
     return argv[:1] if argv[1:] in (["--help"], ["-h"]) else argv
 
@@ -106,7 +106,7 @@
     application.auto_exits(False)
     application.catch_exceptions(False)
     try:
-        sys.exit(application.run(ArgvInput(_with_overview(sys.argv))))
+        sys.exit(application.run(ArgvInput(_expand_help_option(sys.argv))))
     except CleoError as error:
         sys.stderr.write(f"ibisfront: {error}\n")
         sys.exit(ExitCode.USAGE)
--- a/ibisfront/cli/causes.py
+++ b/ibisfront/cli/causes.py
@@ -1,4 +1,4 @@
-"""``ibisfront causes``: why requests failed or came late, counted from the logs."""
+"""``ibisfront causes``: counts causes of failed and late requests in log files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from ibisfront.cli.command import JSON_OPTION, ToolCommand
 from ibisfront.cli.exits import CommandError, ExitCode
-from ibisfront.cli.log_lines import log_lines
+from ibisfront.cli.log_lines import read_log_lines
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -26,22 +26,22 @@
 _FIRST_ERROR = 400
 _NOT_FOUND = 404
 _DEFAULT_STEP_S = 4
-"""Seconds that are counted together: about one step of an outage as callers see it."""
+"""Default interval of the counts: about one stage of an outage as callers see it."""
 
 
 class CauseCount(msgspec.Struct, frozen=True, order=True):
-    """How often one cause was seen.
+    """Number of requests with one cause in one interval.
 
     Attributes
     ----------
     from_s : int
-        Since when, in seconds after the first line.
+        Start of the interval, in seconds after the first line.
     route : str
-        The route; empty where the request was refused before it was known.
+        The route; empty if the request was rejected before routing.
     cause : str
-        Why.
+        Cause of the failure or delay.
     requests : int
-        How many requests.
+        Number of requests.
     """
 
     from_s: int
@@ -51,10 +51,10 @@
 
 
 class Causes(ToolCommand):
-    """Count why requests failed or came late."""
+    """Counts the causes of failed and late requests."""
 
     name = "causes"
-    description = "Count from log files why requests failed or came late."
+    description = "Count the causes of failed and late requests in log files."
     arguments: ClassVar[list[Argument]] = [
         argument("files", "Log files of instances.", multiple=True),
     ]
@@ -62,7 +62,7 @@
         option(
             "step",
             None,
-            "Seconds that are counted together.",
+            "Length of the counting interval, in seconds.",
             flag=False,
             default=str(_DEFAULT_STEP_S),
         ),
@@ -70,11 +70,11 @@
     ]
 
     def run_command(self) -> ExitCode:
-        """Count and print."""
+        """Count the causes and print them."""
         step = self.option("step")
         if not step.isdigit() or int(step) < 1:
             raise CommandError(f"--step {step}: give whole seconds, at least 1")
-        counts = count_causes(log_lines(self.argument("files")), step_s=int(step))
+        counts = count_causes(read_log_lines(self.argument("files")), step_s=int(step))
         if self.wants_json:
             self.print_json(counts)
             return ExitCode.DONE
@@ -83,15 +83,15 @@
             self.print_text(
                 f"{item.from_s:6} s {item.requests:6}  {where:12} {item.cause}"
             )
-        self.print_text(f"{sum(item.requests for item in counts):15}  in all")
+        self.print_text(f"{sum(item.requests for item in counts):15}  total")
         return ExitCode.DONE
 
 
 def cause_of(line: LogLine) -> str | None:
-    """Return why a request failed or came late; None if it did neither.
+    """Return the cause of a failed or late request; None if it was neither.
 
-    Parts that another instance asked for are that one's request, and paths that
-    no route has are their callers'.
+    Sub-requests delegated by another instance are counted there, and paths without
+    a route are errors of the caller; neither has a cause here.
     """
     status = line.fields.get("status")
     reason = str(line.fields.get("reason", ""))
@@ -100,46 +100,48 @@
     if reason == "delegated_parts":
         return None
     if status >= _FIRST_ERROR:
-        return f"{status} {reason}{_decisive(line)}"
+        return f"{status} {reason}{_most_frequent_decision(line)}"
     took_ms = line.fields.get("took_ms", 0.0)
     if took_ms > line.fields.get("objective_ms", float("inf")):
-        return f"late, {reason}{_decisive(line)}"
+        return f"late, {reason}{_most_frequent_decision(line)}"
     return None
 
 
 def count_causes(
     lines: Iterable[LogLine], *, step_s: int = _DEFAULT_STEP_S
 ) -> list[CauseCount]:
-    """Return the causes by time and route, in order.
+    """Count the causes by interval and route, sorted.
 
     Parameters
     ----------
     lines : iterable of LogLine
         Lines of all instances, in any order.
     step_s : int
-        Seconds that are counted together.
+        Length of the counting interval, in seconds.
     """
-    found = [
+    timed_lines = [
         (datetime.fromisoformat(line.timestamp), line)
         for line in lines
         if line.timestamp
     ]
-    if not found:
+    if not timed_lines:
         return []
-    first = min(at for at, _ in found)
+    start = min(at for at, _ in timed_lines)
     counted: Counter[tuple[int, str, str]] = Counter()
-    for at, line in found:
+    for at, line in timed_lines:
         cause = cause_of(line)
         if cause is not None:
-            from_s = int((at - first).total_seconds()) // step_s * step_s
+            from_s = int((at - start).total_seconds()) // step_s * step_s
             counted[from_s, str(line.fields.get("route", "")), cause] += 1
     return sorted(CauseCount(*key, number) for key, number in counted.items())
 
 
-def _decisive(line: LogLine) -> str:
-    """Return the decision or failure that stands most often in a line."""
+def _most_frequent_decision(line: LogLine) -> str:
+    """Return the most frequent decision or failure of a line, in parentheses."""
     decisions = line.fields.get("decisions", ())
-    seen = Counter(f"{item['what']} {item['detail']}".strip() for item in decisions)
-    if not seen:
+    occurrences = Counter(
+        f"{item['what']} {item['detail']}".strip() for item in decisions
+    )
+    if not occurrences:
         return ""
-    return f" ({seen.most_common(1)[0][0]})"
+    return f" ({occurrences.most_common(1)[0][0]})"
--- a/ibisfront/cli/client.py
+++ b/ibisfront/cli/client.py
@@ -1,4 +1,4 @@
-"""Calling instances from the command line, over HTTP by ``httpcore``."""
+"""HTTP client of instances for the command line, based on ``httpcore``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from ibisfront.adapters.http import Problem
-from ibisfront.cli.exits import CommandError, ExitCode, RefusedError, UnreachableError
+from ibisfront.cli.exits import CommandError, ExitCode, ProblemError, UnreachableError
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -22,29 +22,33 @@
 _READ_TIMEOUT_S = 35.0
 _ROUNDS = 2
 _OK = 200
-_NOT_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout)
-_LOST = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+_CONNECT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout)
+_EXCHANGE_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.ProtocolError,
+    httpcore.TimeoutException,
+)
 
 
 class AdminClient(Protocol):
-    """What the commands need of the instances' operator listeners."""
+    """Interface to the operator listeners of the instances."""
 
     def call(
-        self, method: str, path: str, answer: type[_Decoded], body: object = None
+        self, method: str, path: str, reply_type: type[_Decoded], body: object = None
     ) -> _Decoded:
-        """Send one request that may safely be sent again, and decode its answer."""
+        """Send one request that is safe to retry, and decode the reply."""
         ...
 
 
 class InstanceClient:
-    """Calls the first instance that answers.
+    """Calls the first instance that replies.
 
-    All instances are equal, so that any of them will do.
+    All instances are equivalent, so any of them can serve a request.
 
     Parameters
     ----------
     addresses : sequence of str
-        Where instances listen; tried in order.
+        Addresses of instances, tried in order.
     headers : dict of str to str
         Sent with each request.
     """
@@ -59,35 +63,37 @@
         self._pool = httpcore.ConnectionPool()
 
     def call(
-        self, method: str, path: str, answer: type[_Decoded], body: object = None
+        self, method: str, path: str, reply_type: type[_Decoded], body: object = None
     ) -> _Decoded:
-        """Send one request that may safely be sent again, and decode its answer.
+        """Send one request that is safe to retry, and decode the reply.
 
-        Each operator request may: an edit carries its id and base version, and
-        a service edit names the state that it wants.
+        All operator requests are: a table edit carries its id and base version,
+        and a service edit states the desired result.
 
         Raises
         ------
-        RefusedError
-            If an instance answered with a problem.
+        ProblemError
+            If an instance replied with a problem document.
         UnreachableError
-            If none answered.
+            If no instance replied.
         """
-        sent = False
+        maybe_sent = False
         for address in self._addresses * _ROUNDS:
             try:
                 response = self._send(address, method, path, body)
-            except _NOT_SENT:
+            except _CONNECT_ERRORS:
                 continue
-            except _LOST:
-                sent = method != "GET"
+            except _EXCHANGE_ERRORS:
+                maybe_sent = method != "GET"
                 continue
-            return _decoded(response, address, answer)
-        tried = ", ".join(self._addresses)
-        raise UnreachableError(f"no instance answered at {tried}", sent=sent)
+            return _decode_response(response, address, reply_type)
+        addresses = ", ".join(self._addresses)
+        raise UnreachableError(
+            f"no instance answered at {addresses}", maybe_sent=maybe_sent
+        )
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         self._pool.close()
 
     def _send(
@@ -103,16 +109,16 @@
         )
 
 
-def _decoded(
-    response: httpcore.Response, address: Address, answer: type[_Decoded]
+def _decode_response(
+    response: httpcore.Response, address: Address, reply_type: type[_Decoded]
 ) -> _Decoded:
     try:
         if response.status != _OK:
-            raise RefusedError(msgspec.json.decode(response.content, type=Problem))
-        return msgspec.json.decode(response.content, type=answer)
+            raise ProblemError(msgspec.json.decode(response.content, type=Problem))
+        return msgspec.json.decode(response.content, type=reply_type)
     except msgspec.MsgspecError as error:
         raise CommandError(
-            f"{address} is no ibisfront instance of this release ({error}):"
+            f"{address} is not an ibisfront instance of this release ({error}):"
             " check the address",
             ExitCode.USAGE,
         ) from error
--- a/ibisfront/cli/command.py
+++ b/ibisfront/cli/command.py
@@ -1,4 +1,4 @@
-"""What all commands share: whom to call, how to print, how to end."""
+"""Base classes of the commands: client options, output and exit codes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cleo.helpers import option
 
 from ibisfront.cli.client import InstanceClient
-from ibisfront.cli.exits import CommandError, ExitCode, RefusedError
+from ibisfront.cli.exits import CommandError, ExitCode, ProblemError
 from ibisfront.core.settings import SettingsError, read_settings
 
 if TYPE_CHECKING:
@@ -27,18 +27,18 @@
 ADMIN_VARIABLE = "IBISFRONT_ADMIN"
 TOKEN_VARIABLE = "IBISFRONT_TOKEN"
 
-JSON_OPTION = option("json", None, "Print JSON in place of text.")
+JSON_OPTION = option("json", None, "Print JSON instead of text.")
 SETTINGS_OPTION = option(
     "settings",
     None,
-    "Take addresses and token from an instance's settings.",
+    "Read addresses and token from an instance's settings file.",
     flag=False,
 )
 _ADMIN_OPTIONS = (
     option(
         "admin",
         None,
-        f"Where an instance listens for operators, IP:PORT (or ${ADMIN_VARIABLE});"
+        f"Operator address of an instance, IP:PORT (or ${ADMIN_VARIABLE});"
         " several are tried in order.",
         flag=False,
         multiple=True,
@@ -46,7 +46,7 @@
     option(
         "token-file",
         None,
-        f"The file that holds the token (or the token in ${TOKEN_VARIABLE}).",
+        f"File that contains the token (or the token in ${TOKEN_VARIABLE}).",
         flag=False,
     ),
     SETTINGS_OPTION,
@@ -55,13 +55,13 @@
 
 
 class ToolCommand(Command):
-    """A command that prints text or JSON and ends with an :class:`ExitCode`."""
+    """Command that prints text or JSON and returns an :class:`ExitCode`."""
 
     arguments: ClassVar[list[Argument]] = []
     options: ClassVar[list[Option]] = [JSON_OPTION]
 
     def handle(self) -> int:
-        """Run the command; see ``cleo``."""
+        """Run the command; called by ``cleo``."""
         try:
             return self.run_command()
         except CommandError as error:
@@ -74,13 +74,13 @@
         Raises
         ------
         CommandError
-            If it cannot go on.
+            If the command fails.
         """
         raise NotImplementedError
 
     @property
     def wants_json(self) -> bool:
-        """Whether the output is to be JSON."""
+        """Whether to print JSON."""
         return bool(self.option("json"))
 
     def print_json(self, value: object) -> None:
@@ -89,19 +89,19 @@
         self.print_text(encoded.decode())
 
     def print_text(self, text: str) -> None:
-        """Print a line as it is; ``cleo`` would read ``<...>`` as a style."""
+        """Print a line verbatim, escaping ``<``, which ``cleo`` reads as a style."""
         self.line(text.replace("<", "\\<"))
 
     def show_error(self, error: CommandError) -> None:
-        """Say why the command ends."""
-        if self.wants_json and isinstance(error, RefusedError):
+        """Print why the command failed."""
+        if self.wants_json and isinstance(error, ProblemError):
             self.print_json(error.problem)
         self.line_error(f"ibisfront: {error}".replace("<", "\\<"))
-        if isinstance(error, RefusedError):
+        if isinstance(error, ProblemError):
             self.line_error(f"what to do: {error.advice}".replace("<", "\\<"))
 
     def optional_settings(self) -> Settings | None:
-        """Return the settings that ``--settings`` names, if it is given."""
+        """Return the settings given by ``--settings``, or None without the option."""
         path = self.option("settings")
         if path is None:
             return None
@@ -112,13 +112,13 @@
 
 
 class OperatorCommand(ToolCommand):
-    """A command that calls the operators' listener of an instance."""
+    """Command that calls the operator listener of an instance."""
 
     operator_options: ClassVar[list[Option]] = list(_ADMIN_OPTIONS)
     options: ClassVar[list[Option]] = operator_options
 
     def run_command(self) -> ExitCode:
-        """Do the command's work with a client."""
+        """Run the command with a client."""
         with ExitStack() as stack:
             return self.run_with(self._open_client(stack))
 
@@ -140,7 +140,7 @@
             given = os.environ.get(ADMIN_VARIABLE, "").replace(",", " ").split()
         if not given:
             raise CommandError(
-                "no instance is named: give --admin IP:PORT, --settings FILE or"
+                "no instance address: give --admin IP:PORT, --settings FILE or"
                 f" ${ADMIN_VARIABLE}"
             )
         return list(given)
--- a/ibisfront/cli/edit_command.py
+++ b/ibisfront/cli/edit_command.py
@@ -1,4 +1,4 @@
-"""What the commands that edit the table share."""
+"""Base classes of the commands that edit the table or services."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from ibisfront.adapters.admin import TableView
 from ibisfront.cli.command import OperatorCommand
-from ibisfront.cli.exits import CommandError, ExitCode, RefusedError
-from ibisfront.cli.output import change_lines, conflict_lines, reach_lines
+from ibisfront.cli.exits import CommandError, ExitCode, ProblemError
+from ibisfront.cli.output import change_lines, conflict_lines, propagation_lines
 from ibisfront.cli.table_edits import (
     EditOutcome,
     apply_edit,
@@ -22,10 +22,10 @@
     from cleo.io.inputs.option import Option
 
     from ibisfront.cli.client import AdminClient
-    from ibisfront.cli.table_edits import Reach
+    from ibisfront.cli.table_edits import Propagation
     from ibisfront.core.table import Table
 
-__all__ = ["TableEditCommand", "WaitingCommand", "number_option"]
+__all__ = ["EditCommand", "TableEditCommand", "number_option"]
 
 _DEFAULT_WAIT_S = "10"
 
@@ -35,13 +35,13 @@
     return option(name, None, description, flag=False, default=default)
 
 
-class WaitingCommand(OperatorCommand):
-    """A command that waits until its edit is in force everywhere."""
+class EditCommand(OperatorCommand):
+    """Command that waits until its edit is in force everywhere."""
 
     edit_options: ClassVar[list[Option]] = [
         number_option(
             "wait-s",
-            "How long to wait until the edit is in force everywhere.",
+            "Longest wait until the edit is in force everywhere, in seconds.",
             _DEFAULT_WAIT_S,
         ),
         *OperatorCommand.operator_options,
@@ -50,27 +50,27 @@
 
     @property
     def wait_s(self) -> float:
-        """How long to wait."""
+        """Longest wait until the edit is in force everywhere."""
         return self.number("wait-s") or 0.0
 
     def number(self, name: str) -> float | None:
-        """Return the number that an option gives, or None if it is left out.
+        """Return the value of a numeric option, or None if it is omitted.
 
         Raises
         ------
         CommandError
-            If it is no number.
+            If the value is not a number.
         """
-        given = self.option(name)
-        if given is None:
+        value = self.option(name)
+        if value is None:
             return None
         try:
-            return float(given)
+            return float(value)
         except ValueError as error:
-            raise CommandError(f"--{name} is {given!r}: give a number") from error
+            raise CommandError(f"--{name} is {value!r}: give a number") from error
 
-    def whole_number(self, name: str) -> int | None:
-        """Return the whole number that an option gives, or None."""
+    def integer(self, name: str) -> int | None:
+        """Return the value of an integer option, or None if it is omitted."""
         number = self.number(name)
         if number is None:
             return None
@@ -78,51 +78,57 @@
             raise CommandError(f"--{name} is {number:g}: give a whole number")
         return int(number)
 
-    def show_reach(self, reach: Reach) -> ExitCode:
-        """Say where an edit is in force, and return what that amounts to."""
+    def show_propagation(self, propagation: Propagation) -> ExitCode:
+        """Print where an edit is in force, and return the exit code for that."""
         if not self.wants_json:
-            for line in reach_lines(reach):
+            for line in propagation_lines(propagation):
                 self.print_text(line)
-        return ExitCode.DONE if reach.complete else ExitCode.IN_PART
+        return ExitCode.DONE if propagation.complete else ExitCode.PARTIAL
 
 
-class TableEditCommand(WaitingCommand):
-    """A command that edits the table."""
+class TableEditCommand(EditCommand):
+    """Command that edits the table."""
 
     base_option: ClassVar[Option] = number_option(
-        "base", "The version that the edit was made on; the one read now if left out."
+        "base", "Version that the edit is based on; the current one if omitted."
     )
-    options: ClassVar[list[Option]] = [base_option, *WaitingCommand.edit_options]
+    options: ClassVar[list[Option]] = [base_option, *EditCommand.edit_options]
 
     def run_with(self, client: AdminClient) -> ExitCode:
-        """Make the edit and wait."""
+        """Make the edit and wait until it is in force."""
         base = self.base_view(client)
-        changes = changes_between(base.table, self.edited(base.table))
+        changes = changes_between(base.table, self.edit_table(base.table))
         if not changes:
-            self.say("nothing to change")
+            self.print_progress("nothing to change")
             return ExitCode.DONE
-        self.say(f"on version {base.version}:")
+        self.print_progress(f"on version {base.version}:")
         for line in change_lines(changes):
-            self.say(f"  {line}")
+            self.print_progress(f"  {line}")
         if not self.confirmed():
             raise CommandError("not applied", ExitCode.REFUSED)
-        outcome = apply_edit(client, base, changes, wait_s=self.wait_s, say=self.say)
+        outcome = apply_edit(
+            client,
+            base,
+            changes,
+            wait_s=self.wait_s,
+            report_progress=self.print_progress,
+        )
         return self.show_outcome(outcome)
 
-    def edited(self, table: Table) -> Table:
-        """Return the table as it shall be."""
+    def edit_table(self, table: Table) -> Table:
+        """Return the edited table."""
         raise NotImplementedError
 
     def confirmed(self) -> bool:
-        """Return whether to go on, now that the changes are shown."""
+        """Return whether to apply the changes, which have been shown."""
         return True
 
     def base_version(self) -> int | None:
-        """Return the version that the operator names, if any."""
-        return self.whole_number("base")
+        """Return the base version given by the operator, if any."""
+        return self.integer("base")
 
     def base_view(self, client: AdminClient) -> TableView:
-        """Return the table at the version that the edit is made on."""
+        """Return the table at the base version of the edit."""
         current = fetch_table(client)
         version = self.base_version()
         if version is None or version == current.version:
@@ -130,20 +136,20 @@
         return TableView(version, fetch_base(client, current, version))
 
     def show_outcome(self, outcome: EditOutcome) -> ExitCode:
-        """Print what came of the edit."""
+        """Print the outcome of the edit."""
         if self.wants_json:
             self.print_json(outcome)
-        return self.show_reach(outcome.reach)
+        return self.show_propagation(outcome.reach)
 
     def show_error(self, error: CommandError) -> None:
-        """Say why the edit was not made; of a conflict, show both edits."""
+        """Print why the edit was not made; for a conflict, print both edits."""
         super().show_error(error)
-        conflict = error.problem.conflict if isinstance(error, RefusedError) else None
+        conflict = error.problem.conflict if isinstance(error, ProblemError) else None
         if conflict is not None and not self.wants_json:
             for line in conflict_lines(conflict):
                 self.print_text(line)
 
-    def say(self, text: str) -> None:
-        """Print a step, unless the output is JSON."""
+    def print_progress(self, text: str) -> None:
+        """Print a progress line, unless the output is JSON."""
         if not self.wants_json:
             self.print_text(text)
--- a/ibisfront/cli/exits.py
+++ b/ibisfront/cli/exits.py
@@ -1,4 +1,4 @@
-"""How the commands end: exit codes, and the errors that lead to them."""
+"""Exit codes of the commands, and the errors that map to them."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 __all__ = [
     "CommandError",
     "ExitCode",
-    "RefusedError",
+    "ProblemError",
     "UnreachableError",
     "exit_code_help",
 ]
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says."""
+    """Exit codes of the commands."""
 
     DONE = 0
     REFUSED = 1
     USAGE = 2
     CONFLICT = 3
     UNKNOWN = 4
-    IN_PART = 5
+    PARTIAL = 5
     UNREACHABLE = 6
 
 
-_MEANINGS = {
+_DESCRIPTIONS = {
     ExitCode.DONE: "done",
-    ExitCode.REFUSED: "refused; nothing was done",
-    ExitCode.USAGE: "wrong use, or wrong settings or file",
-    ExitCode.CONFLICT: "another edit came first; nothing was done",
-    ExitCode.UNKNOWN: "may have been done: look before you repeat it",
-    ExitCode.IN_PART: "done, but some instances or services are missing",
-    ExitCode.UNREACHABLE: "no instance could be reached; nothing was done",
+    ExitCode.REFUSED: "rejected; nothing was done",
+    ExitCode.USAGE: "invalid arguments, settings or file",
+    ExitCode.CONFLICT: "conflict with an earlier edit; nothing was done",
+    ExitCode.UNKNOWN: "may have been done: check before retrying",
+    ExitCode.PARTIAL: "done, but some instances or services are missing",
+    ExitCode.UNREACHABLE: "no instance was reachable; nothing was done",
 }
 
 
 def exit_code_help() -> str:
-    """Return a line for each exit code."""
-    return "\n".join(f"  {code.value}  {text}" for code, text in _MEANINGS.items())
+    """Return the description of each exit code, one per line."""
+    return "\n".join(f"  {code.value}  {text}" for code, text in _DESCRIPTIONS.items())
 
 
 class CommandError(Exception):
-    """A command that cannot go on.
+    """Raised when a command fails.
 
     Parameters
     ----------
     message : str
-        What is wrong, and the cure.
+        The error and its remedy.
     exit_code : ExitCode, optional
-        How the command ends.
+        Exit code of the command.
     """
 
     def __init__(self, message: str, exit_code: ExitCode = ExitCode.USAGE) -> None:
@@ -65,28 +65,28 @@
 
 
 class UnreachableError(CommandError):
-    """No instance answered.
+    """Raised when no instance replied.
 
     Parameters
     ----------
     message : str
-        Whom the command tried.
-    sent : bool
-        Whether some instance may have had the request.
+        Error message with the addresses tried.
+    maybe_sent : bool
+        Whether an instance may have received the request.
     """
 
-    def __init__(self, message: str, *, sent: bool) -> None:
-        code = ExitCode.UNKNOWN if sent else ExitCode.UNREACHABLE
+    def __init__(self, message: str, *, maybe_sent: bool) -> None:
+        code = ExitCode.UNKNOWN if maybe_sent else ExitCode.UNREACHABLE
         super().__init__(message, code)
 
 
-class RefusedError(CommandError):
-    """An instance answered with a problem.
+class ProblemError(CommandError):
+    """Raised when an instance replied with a problem document.
 
     Parameters
     ----------
     problem : Problem
-        Its problem document.
+        The problem document.
     """
 
     def __init__(self, problem: Problem) -> None:
@@ -97,8 +97,8 @@
 
     @property
     def advice(self) -> str:
-        """What an operator can do about it."""
+        """Advice for the operator."""
         try:
             return ADVICE[ErrorKind(self.problem.code)].operator
         except ValueError:
-            return "update this tool: the instance knows more kinds of errors"
+            return "update this tool: it does not support this kind of error"
--- a/ibisfront/cli/explain.py
+++ b/ibisfront/cli/explain.py
@@ -1,4 +1,4 @@
-"""``ibisfront explain``: a request's story from the logs of several instances."""
+"""``ibisfront explain``: traces a request through the logs of several instances."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ibisfront.cli.command import JSON_OPTION, ToolCommand
 from ibisfront.cli.exits import ExitCode
-from ibisfront.cli.log_lines import LogLine, decoded_line, text_lines
+from ibisfront.cli.log_lines import LogLine, parse_log_line, read_text_lines
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -16,18 +16,20 @@
     from cleo.io.inputs.argument import Argument
     from cleo.io.inputs.option import Option
 
-__all__ = ["Explain", "lines_about"]
+__all__ = ["Explain", "find_request_lines"]
 
-_SHOWN_APART = frozenset(("timestamp", "instance", "level", "message", "decisions"))
+_SEPARATELY_SHOWN = frozenset(
+    ("timestamp", "instance", "level", "message", "decisions")
+)
 
 
 class Explain(ToolCommand):
-    """Print what the logs say of a request."""
+    """Prints the log lines of a request."""
 
     name = "explain"
-    description = "Print a request's story from log files, in time order."
+    description = "Print the log lines of a request from log files, in time order."
     arguments: ClassVar[list[Argument]] = [
-        argument("request-id", "The id that the caller gave the request."),
+        argument("request-id", "Id that the caller assigned to the request."),
         argument("files", "Log files of instances.", multiple=True),
     ]
     options: ClassVar[list[Option]] = [JSON_OPTION]
@@ -35,44 +37,44 @@
     def run_command(self) -> ExitCode:
         """Find and print the lines."""
         request_id = self.argument("request-id")
-        found = lines_about(request_id, text_lines(self.argument("files")))
+        lines = find_request_lines(request_id, read_text_lines(self.argument("files")))
         if self.wants_json:
-            self.print_json(found)
-        elif not found:
-            self.print_text(f"no line about {request_id}")
-        for line in () if self.wants_json else found:
-            for text in _story(line):
+            self.print_json(lines)
+        elif not lines:
+            self.print_text(f"no log line for request {request_id}")
+        for line in () if self.wants_json else lines:
+            for text in _format_line(line):
                 self.print_text(text)
-        return ExitCode.DONE if found else ExitCode.REFUSED
+        return ExitCode.DONE if lines else ExitCode.REFUSED
 
 
-def lines_about(request_id: str, texts: Iterable[str]) -> list[LogLine]:
-    """Return the log lines about a request, in time order.
+def find_request_lines(request_id: str, texts: Iterable[str]) -> list[LogLine]:
+    """Return the log lines of a request, in time order.
 
     Parameters
     ----------
     request_id : str
-        The request.
+        Id of the request.
     texts : iterable of str
-        Lines of log files; what stands before a line's JSON is passed over.
+        Lines of log files; any prefix before the JSON of a line is ignored.
     """
-    found: list[LogLine] = []
+    lines: list[LogLine] = []
     for text in texts:
         if request_id not in text:
             continue
-        line = decoded_line(text)
+        line = parse_log_line(text)
         if line is not None and line.fields.get("request_id") == request_id:
-            found.append(line)
-    return sorted(found, key=lambda line: line.timestamp)
+            lines.append(line)
+    return sorted(lines, key=lambda line: line.timestamp)
 
 
-def _story(line: LogLine) -> Iterator[str]:
-    """Return the lines of text that tell of one log line."""
+def _format_line(line: LogLine) -> Iterator[str]:
+    """Yield the lines of text that describe one log line."""
     yield f"{line.timestamp} {line.instance} {line.message}"
     for name, value in line.fields.items():
-        if name not in _SHOWN_APART and name != "request_id":
+        if name not in _SEPARATELY_SHOWN and name != "request_id":
             yield f"    {name}: {value}"
     for item in line.fields.get("decisions", ()):
         where = " ".join(part for part in (item["service"], item["server"]) if part)
-        because = f" ({item['detail']})" if item["detail"] else ""
-        yield f"    after {item['after_ms']} ms: {item['what']} {where}{because}"
+        reason = f" ({item['detail']})" if item["detail"] else ""
+        yield f"    after {item['after_ms']} ms: {item['what']} {where}{reason}"
--- a/ibisfront/cli/lab.py
+++ b/ibisfront/cli/lab.py
@@ -1,4 +1,4 @@
-"""``ibisfront lab``: load patterns in virtual time, and what they show."""
+"""``ibisfront lab``: runs load patterns in virtual time and compares results."""
 
 from __future__ import annotations
 
@@ -20,41 +20,47 @@
 
     from ibisfront.lab import RunResult
 
-__all__ = ["LabCompare", "LabRun", "seeds_of"]
+__all__ = ["LabCompare", "LabRun", "parse_seeds"]
 
 
 class LabRun(ToolCommand):
-    """Run load patterns against the tier's decisions, in virtual time."""
+    """Runs load patterns against a simulated deployment in virtual time."""
 
     name = "lab run"
-    description = "Run load patterns against the tier's decisions, in virtual time."
+    description = "Run load patterns against a simulated deployment in virtual time."
     arguments: ClassVar[list[Argument]] = [
         argument(
             "patterns",
-            "Pattern files, or names of those that come along.",
+            "Pattern files, or names of bundled patterns.",
             multiple=True,
         ),
     ]
     options: ClassVar[list[Option]] = [
-        option("seeds", None, "Seeds, as 7 or 1-20.", flag=False, default="1"),
+        option(
+            "seeds",
+            None,
+            "A seed or a range of seeds, such as 7 or 1-20.",
+            flag=False,
+            default="1",
+        ),
         JSON_OPTION,
     ]
 
     def run_command(self) -> ExitCode:
-        """Run each pattern with each seed, and print what came of it."""
-        lab = _lab()
-        seeds = seeds_of(self.option("seeds"))
-        patterns = [_read(lab, name) for name in self.argument("patterns")]
+        """Run each pattern with each seed, and print the results."""
+        lab = _import_lab()
+        seeds = parse_seeds(self.option("seeds"))
+        patterns = [_read_pattern(lab, name) for name in self.argument("patterns")]
         for pattern in patterns:
             for seed in seeds:
                 result = lab.run_pattern(pattern, seed=seed)
                 if self.wants_json:
                     self.print_text(msgspec.json.encode(result).decode())
                 else:
-                    self._show(result)
+                    self._print_result(result)
         return ExitCode.DONE
 
-    def _show(self, result: RunResult) -> None:
+    def _print_result(self, result: RunResult) -> None:
         self.print_text(
             f"{result.title}, seed {result.seed}: worth {result.worth:.3f},"
             f" unserved {result.unserved:.2%}, extra {result.extra:.1%},"
@@ -72,30 +78,30 @@
 
 
 class LabCompare(ToolCommand):
-    """Compare two files of runs, seed by seed."""
+    """Compares two files of runs, paired by seed."""
 
     name = "lab compare"
-    description = "Compare two files of runs (of lab run --json), seed by seed."
+    description = "Compare two files of runs (of lab run --json), paired by seed."
     arguments: ClassVar[list[Argument]] = [
         argument("before", "Runs before a change."),
-        argument("after", "Runs after it."),
+        argument("after", "Runs after the change."),
     ]
     options: ClassVar[list[Option]] = [JSON_OPTION]
 
     def run_command(self) -> ExitCode:
-        """Compare and print."""
-        lab = _lab()
+        """Compare the runs and print the differences."""
+        lab = _import_lab()
         before, after = (
-            _runs(lab, self.argument(name)) for name in ("before", "after")
+            _read_runs(lab, self.argument(name)) for name in ("before", "after")
         )
         try:
-            found = lab.compare(before, after)
+            comparisons = lab.compare(before, after)
         except lab.PatternError as error:
             raise CommandError(str(error)) from error
         if self.wants_json:
-            self.print_json(found)
+            self.print_json(comparisons)
             return ExitCode.DONE
-        for item in found:
+        for item in comparisons:
             self.print_text(
                 f"{item.title}: {item.before:.4f} to {item.after:.4f}, {item.verdict}"
                 f" ({item.low:+.4f} to {item.high:+.4f}, {item.pairs} seeds)"
@@ -103,25 +109,25 @@
         return ExitCode.DONE
 
 
-def seeds_of(text: str) -> range:
-    """Return the seeds that an option names.
+def parse_seeds(text: str) -> range:
+    """Parse the value of ``--seeds``.
 
     Raises
     ------
     CommandError
-        If it names none.
+        If it is neither a number nor a non-empty range.
     """
     first, _, last = text.partition("-")
     if not first.isdigit() or (last and not last.isdigit()):
-        raise CommandError(f"--seeds {text}: give a number, or two as 1-20")
-    found = range(int(first), int(last or first) + 1)
-    if not found:
-        raise CommandError(f"--seeds {text}: the second is below the first")
-    return found
+        raise CommandError(f"--seeds {text}: give a number, or a range such as 1-20")
+    seeds = range(int(first), int(last or first) + 1)
+    if not seeds:
+        raise CommandError(f"--seeds {text}: the end is below the start")
+    return seeds
 
 
-def _lab() -> ModuleType:
-    """Return the laboratory, which takes packages that instances do not need."""
+def _import_lab() -> ModuleType:
+    """Import the simulation, which needs packages that instances do not."""
     try:
         import ibisfront.lab
     except ImportError as error:
@@ -129,7 +135,7 @@
     return ibisfront.lab
 
 
-def _read(lab: ModuleType, name: str) -> object:
+def _read_pattern(lab: ModuleType, name: str) -> object:
     path = Path(name)
     if not path.suffix:
         path = Path(str(lab.__file__)).parent / "patterns" / f"{name}.toml"
@@ -139,8 +145,8 @@
         raise CommandError(str(error)) from error
 
 
-def _runs(lab: ModuleType, name: str) -> list[RunResult]:
-    """Return the runs of a file of JSON lines."""
+def _read_runs(lab: ModuleType, name: str) -> list[RunResult]:
+    """Read runs from a file of JSON lines."""
     try:
         lines: Iterable[str] = Path(name).read_text().splitlines()
         return [msgspec.json.decode(line, type=lab.RunResult) for line in lines]
--- a/ibisfront/cli/log_lines.py
+++ b/ibisfront/cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Reading the log files of instances."""
+"""Reads the log files of instances."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-__all__ = ["LogLine", "decoded_line", "log_lines", "text_lines"]
+__all__ = ["LogLine", "parse_log_line", "read_log_lines", "read_text_lines"]
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """A line of an instance's log.
+    """Line of an instance's log.
 
     Attributes
     ----------
     timestamp : str
-        When it was written, by the instance's time of day.
+        Time of the line by the instance's wall clock.
     instance : str
-        Which instance wrote it.
+        Instance that wrote it.
     message : str
-        The sentence, with the prefix of its part.
+        The message, with the prefix of its component.
     fields : dict
-        Everything else that stands in it; the fields differ by line.
+        All fields of the line; they differ by line.
     """
 
     timestamp: str
@@ -36,10 +36,10 @@
     fields: dict[str, Any]
 
 
-def decoded_line(text: str) -> LogLine | None:
-    """Return a line that is one; None for other output between them.
+def parse_log_line(text: str) -> LogLine | None:
+    """Parse a log line; returns None for other output between log lines.
 
-    What stands before a line's JSON is passed over.
+    Any prefix before the JSON of a line is ignored.
     """
     try:
         fields = msgspec.json.decode(text[text.find("{") :], type=dict[str, Any])
@@ -53,16 +53,16 @@
     )
 
 
-def log_lines(files: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines of some files; raises ``CommandError`` if one is unreadable."""
-    for text in text_lines(files):
-        line = decoded_line(text)
+def read_log_lines(files: Iterable[str]) -> Iterator[LogLine]:
+    """Yield the log lines of files; raises ``CommandError`` if one is unreadable."""
+    for text in read_text_lines(files):
+        line = parse_log_line(text)
         if line is not None:
             yield line
 
 
-def text_lines(files: Iterable[str]) -> Iterator[str]:
-    """Yield the lines of some files as text."""
+def read_text_lines(files: Iterable[str]) -> Iterator[str]:
+    """Yield the lines of files; raises ``CommandError`` if one is unreadable."""
     for name in files:
         try:
             yield from Path(name).read_text(errors="replace").splitlines()
--- a/ibisfront/cli/output.py
+++ b/ibisfront/cli/output.py
@@ -1,4 +1,4 @@
-"""Text for people: columns, changes and conflicts."""
+"""Text output: columns, changes, conflicts and propagation of edits."""
 
 from __future__ import annotations
 
@@ -12,28 +12,30 @@
 from ibisfront.core.table import RowChange
 
 if TYPE_CHECKING:
-    from ibisfront.cli.table_edits import Reach
+    from ibisfront.cli.table_edits import Propagation
     from ibisfront.core.table import EditSummary
     from ibisfront.core.table_changes import TableChange
     from ibisfront.core.table_edit import TableConflict
 
 __all__ = [
     "change_lines",
-    "columns",
     "conflict_lines",
     "edit_heading",
-    "reach_lines",
+    "format_columns",
+    "propagation_lines",
 ]
 
-_GAP = "  "
+_COLUMN_SEPARATOR = "  "
 
 
-def columns(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Return lines with their cells under each other."""
+def format_columns(
+    headings: Sequence[str], rows: Sequence[Sequence[object]]
+) -> list[str]:
+    """Return the headings and rows as lines with aligned columns."""
     cells = [list(headings), *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [
-        _GAP.join(
+        _COLUMN_SEPARATOR.join(
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ).rstrip()
         for line in cells
@@ -49,7 +51,7 @@
     """Return both edits of a conflict."""
     lines = [f"your edit, made on version {conflict.base_version}:"]
     if conflict.yours is None:
-        lines.append("  (cannot be told: the history does not reach back so far)")
+        lines.append("  (not available: the history does not reach back far enough)")
     lines += [f"  {line}" for line in change_lines(conflict.yours or ())]
     for edit in conflict.theirs:
         lines.append(f"made since: {edit_heading(edit)}")
@@ -67,15 +69,15 @@
     )
 
 
-def reach_lines(reach: Reach) -> list[str]:
-    """Return where an edit is in force, and the instances that are missing."""
-    if not reach.known:
-        return ["no instance answered since: where it is in force is not known"]
-    lines = [f"in force at {', '.join(reach.in_force) or 'no instance'}"]
-    if reach.behind:
-        lines.append(f"not yet in force at {', '.join(reach.behind)}")
-    if reach.unreachable:
-        lines.append(f"could not be reached: {', '.join(reach.unreachable)}")
+def propagation_lines(propagation: Propagation) -> list[str]:
+    """Return where an edit is in force, and the instances that lack it."""
+    if not propagation.known:
+        return ["no instance has replied since: where it is in force is unknown"]
+    lines = [f"in force at {', '.join(propagation.in_force) or 'no instance'}"]
+    if propagation.behind:
+        lines.append(f"not yet in force at {', '.join(propagation.behind)}")
+    if propagation.unreachable:
+        lines.append(f"could not be reached: {', '.join(propagation.unreachable)}")
     return lines
 
 
@@ -85,31 +87,33 @@
     else:
         subject = f"purpose {change.name}"
     if change.before is None:
-        return f"+ {subject}: {_fields(change.after)}"
+        return f"+ {subject}: {_format_fields(change.after)}"
     if change.after is None:
-        return f"- {subject}: {_fields(change.before)}"
-    return f"~ {subject}: {_differences(change.before, change.after)}"
+        return f"- {subject}: {_format_fields(change.before)}"
+    return f"~ {subject}: {_format_differences(change.before, change.after)}"
 
 
-def _fields(item: msgspec.Struct | None) -> str:
+def _format_fields(item: msgspec.Struct | None) -> str:
     values = {} if item is None else msgspec.structs.asdict(item)
     keys = ("name", "branch", "purpose")
     return ", ".join(
-        f"{name} {_shown(value)}" for name, value in values.items() if name not in keys
+        f"{name} {_format_value(value)}"
+        for name, value in values.items()
+        if name not in keys
     )
 
 
-def _differences(before: msgspec.Struct, after: msgspec.Struct) -> str:
+def _format_differences(before: msgspec.Struct, after: msgspec.Struct) -> str:
     old = msgspec.structs.asdict(before)
     new = msgspec.structs.asdict(after)
     return ", ".join(
-        f"{name} {_shown(old[name])} -> {_shown(value)}"
+        f"{name} {_format_value(old[name])} -> {_format_value(value)}"
         for name, value in new.items()
         if old[name] != value
     )
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, float):
--- a/ibisfront/cli/purpose.py
+++ b/ibisfront/cli/purpose.py
@@ -1,4 +1,4 @@
-"""``ibisfront purpose``: add, change and remove purposes."""
+"""``ibisfront purpose``: adds, changes and removes purposes."""
 
 from __future__ import annotations
 
@@ -18,29 +18,31 @@
 __all__ = ["PurposeRemove", "PurposeSet"]
 
 _NAME = argument("name", "The name of the purpose.")
-_YES = {"yes": True, "no": False}
+_BOOLEANS = {"yes": True, "no": False}
 
 
 class PurposeSet(TableEditCommand):
-    """Add a purpose or change it."""
+    """Adds or changes a purpose."""
 
     name = "purpose set"
-    description = "Add a purpose, or change it; table set then gives it rows."
+    description = "Add or change a purpose; add its rows with table set."
     arguments: ClassVar[list[Argument]] = [_NAME]
     options: ClassVar[list[Option]] = [
-        option("search", None, "It searches this index.", flag=False),
-        option("perform", None, "It runs non-idempotent work here.", flag=False),
+        option("search", None, "Index that it searches.", flag=False),
+        option(
+            "perform", None, "Service that runs its non-idempotent work.", flag=False
+        ),
         option("prefers", None, "latency or coverage.", flag=False),
         option("urgent", None, "yes or no.", flag=False),
         *TableEditCommand.options,
     ]
 
-    def edited(self, table: Table) -> Table:
-        """Return the table with the purpose as it shall be."""
+    def edit_table(self, table: Table) -> Table:
+        """Return the table with the purpose added or changed."""
         name = self.argument("name")
-        known = table.purpose(name)
-        fields = {} if known is None else msgspec.to_builtins(known)
-        fields.update(name=name, **self._given())
+        existing = table.purpose(name)
+        fields = {} if existing is None else msgspec.to_builtins(existing)
+        fields.update(name=name, **self._given_fields())
         if "kind" not in fields:
             raise CommandError(
                 f"{name} is new: give --search INDEX or --perform SERVICE"
@@ -52,7 +54,7 @@
         others = tuple(item for item in table.purposes if item.name != name)
         return msgspec.structs.replace(table, purposes=(*others, purpose))
 
-    def _given(self) -> dict[str, object]:
+    def _given_fields(self) -> dict[str, object]:
         given: dict[str, object] = {}
         if self.option("search") is not None:
             given.update(kind="search", index=self.option("search"), service=None)
@@ -66,19 +68,19 @@
 
     def _urgent(self) -> bool:
         text = self.option("urgent")
-        if text not in _YES:
+        if text not in _BOOLEANS:
             raise CommandError(f"--urgent is {text!r}: give yes or no")
-        return _YES[text]
+        return _BOOLEANS[text]
 
 
 class PurposeRemove(TableEditCommand):
-    """Remove a purpose and its rows."""
+    """Removes a purpose and its rows."""
 
     name = "purpose remove"
-    description = "Remove a purpose and every row of it."
+    description = "Remove a purpose and all its rows."
     arguments: ClassVar[list[Argument]] = [_NAME]
 
-    def edited(self, table: Table) -> Table:
+    def edit_table(self, table: Table) -> Table:
         """Return the table without the purpose."""
         name = self.argument("name")
         if table.purpose(name) is None:
--- a/ibisfront/cli/query.py
+++ b/ibisfront/cli/query.py
@@ -1,4 +1,4 @@
-"""``ibisfront query``: send one search as a caller."""
+"""``ibisfront query``: sends one search as a caller."""
 
 from __future__ import annotations
 
@@ -27,30 +27,35 @@
 
 
 class Query(ToolCommand):
-    """Send one search."""
+    """Sends one search."""
 
     name = "query"
-    description = "Send one search as a caller; says what the answer covers."
+    description = "Send one search as a caller, and print its result and coverage."
     arguments: ClassVar[list[Argument]] = [
-        argument("branch", "The branch that asks."),
+        argument("branch", "Branch that sends the search."),
         argument("purpose", "The purpose."),
-        argument("body", "What to search for, as JSON; - reads standard input."),
+        argument("body", "The search as JSON; - reads standard input."),
     ]
     options: ClassVar[list[Option]] = [
         option(
             "callers",
             None,
-            f"Where an instance listens for callers (or ${CALLERS_VARIABLE}).",
+            f"Caller address of an instance (or ${CALLERS_VARIABLE}).",
             flag=False,
             multiple=True,
         ),
-        option("deadline-ms", None, "The remaining budget.", flag=False),
+        option(
+            "deadline-ms",
+            None,
+            "Time left for the request, in milliseconds.",
+            flag=False,
+        ),
         SETTINGS_OPTION,
         JSON_OPTION,
     ]
 
     def run_command(self) -> ExitCode:
-        """Send the search and print its answer."""
+        """Send the search and print its result."""
         deadline_ms = self.option("deadline-ms")
         headers = {} if deadline_ms is None else {"X-Deadline-Ms": deadline_ms}
         branch = quote(self.argument("branch"), safe="")
@@ -66,8 +71,8 @@
             self.print_json(answer)
         else:
             self._print(answer)
-        whole = answer.coverage.answered == answer.coverage.total
-        return ExitCode.DONE if whole else ExitCode.IN_PART
+        is_complete = answer.coverage.answered == answer.coverage.total
+        return ExitCode.DONE if is_complete else ExitCode.PARTIAL
 
     def _print(self, answer: Answer) -> None:
         for row in answer.results:
@@ -94,7 +99,7 @@
             given = os.environ.get(CALLERS_VARIABLE, "").replace(",", " ").split()
         if not given:
             raise CommandError(
-                "no instance is named: give --callers IP:PORT, --settings FILE or"
+                "no instance address: give --callers IP:PORT, --settings FILE or"
                 f" ${CALLERS_VARIABLE}"
             )
         return list(given)
--- a/ibisfront/cli/service.py
+++ b/ibisfront/cli/service.py
@@ -1,4 +1,4 @@
-"""``ibisfront service``: see and edit the membership of services."""
+"""``ibisfront service``: shows and edits the backend servers of services."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from ibisfront.adapters.admin import NamedService
 from ibisfront.cli.command import OperatorCommand
-from ibisfront.cli.edit_command import WaitingCommand
+from ibisfront.cli.edit_command import EditCommand
 from ibisfront.cli.exits import ExitCode
-from ibisfront.cli.output import columns
-from ibisfront.cli.table_edits import Reach, wait_in_force
+from ibisfront.cli.output import format_columns
+from ibisfront.cli.table_edits import Propagation, wait_until_in_force
 from ibisfront.core.service import BackendServer
 from ibisfront.core.service_edit import ServiceEdited
 
@@ -33,11 +33,11 @@
     """A service after an edit, and where the edit is in force."""
 
     edited: ServiceEdited
-    reach: Reach
+    reach: Propagation
 
 
 class ServiceList(OperatorCommand):
-    """Show the services."""
+    """Shows the services."""
 
     name = "service list"
     description = "Show the services and their backend servers."
@@ -48,7 +48,7 @@
         if self.wants_json:
             self.print_json(services)
             return ExitCode.DONE
-        lines = columns(
+        lines = format_columns(
             ("SERVICE", "SERVER", "ADDRESS", "ZONE", "STATE"),
             [
                 (item.name, server.name, server.address, server.zone, server.state)
@@ -61,27 +61,27 @@
         return ExitCode.DONE
 
 
-class _ServiceEditCommand(WaitingCommand):
-    """A command that edits one service."""
+class _ServiceEditCommand(EditCommand):
+    """Command that edits one service."""
 
     def run_with(self, client: AdminClient) -> ExitCode:
         """Make the edit and wait until it is in force everywhere."""
         edited = self.edit(client, self._servers_path())
-        reach = wait_in_force(
+        propagation = wait_until_in_force(
             client, lambda reply: reply.revision >= edited.version, wait_s=self.wait_s
         )
         if self.wants_json:
-            self.print_json(_Outcome(edited, reach))
+            self.print_json(_Outcome(edited, propagation))
         else:
             self.print_text(f"accepted: {edited.name} is at version {edited.version}")
-        return self.show_reach(reach)
+        return self.show_propagation(propagation)
 
     def edit(self, client: AdminClient, path: str) -> ServiceEdited:
-        """Make the edit; the path is that of the service's servers."""
+        """Make the edit; ``path`` is the path of the service's servers."""
         raise NotImplementedError
 
     def server_path(self, path: str) -> str:
-        """Return the path of the server that the command names."""
+        """Return the path of the server given to the command."""
         return f"{path}/{quote(self.argument('server'), safe='')}"
 
     def _servers_path(self) -> str:
@@ -89,7 +89,7 @@
 
 
 class ServiceAdd(_ServiceEditCommand):
-    """Add a backend server."""
+    """Adds a backend server."""
 
     name = "service add"
     description = "Add a backend server to a service, or change its entry."
@@ -111,10 +111,10 @@
 
 
 class ServiceDrain(_ServiceEditCommand):
-    """Let a backend server get no new work."""
+    """Drains a backend server."""
 
     name = "service drain"
-    description = "Let a backend server get no new work; what runs there goes on."
+    description = "Stop sending new work to a backend server; running work continues."
     arguments: ClassVar[list[Argument]] = [_SERVICE, _SERVER]
 
     def edit(self, client: AdminClient, path: str) -> ServiceEdited:
@@ -123,10 +123,10 @@
 
 
 class ServiceRemove(_ServiceEditCommand):
-    """Remove a backend server."""
+    """Removes a backend server."""
 
     name = "service remove"
-    description = "Take a backend server out of a service; drain it first."
+    description = "Remove a backend server from a service; drain it first."
     arguments: ClassVar[list[Argument]] = [_SERVICE, _SERVER]
 
     def edit(self, client: AdminClient, path: str) -> ServiceEdited:
--- a/ibisfront/cli/settings.py
+++ b/ibisfront/cli/settings.py
@@ -1,4 +1,4 @@
-"""``ibisfront check-settings``: find every fault of a settings file."""
+"""``ibisfront check-settings``: reports every error in a settings file."""
 
 from __future__ import annotations
 
@@ -21,23 +21,27 @@
 __all__ = ["CheckSettings"]
 
 
-class _Checked(msgspec.Struct, frozen=True):
-    """What came of a check."""
+class _CheckResult(msgspec.Struct, frozen=True):
+    """Result of a check."""
 
     file: str
     faults: tuple[SettingsFault, ...]
 
 
 class CheckSettings(ToolCommand):
-    """Check a settings file."""
+    """Checks a settings file."""
 
     name = "check-settings"
-    description = "Check a settings file as ibisfrontd does, and list every fault."
+    description = "Check a settings file as ibisfrontd does, and list every error."
     arguments: ClassVar[list[Argument]] = [
         argument("file", "The TOML file.", optional=True)
     ]
     options: ClassVar[list[Option]] = [
-        option("reference", None, "Print what may be set, in place of a check."),
+        option(
+            "reference",
+            None,
+            "Print the settings reference instead of checking a file.",
+        ),
         JSON_OPTION,
     ]
 
@@ -48,21 +52,21 @@
             return ExitCode.DONE
         given = self.argument("file")
         if given is None:
-            raise CommandError("name the file to check, or give --reference")
-        checked = _check(given)
+            raise CommandError("no file: give a file to check, or --reference")
+        result = _check(given)
         if self.wants_json:
-            self.print_json(checked)
-        elif not checked.faults:
-            self.print_text(f"{given} is good")
+            self.print_json(result)
+        elif not result.faults:
+            self.print_text(f"{given} is valid")
         else:
-            for fault in checked.faults:
+            for fault in result.faults:
                 self.print_text(str(fault))
-        return ExitCode.USAGE if checked.faults else ExitCode.DONE
+        return ExitCode.USAGE if result.faults else ExitCode.DONE
 
 
-def _check(file: str) -> _Checked:
+def _check(file: str) -> _CheckResult:
     try:
         read_settings(Path(file))
     except SettingsError as error:
-        return _Checked(file, error.faults)
-    return _Checked(file, ())
+        return _CheckResult(file, error.faults)
+    return _CheckResult(file, ())
--- a/ibisfront/cli/status.py
+++ b/ibisfront/cli/status.py
@@ -1,4 +1,4 @@
-"""``ibisfront status``: the instances and the table version at each."""
+"""``ibisfront status``: shows the instances and the table version at each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ibisfront.cli.command import OperatorCommand
 from ibisfront.cli.exits import ExitCode
-from ibisfront.cli.output import columns
+from ibisfront.cli.output import format_columns
 from ibisfront.core.status import TierStatus
 
 if TYPE_CHECKING:
@@ -16,13 +16,13 @@
 
 
 class Status(OperatorCommand):
-    """Show the instances."""
+    """Shows the instances."""
 
     name = "status"
     description = "Show the instances, and the table version in force at each."
 
     def run_with(self, client: AdminClient) -> ExitCode:
-        """Print the instances; name those that could not be reached."""
+        """Print the instances, and the names of unreachable ones."""
         report = client.call("GET", "/v1/admin/status", TierStatus)
         if self.wants_json:
             self.print_json(report)
@@ -30,10 +30,10 @@
             self._print(report)
         ready = all(reply.ready for reply in report.instances)
         complete = ready and not report.unreachable
-        return ExitCode.DONE if complete else ExitCode.IN_PART
+        return ExitCode.DONE if complete else ExitCode.PARTIAL
 
     def _print(self, report: TierStatus) -> None:
-        lines = columns(
+        lines = format_columns(
             ("INSTANCE", "ZONE", "TABLE", "REVISION", "SEES", "READY"),
             [
                 (
--- a/ibisfront/cli/table.py
+++ b/ibisfront/cli/table.py
@@ -1,4 +1,4 @@
-"""``ibisfront table``: see and edit the table."""
+"""``ibisfront table``: shows and edits the table."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from ibisfront.cli.command import OperatorCommand
 from ibisfront.cli.edit_command import TableEditCommand, number_option
 from ibisfront.cli.exits import CommandError, ExitCode
-from ibisfront.cli.output import change_lines, columns, edit_heading
+from ibisfront.cli.output import change_lines, edit_heading, format_columns
 from ibisfront.cli.table_edits import TABLE_PATH, fetch_table
-from ibisfront.cli.table_files import format_of, read_table_file, table_text
+from ibisfront.cli.table_files import read_table_file, resolve_format, table_text
 from ibisfront.core.table import EditSummary, Row, Table
 
 if TYPE_CHECKING:
@@ -38,17 +38,19 @@
     argument("purpose", "The purpose of the row."),
 ]
 _FORMAT_OPTION = option(
-    "format", None, "toml or csv; by the file's name if left out.", flag=False
+    "format", None, "toml or csv; taken from the file's suffix if omitted.", flag=False
 )
 
 
 class TableShow(OperatorCommand):
-    """Show the table."""
+    """Shows the table."""
 
     name = "table show"
     description = "Show the table: its version, purposes and rows."
     options: ClassVar[list[Option]] = [
-        option("in-force", None, "Show what is in force at the instance asked."),
+        option(
+            "in-force", None, "Show the version in force at the instance that replies."
+        ),
         *OperatorCommand.operator_options,
     ]
 
@@ -70,27 +72,27 @@
 
 
 class TableSet(TableEditCommand):
-    """Add a row or change it."""
+    """Adds or changes a row."""
 
     name = "table set"
-    description = "Add the row of a branch and purpose, or change it."
+    description = "Add or change the row of a branch and purpose."
     arguments: ClassVar[list[Argument]] = _ROW_ARGUMENTS
     options: ClassVar[list[Option]] = [
         number_option(
-            "weight", "Its share against the other rows when the tier is full."
+            "weight", "Weight against the other rows when the tier is at capacity."
         ),
-        number_option("limit-per-s", "Requests a second that it may start."),
-        number_option("max-in-flight", "Requests that it may have running."),
+        number_option("limit-per-s", "Rate limit, in requests per second."),
+        number_option("max-in-flight", "Limit on concurrent requests."),
         *TableEditCommand.options,
     ]
 
-    def edited(self, table: Table) -> Table:
-        """Return the table with the row as it shall be."""
+    def edit_table(self, table: Table) -> Table:
+        """Return the table with the row added or changed."""
         branch, purpose = self.argument("branch"), self.argument("purpose")
         given = {
             "weight": self.number("weight"),
             "limit_per_s": self.number("limit-per-s"),
-            "max_in_flight": self.whole_number("max-in-flight"),
+            "max_in_flight": self.integer("max-in-flight"),
         }
         row = msgspec.structs.replace(
             table.row(branch, purpose) or Row(branch, purpose),
@@ -100,13 +102,15 @@
 
 
 class TableRemove(TableEditCommand):
-    """Remove a row."""
+    """Removes a row."""
 
     name = "table remove"
-    description = "Remove the row of a branch and purpose; its requests are refused."
+    description = (
+        "Remove the row of a branch and purpose; its requests are then rejected."
+    )
     arguments: ClassVar[list[Argument]] = _ROW_ARGUMENTS
 
-    def edited(self, table: Table) -> Table:
+    def edit_table(self, table: Table) -> Table:
         """Return the table without the row."""
         branch, purpose = self.argument("branch"), self.argument("purpose")
         if table.row(branch, purpose) is None:
@@ -118,7 +122,7 @@
 
 
 class TableHistory(OperatorCommand):
-    """Show the last edits."""
+    """Shows the last edits."""
 
     name = "table history"
     description = "Show the last edits of the table, newest first."
@@ -137,12 +141,12 @@
 
 
 class TableExport(OperatorCommand):
-    """Write the table to a file."""
+    """Writes the table to a file."""
 
     name = "table export"
     description = "Write the table as TOML, or its rows as CSV for a spreadsheet."
     arguments: ClassVar[list[Argument]] = [
-        argument("file", "The file; printed if left out.", optional=True)
+        argument("file", "The file; standard output if omitted.", optional=True)
     ]
     options: ClassVar[list[Option]] = [
         _FORMAT_OPTION,
@@ -153,7 +157,7 @@
         """Write the table."""
         given = self.argument("file")
         path = None if given is None else Path(given)
-        file_format = format_of(path, self.option("format"))
+        file_format = resolve_format(path, self.option("format"))
         view = fetch_table(client)
         text = table_text(view, file_format)
         if path is None:
@@ -164,7 +168,7 @@
         except OSError as error:
             raise CommandError(f"{path} cannot be written ({error})") from error
         if self.wants_json:
-            self.print_json(_Exported(str(path), view.version))
+            self.print_json(_ExportResult(str(path), view.version))
         else:
             self.print_text(
                 f"{path} holds version {view.version}; apply it with"
@@ -174,53 +178,53 @@
 
 
 class TableApply(TableEditCommand):
-    """Make the table what a file says."""
+    """Replaces the table by the contents of a file."""
 
     name = "table apply"
-    description = "Make the table what a file says; the difference is shown first."
+    description = "Replace the table by a file's contents; the changes are shown first."
     arguments: ClassVar[list[Argument]] = [argument("file", "A TOML or CSV file.")]
     options: ClassVar[list[Option]] = [
-        option("yes", "y", "Do not ask."),
+        option("yes", "y", "Apply without confirmation."),
         _FORMAT_OPTION,
         *TableEditCommand.options,
     ]
 
-    def edited(self, table: Table) -> Table:
-        """Return the table as the file has it."""
-        return self._file().table_on(table)
+    def edit_table(self, table: Table) -> Table:
+        """Return the table defined by the file."""
+        return self._read_file().apply_to(table)
 
     def base_version(self) -> int | None:
-        """Return the version that the file was made from.
+        """Return the version that the file is based on.
 
         Raises
         ------
         CommandError
-            If neither the file nor the operator says it: the edits that others
-            made since would be undone unseen.
+            If neither the file nor the operator gives it; edits made since then
+            would be reverted unnoticed.
         """
         named = super().base_version()
-        version = self._file().version if named is None else named
+        version = self._read_file().version if named is None else named
         if version is None:
             raise CommandError(
-                "the file does not say which version it was made from:"
-                " give --base VERSION, as table export printed it"
+                "the file does not give the version that it is based on:"
+                " give --base VERSION, as printed by table export"
             )
         return version
 
     def confirmed(self) -> bool:
-        """Ask, unless told not to."""
+        """Ask for confirmation, unless ``--yes`` is given."""
         if self.option("yes"):
             return True
         if self.wants_json:
-            raise CommandError("with --json nobody can be asked: give --yes")
-        return bool(self.confirm("Apply this?", default=False))
+            raise CommandError("--json allows no confirmation prompt: give --yes")
+        return bool(self.confirm("Apply these changes?", default=False))
 
-    def _file(self) -> TableFile:
+    def _read_file(self) -> TableFile:
         path = Path(self.argument("file"))
-        return read_table_file(path, format_of(path, self.option("format")))
+        return read_table_file(path, resolve_format(path, self.option("format")))
 
 
-class _Exported(msgspec.Struct, frozen=True):
+class _ExportResult(msgspec.Struct, frozen=True):
     file: str
     version: int
 
@@ -237,7 +241,7 @@
 
 def _purpose_lines(table: Table) -> list[str]:
     headings = ("PURPOSE", "KIND", "SEARCHES OR RUNS AT", "PREFERS", "URGENT")
-    return columns(
+    return format_columns(
         headings,
         [
             (
@@ -254,7 +258,7 @@
 
 def _row_lines(table: Table) -> list[str]:
     headings = ("BRANCH", "PURPOSE", "WEIGHT", "LIMIT PER S", "MAX IN FLIGHT")
-    return columns(
+    return format_columns(
         headings,
         [
             (
--- a/ibisfront/cli/table_edits.py
+++ b/ibisfront/cli/table_edits.py
@@ -1,4 +1,4 @@
-"""Making an edit of the table and seeing it into force everywhere."""
+"""Submits table edits and waits until they are in force everywhere."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ibisfront.cli.exits import (
     CommandError,
     ExitCode,
-    RefusedError,
+    ProblemError,
     UnreachableError,
 )
 from ibisfront.core.status import InstanceStatus, TierStatus
@@ -29,36 +29,36 @@
 
 __all__ = [
     "EditOutcome",
-    "Reach",
+    "Propagation",
     "apply_edit",
     "fetch_base",
     "fetch_table",
-    "wait_in_force",
+    "wait_until_in_force",
 ]
 
 TABLE_PATH = "/v1/admin/table"
 _STATUS_PATH = "/v1/admin/status"
 _POLL_S = 0.1
 _ATTEMPTS = 5
-_SETTLED_POLLS = 3
-_UNSETTLED = ("write_unknown",)
+_STABLE_POLLS = 3
+_UNRESOLVED_CODES = ("write_unknown",)
 
-ShowConflict: TypeAlias = "Callable[[RefusedError], None]"
+ShowConflict: TypeAlias = "Callable[[ProblemError], None]"
 
 
-class Reach(msgspec.Struct, frozen=True):
-    """Where a version is in force.
+class Propagation(msgspec.Struct, frozen=True):
+    """Instances at which a version is in force.
 
     Attributes
     ----------
     in_force : tuple of str
-        The instances that have it, or a newer one, in force.
+        Instances at which this version or a newer one is in force.
     behind : tuple of str
-        Those that answer and do not have it yet.
+        Instances that replied and still have an older version.
     unreachable : tuple of str
-        Those that did not answer.
+        Instances that did not reply.
     known : bool
-        False if no instance could be asked.
+        False if no instance returned the status.
     """
 
     in_force: tuple[str, ...]
@@ -73,38 +73,38 @@
 
 
 class EditOutcome(msgspec.Struct, frozen=True):
-    """An accepted edit, and where it is in force."""
+    """Accepted edit, and where it is in force."""
 
     edit_id: str
     base_version: Version
     version: Version
     changes: tuple[TableChange, ...]
-    reach: Reach
+    reach: Propagation
 
 
 def fetch_table(client: AdminClient) -> TableView:
-    """Return the table as the platform has it."""
+    """Return the table stored on the platform."""
     return client.call("GET", TABLE_PATH, TableView)
 
 
 def fetch_base(client: AdminClient, current: TableView, base: Version) -> Table:
-    """Return the table as it stood at an earlier version.
+    """Return the table at an earlier version.
 
     Raises
     ------
     CommandError
-        If the history does not reach back so far.
+        If the history does not reach back to that version.
     """
     if base == current.version:
         return current.table
     if base > current.version:
         raise CommandError(
-            f"there is no version {base} of the table yet: it is at {current.version}"
+            f"version {base} of the table does not exist: it is at {current.version}"
         )
     history = client.call("GET", f"{TABLE_PATH}/history", tuple[EditSummary, ...])
     since = tuple(edit for edit in history if edit.base_version >= base)
-    traced = bool(since) and since[0].base_version == base
-    if not traced or not all(edit.whole for edit in since):
+    is_traceable = bool(since) and since[0].base_version == base
+    if not is_traceable or not all(edit.whole for edit in since):
         raise CommandError(
             f"the history of the table does not reach back to version {base}:"
             f" read version {current.version} and edit again",
@@ -119,85 +119,93 @@
     changes: tuple[TableChange, ...],
     *,
     wait_s: float,
-    say: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> EditOutcome:
-    """Make changes to the version that they were made on, and wait.
+    """Submit changes to their base version, and wait until they are in force.
 
-    If another edit came first and touches other rows, the changes are made
-    again on the version that it left.
+    If another edit was accepted first and touches other rows, the changes are
+    resubmitted on top of it.
 
     Parameters
     ----------
     client : AdminClient
-        Whom to call.
+        Client of the instances.
     base : TableView
-        The version that the changes were made on.
+        Version that the changes are based on.
     changes : tuple of RowChange or PurposeChange
-        What to change.
+        The changes.
     wait_s : float
-        How long to wait until the edit is in force everywhere.
-    say : callable
-        Told of each step.
+        Longest wait until the edit is in force everywhere, in seconds.
+    report_progress : callable
+        Receives a line of text for each step.
 
     Raises
     ------
     CommandError
-        If the edit was not made, or it is not known whether it was.
+        If the edit was not made, or its outcome is unknown.
     """
     edit_id = secrets.token_hex(8)
     for _ in range(_ATTEMPTS):
         proposal = _proposal(base, changes, edit_id)
         try:
-            accepted = _send(client, proposal)
-        except RefusedError as error:
-            base = _next_base(client, error)
-            say(f"another edit came first and touches other rows: on {base.version}")
+            accepted = _send_proposal(client, proposal)
+        except ProblemError as error:
+            base = _rebase(client, error)
+            report_progress(
+                f"another edit of other rows came first: retrying on {base.version}"
+            )
             continue
-        say(f"accepted as version {accepted.version} (edit {edit_id})")
-        reach = _wait_for_table(client, accepted.version, wait_s)
+        report_progress(f"accepted as version {accepted.version} (edit {edit_id})")
+        propagation = _wait_for_table(client, accepted.version, wait_s)
         return EditOutcome(
-            edit_id, base.version, accepted.version, accepted.changes, reach
+            edit_id, base.version, accepted.version, accepted.changes, propagation
         )
     raise CommandError(
         f"other edits came first {_ATTEMPTS} times: try again", ExitCode.CONFLICT
     )
 
 
-def _wait_for_table(client: AdminClient, version: Version, wait_s: float) -> Reach:
-    return wait_in_force(
+def _wait_for_table(
+    client: AdminClient, version: Version, wait_s: float
+) -> Propagation:
+    return wait_until_in_force(
         client, lambda reply: reply.table_version >= version, wait_s=wait_s
     )
 
 
-def wait_in_force(
-    client: AdminClient, has_it: Callable[[InstanceStatus], bool], *, wait_s: float
-) -> Reach:
-    """Ask for the status until every instance has a version, or time is up.
+def wait_until_in_force(
+    client: AdminClient, is_applied: Callable[[InstanceStatus], bool], *, wait_s: float
+) -> Propagation:
+    """Poll the status until every instance has a version, or the time is up.
 
-    An instance that cannot be reached is not waited for to the end: it may be
-    dead, and each edit would take the whole time.
+    Stops early if only unreachable instances are missing: they may be dead, and
+    each edit would take the whole time.
     """
-    ends_at_s = time.monotonic() + wait_s
-    settled = 0
+    deadline_s = time.monotonic() + wait_s
+    stable_polls = 0
     while True:
-        reach = _ask_reach(client, has_it)
-        settled = settled + 1 if reach.known and not reach.behind else 0
-        out_of_time = time.monotonic() >= ends_at_s
-        if reach.complete or out_of_time or settled >= _SETTLED_POLLS:
-            return reach
+        propagation = _poll_propagation(client, is_applied)
+        stable_polls = (
+            stable_polls + 1 if propagation.known and not propagation.behind else 0
+        )
+        is_timed_out = time.monotonic() >= deadline_s
+        if propagation.complete or is_timed_out or stable_polls >= _STABLE_POLLS:
+            return propagation
         time.sleep(_POLL_S)
 
 
-def _ask_reach(client: AdminClient, has_it: Callable[[InstanceStatus], bool]) -> Reach:
-    # The edit is accepted by now. That no instance can tell where it is in
-    # force must not look like a refused edit, which would be made again.
+def _poll_propagation(
+    client: AdminClient, is_applied: Callable[[InstanceStatus], bool]
+) -> Propagation:
+    # The edit is already accepted. A failed status request must not look like a
+    # rejected edit, which the operator would repeat.
     try:
         report = client.call("GET", _STATUS_PATH, TierStatus)
     except CommandError:
-        return Reach((), (), (), known=False)
-    return Reach(
-        in_force=tuple(reply.name for reply in report.instances if has_it(reply)),
-        behind=tuple(reply.name for reply in report.instances if not has_it(reply)),
+        return Propagation((), (), (), known=False)
+    return Propagation(
+        in_force=tuple(reply.name for reply in report.instances if is_applied(reply)),
+        behind=tuple(reply.name for reply in report.instances if not is_applied(reply)),
         unreachable=report.unreachable,
     )
 
@@ -213,30 +221,30 @@
     )
 
 
-def _send(client: AdminClient, proposal: TableProposal) -> EditAccepted:
-    # An instance that cannot settle a lost answer in its time says so. The
-    # same edit, with its id and base, settles it when it is sent again.
+def _send_proposal(client: AdminClient, proposal: TableProposal) -> EditAccepted:
+    # An instance reports when it could not resolve a lost platform reply in time.
+    # Resending the edit with the same id and base version resolves the outcome.
     try:
         return client.call("PUT", TABLE_PATH, EditAccepted, proposal)
-    except RefusedError as error:
-        if error.problem.code not in _UNSETTLED:
+    except ProblemError as error:
+        if error.problem.code not in _UNRESOLVED_CODES:
             raise
     except UnreachableError as error:
         if error.exit_code is ExitCode.UNKNOWN:
-            raise _unknown(error, proposal) from error
+            raise _outcome_unknown(error, proposal) from error
         raise
     return client.call("PUT", TABLE_PATH, EditAccepted, proposal)
 
 
-def _unknown(error: UnreachableError, proposal: TableProposal) -> CommandError:
+def _outcome_unknown(error: UnreachableError, proposal: TableProposal) -> CommandError:
     return CommandError(
         f"{error}; edit {proposal.edit_id} may have been made:"
-        " look with ibisfront table history",
+        " check with ibisfront table history",
         ExitCode.UNKNOWN,
     )
 
 
-def _next_base(client: AdminClient, error: RefusedError) -> TableView:
+def _rebase(client: AdminClient, error: ProblemError) -> TableView:
     conflict = error.problem.conflict
     if conflict is None or conflict.overlaps:
         raise error
--- a/ibisfront/cli/table_files.py
+++ b/ibisfront/cli/table_files.py
@@ -1,4 +1,4 @@
-"""The table as a TOML or CSV file."""
+"""Reads and writes the table as a TOML or CSV file."""
 
 from __future__ import annotations
 
@@ -17,60 +17,60 @@
 if TYPE_CHECKING:
     from ibisfront.adapters.admin import TableView
 
-__all__ = ["FileFormat", "TableFile", "format_of", "read_table_file", "table_text"]
+__all__ = ["FileFormat", "TableFile", "read_table_file", "resolve_format", "table_text"]
 
 _ROW_FIELDS = tuple(field.name for field in msgspec.structs.fields(Row))
 
 
 class FileFormat(StrEnum):
-    """How a table is written."""
+    """File format of a table."""
 
     TOML = "toml"
     CSV = "csv"
 
 
 class TableFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a file says.
+    """Contents of a table file.
 
     Attributes
     ----------
     version : int or None
-        The version that the file was made from; a CSV file does not say.
+        Version that the file is based on; None for a CSV file.
     purposes : tuple of Purpose or None
-        Every purpose; a CSV file has rows only and leaves them as they are.
+        All purposes; None for a CSV file, which leaves them unchanged.
     rows : tuple of Row
-        Every row.
+        All rows.
     """
 
     version: int | None = None
     purposes: tuple[Purpose, ...] | None = None
     rows: tuple[Row, ...] = ()
 
-    def table_on(self, base: Table) -> Table:
-        """Return the table that the file makes of the one that it was made on."""
+    def apply_to(self, base: Table) -> Table:
+        """Return the base table with the contents of the file applied."""
         purposes = base.purposes if self.purposes is None else self.purposes
         return msgspec.structs.replace(base, purposes=purposes, rows=self.rows)
 
 
-def format_of(path: Path | None, named: str | None) -> FileFormat:
-    """Return the format that is named, or that the file's name ends with.
+def resolve_format(path: Path | None, named: str | None) -> FileFormat:
+    """Return the named format, or the one given by the file's suffix.
 
     Raises
     ------
     CommandError
-        If it is no known format.
+        If the format is unknown.
     """
-    wanted = named or ("toml" if path is None else path.suffix.removeprefix("."))
+    format_name = named or ("toml" if path is None else path.suffix.removeprefix("."))
     try:
-        return FileFormat(wanted.lower())
+        return FileFormat(format_name.lower())
     except ValueError as error:
         raise CommandError(
-            f"{wanted!r} is no known format: name the file .toml or .csv"
+            f"{format_name!r} is not a known format: name the file .toml or .csv"
         ) from error
 
 
 def table_text(view: TableView, file_format: FileFormat) -> str:
-    """Return a table as the text of a file."""
+    """Return the table as the text of a file."""
     if file_format is FileFormat.CSV:
         return _csv_text(view.table)
     contents = TableFile(view.version, view.table.purposes, view.table.rows)
@@ -78,12 +78,12 @@
 
 
 def read_table_file(path: Path, file_format: FileFormat) -> TableFile:
-    """Return what a file says.
+    """Read a table file.
 
     Raises
     ------
     CommandError
-        Naming the place and what is wrong there.
+        If the file cannot be read or is invalid; names the place and the error.
     """
     try:
         text = path.read_text(encoding="utf-8-sig")
@@ -95,27 +95,27 @@
 
 
 def _csv_text(table: Table) -> str:
-    written = io.StringIO()
-    writer = csv.DictWriter(written, _ROW_FIELDS, lineterminator="\n")
+    buffer = io.StringIO()
+    writer = csv.DictWriter(buffer, _ROW_FIELDS, lineterminator="\n")
     writer.writeheader()
     writer.writerows(msgspec.to_builtins(row) for row in table.rows)
-    return written.getvalue()
+    return buffer.getvalue()
 
 
 def _csv_rows(text: str) -> tuple[Row, ...]:
-    # A spreadsheet in many locales saves with semicolons between the cells.
+    # In many locales, spreadsheets separate cells with semicolons.
     first_line = text.partition("\n")[0]
     delimiter = ";" if first_line.count(";") > first_line.count(",") else ","
     reader = csv.DictReader(io.StringIO(text), delimiter=delimiter)
     missing = {"branch", "purpose"} - set(reader.fieldnames or ())
     if missing:
-        raise ValueError(f"the first line lacks {', '.join(sorted(missing))}")
+        raise ValueError(f"the header lacks {', '.join(sorted(missing))}")
     return tuple(_csv_row(cells, reader.line_num) for cells in reader)
 
 
 def _csv_row(cells: dict[str, str], line: int) -> Row:
     if None in cells:
-        raise ValueError(f"line {line} has more cells than the first line")
+        raise ValueError(f"line {line} has more cells than the header")
     given = {name: text for name, text in cells.items() if text not in ("", None)}
     try:
         return msgspec.convert(given, Row, strict=False)
@@ -124,17 +124,17 @@
 
 
 def _without_none(value: object) -> dict[str, object]:
-    cleaned = _cleaned(value)
+    cleaned = _drop_none(value)
     assert isinstance(cleaned, dict)
     return cleaned
 
 
-def _cleaned(value: object) -> object:
-    """Return a value without the entries that TOML cannot hold."""
+def _drop_none(value: object) -> object:
+    """Return a value without None entries, which TOML cannot represent."""
     if isinstance(value, dict):
         return {
-            name: _cleaned(item) for name, item in value.items() if item is not None
+            name: _drop_none(item) for name, item in value.items() if item is not None
         }
     if isinstance(value, list | tuple):
-        return [_cleaned(item) for item in value]
+        return [_drop_none(item) for item in value]
     return value
--- a/ibisfront/lab/servers.py
+++ b/ibisfront/lab/servers.py
@@ -156,9 +156,7 @@
 
     def _start(self, job: Job, now_ms: float) -> None:
         self._running.add(job)
-        work_ms = self._work_ms(self._queries[job.query_index]) * self._noise_factor(
-            now_ms
-        )
+        work_ms = self._work_ms(self._queries[job.query_index]) * self._noise(now_ms)
         end_ms = self._end_ms(now_ms, work_ms)
         self._scheduler.call_at(end_ms, lambda: self._complete(job, end_ms))
 
@@ -176,10 +174,10 @@
     def _load(self, now_ms: float) -> ServerLoad:
         """Return the load that its replies report."""
         running, waiting = len(self._running), len(self._queue)
-        factor = self._noise_factor(now_ms)
+        factor = self._noise(now_ms)
         return ServerLoad(running, waiting, self._pattern.slots, factor)
 
-    def _noise_factor(self, now_ms: float) -> float:
+    def _noise(self, now_ms: float) -> float:
         """Return the current slowdown by other processes on its machine."""
         pattern = self._pattern
         if not pattern.noise_share:
--- a/ibisfront/tests/test_bounded_log.py
+++ b/ibisfront/tests/test_bounded_log.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ibisfront.cli.explain import lines_about
+from ibisfront.cli.explain import find_request_lines
 from ibisfront.core.bounded_log import LINES_PER_S, BoundedLogHandler
 from ibisfront.core.clock import Clock
 from ibisfront.core.logs import LogPart, PartLogger
@@ -113,5 +113,5 @@
             '{"timestamp": "1", "instance": "a", "message": "m", "request_id": "r"}',
             '{"timestamp": "0", "instance": "a", "message": "m", "request_id": "r2"}',
         ]
-        found = lines_about("r", texts)
+        found = find_request_lines("r", texts)
         self.assertEqual([line.instance for line in found], ["a", "b"])
--- a/ibisfront/tests/test_cli.py
+++ b/ibisfront/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line against running instances."""
+"""Tests of the operator command line, in part against running instances."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ibisfront.cli.exits import (
     CommandError,
     ExitCode,
-    RefusedError,
+    ProblemError,
     UnreachableError,
 )
 from ibisfront.cli.table_edits import EditOutcome, apply_edit
@@ -36,8 +36,8 @@
 HEAVIER = (RowChange(before=ROW, after=Row("vestry", "name-check", weight=2.0)),)
 
 
-class Ended(msgspec.Struct, frozen=True):
-    """How a command ended, and what it printed."""
+class CommandResult(msgspec.Struct, frozen=True):
+    """Exit code and output of a command."""
 
     code: int
     output: str
@@ -45,15 +45,15 @@
 
 
 def run_tool(arguments, **variables):
-    """Run the tool in this process."""
+    """Run a command in this process."""
     tester = ApplicationTester(build_application())
     with mock.patch.dict(os.environ, variables):
         code = tester.execute(arguments, interactive=False)
-    return Ended(code, tester.io.fetch_output(), tester.io.fetch_error())
+    return CommandResult(code, tester.io.fetch_output(), tester.io.fetch_error())
 
 
 class Tool:
-    """The tool, as an operator of a deployment has it set up."""
+    """The command line, configured for the instances of a deployment."""
 
     def __init__(self, deployment):
         self.variables = {
@@ -63,22 +63,22 @@
         }
 
     async def run(self, arguments):
-        """Run one command beside the test's own tasks."""
+        """Run one command in a thread."""
         return await trio.to_thread.run_sync(
             lambda: run_tool(arguments, **self.variables)
         )
 
     async def json(self, arguments, decoded_type):
-        """Run one command and decode its JSON."""
-        ended = await self.run(arguments + " --json")
-        return msgspec.json.decode(ended.output, type=decoded_type)
+        """Run one command and decode its JSON output."""
+        result = await self.run(arguments + " --json")
+        return msgspec.json.decode(result.output, type=decoded_type)
 
 
 class RunningToolTest(unittest.TestCase):
-    """What operators do, against two running instances."""
+    """Operator commands against two running instances."""
 
     @trio_test_real_clock
-    async def test_a_day_of_an_operator(self):
+    async def test_commands_against_running_instances(self):
         shape = register_shape(services=2, instances=2)
         async with Deployment(shape) as deployment:
             tool = Tool(deployment)
@@ -86,7 +86,7 @@
             await self.check_edits(tool)
             await self.check_files(tool, deployment.folder)
             await self.check_services(tool)
-            await self.check_one_instance_cut_off(tool, deployment)
+            await self.check_edit_with_one_instance_stopped(tool, deployment)
 
     async def check_status_and_query(self, tool):
         status = await tool.run("status")
@@ -155,17 +155,17 @@
         removed = await tool.run("service remove archive archive-0")
         self.assertEqual(removed.code, ExitCode.DONE)
 
-    async def check_one_instance_cut_off(self, tool, deployment):
-        """See an edit through while one instance stands still.
+    async def check_edit_with_one_instance_stopped(self, tool, deployment):
+        """Edit the table while one instance is stopped.
 
-        "Done" would hide that callers of that instance still meet the old
-        table. The tool says where the edit is in force, and names the other.
+        Reporting plain success would hide that callers of that instance still get
+        the old table. The output must name it and where the edit is in force.
         """
-        frozen = deployment.instances[1].process
-        frozen.send(signal.SIGSTOP)
+        stopped = deployment.instances[1].process
+        stopped.send(signal.SIGSTOP)
         edited = await tool.run("table set vestry bulk-lookup --weight 5 --wait-s 30")
-        frozen.send(signal.SIGCONT)
-        self.assertEqual(edited.code, ExitCode.IN_PART, edited)
+        stopped.send(signal.SIGCONT)
+        self.assertEqual(edited.code, ExitCode.PARTIAL, edited)
         self.assertIn("accepted as version", edited.output)
         self.assertRegex(edited.output, r"in force at i1\n")
         self.assertIn("could not be reached: i2", edited.output)
@@ -177,28 +177,28 @@
 
 
 class FakeClient:
-    """Answers from a list; an exception in it is raised."""
+    """Test double that returns replies from a list, and raises exceptions in it."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *replies):
+        self.replies = list(replies)
         self.sent = []
 
-    def call(self, method, path, answer, body=None):
-        """Return the next answer."""
+    def call(self, method, path, reply_type, body=None):
+        """Return the next reply."""
         self.sent.append(body)
-        found = self.answers.pop(0)
-        if isinstance(found, Exception):
-            raise found
-        return found
+        reply = self.replies.pop(0)
+        if isinstance(reply, Exception):
+            raise reply
+        return reply
 
 
 def problem(code, ran="no", conflict=None):
-    """Return the error of a problem document."""
-    return RefusedError(Problem("", "", 409, "detail", code, ran, conflict=conflict))
+    """Return the error for a problem document."""
+    return ProblemError(Problem("", "", 409, "detail", code, ran, conflict=conflict))
 
 
 def status(*versions):
-    """Return a status with a table version for each instance."""
+    """Return a status with one instance for each table version."""
     replies = tuple(
         InstanceStatus(
             name=f"i{number}",
@@ -217,42 +217,43 @@
 
 
 class EditFlowTest(unittest.TestCase):
-    """An edit is called accepted when that is known, and only then."""
+    """Outcome of an edit, which is reported as accepted only when that is certain."""
 
-    def edit(self, *answers, base=BASE):
-        self.client = FakeClient(*answers)
-        self.said = []
-        return apply_edit(self.client, base, HEAVIER, wait_s=0.0, say=self.said.append)
+    def edit(self, *replies, base=BASE):
+        self.client = FakeClient(*replies)
+        self.progress = []
+        return apply_edit(
+            self.client, base, HEAVIER, wait_s=0.0, report_progress=self.progress.append
+        )
 
-    def test_unsettled_edit_is_sent_again_with_its_id_and_base(self):
-        """The platform took the edit and its answer was lost.
+    def test_unresolved_edit_is_resent_with_its_id_and_base(self):
+        """The platform accepted the edit, and its reply was lost.
 
-        The instance could not settle it in time. Under a new id the edit would
-        meet itself as a conflict; the same id and base find it accepted.
+        The instance could not resolve the outcome in time. With a new id the edit
+        would conflict with itself; with the same id and base it is found accepted.
         """
         self.edit(problem("write_unknown", "maybe"), ACCEPTED, status(8))
         first, second = self.client.sent[:2]
         self.assertEqual(first, second)
 
-    def test_lost_answer_is_not_called_accepted_nor_refused(self):
+    def test_lost_reply_is_reported_as_unknown_outcome(self):
         with self.assertRaises(CommandError) as caught:
-            self.edit(UnreachableError("no instance answered", sent=True))
+            self.edit(UnreachableError("no instance answered", maybe_sent=True))
         self.assertEqual(caught.exception.exit_code, ExitCode.UNKNOWN)
         self.assertIn("may have been made", str(caught.exception))
-        self.assertEqual(self.said, [])
+        self.assertEqual(self.progress, [])
 
-    def test_accepted_edit_stays_accepted_when_nobody_answers_after(self):
-        """The only instance in reach stops right after it took the edit.
+    def test_accepted_edit_stays_accepted_if_status_is_unavailable(self):
+        """The only reachable instance stops right after it accepted the edit.
 
-        The tool would end with an error, and the operator would make the edit
-        a second time.
+        If the command ended with an error, the operator would repeat the edit.
         """
-        outcome = self.edit(ACCEPTED, UnreachableError("gone", sent=False))
+        outcome = self.edit(ACCEPTED, UnreachableError("gone", maybe_sent=False))
         self.assertEqual(outcome.version, 8)
         self.assertFalse(outcome.reach.complete)
-        self.assertIn("accepted as version 8", self.said[0])
+        self.assertIn("accepted as version 8", self.progress[0])
 
-    def test_edit_of_other_rows_is_made_again_on_the_new_version(self):
+    def test_edit_is_retried_after_an_edit_of_other_rows(self):
         theirs = (EditSummary("x", "ben", 0.0, 7),)
         conflict = TableConflict(7, 8, HEAVIER, theirs, overlaps=False)
         other = Row("harbour", "name-check")
@@ -262,15 +263,15 @@
         self.assertEqual((outcome.base_version, outcome.version), (8, 9))
         self.assertIn(other, self.client.sent[2].table.rows)
 
-    def test_instances_behind_are_named(self):
+    def test_instances_with_an_older_version_are_named(self):
         outcome = self.edit(ACCEPTED, status(8, 7))
         self.assertEqual(outcome.reach.behind, ("i2",))
 
 
 class LocalToolTest(unittest.TestCase):
-    """What needs no instance."""
+    """Commands that need no running instance."""
 
-    def test_help_names_every_command_and_exit_code(self):
+    def test_help_lists_commands_and_exit_codes(self):
         shown = subprocess.run(
             [sys.executable, "-c", "import ibisfront.cli; ibisfront.cli.main()", "-h"],
             capture_output=True,
@@ -282,7 +283,7 @@
         for code in ExitCode:
             self.assertRegex(shown, rf"\n  {code.value}  \w")
 
-    def test_every_command_prints_json_and_explains_itself(self):
+    def test_every_command_has_json_option_and_description(self):
         application = build_application()
         own = [
             c for c in application.all().values() if "ibisfront" in type(c).__module__
@@ -297,13 +298,13 @@
         with mock.patch("sys.argv", ["ibisfront"]):
             self.assertIn("table", run_tool("completions bash").output)
 
-    def test_check_settings_lists_faults(self):
-        ended = run_tool("check-settings /nowhere.toml")
-        self.assertEqual(ended.code, ExitCode.USAGE)
-        self.assertIn("cannot be read", ended.output)
+    def test_check_settings_lists_errors(self):
+        result = run_tool("check-settings /nowhere.toml")
+        self.assertEqual(result.code, ExitCode.USAGE)
+        self.assertIn("cannot be read", result.output)
 
-    def test_no_instance_named_or_reached(self):
+    def test_instance_not_given_or_unreachable(self):
         unnamed = run_tool("status", IBISFRONT_TOKEN="t", IBISFRONT_ADMIN="")
         self.assertEqual(unnamed.code, ExitCode.USAGE)
-        ended = run_tool("status --admin 127.0.0.1:1", IBISFRONT_TOKEN="t")
-        self.assertEqual(ended.code, ExitCode.UNREACHABLE)
+        result = run_tool("status --admin 127.0.0.1:1", IBISFRONT_TOKEN="t")
+        self.assertEqual(result.code, ExitCode.UNREACHABLE)
--- a/ibisfront/tests/test_cli_causes.py
+++ b/ibisfront/tests/test_cli_causes.py
@@ -1,17 +1,17 @@
-"""Tests of counting from the logs why requests failed or came late."""
+"""Tests of counting the causes of failed and late requests in logs."""
 
 from __future__ import annotations
 
 import unittest
 
 from ibisfront.cli.causes import CauseCount, cause_of, count_causes
-from ibisfront.cli.log_lines import decoded_line, log_lines
+from ibisfront.cli.log_lines import parse_log_line, read_log_lines
 from ibisfront.testing.gateway_fixture import GatewayFixture, gather_route
 from ibisfront.tests import trio_test
 
 
 def line(second, **fields):
-    """Return a log line of a second of one minute."""
+    """Return a log line with a timestamp in the given second."""
     text = {
         "timestamp": f"2030-01-01T00:00:{second:02}.5+00:00",
         "instance": "i1",
@@ -23,13 +23,13 @@
         "objective_ms": 100.0,
         **fields,
     }
-    return decoded_line("12.5 i1 " + str(text).replace("'", '"'))
+    return parse_log_line("12.5 i1 " + str(text).replace("'", '"'))
 
 
 class CausesTest(unittest.TestCase):
-    """What counts as a cause, and how it is summed."""
+    """Causes of log lines, and their counts."""
 
-    def test_failures_and_late_answers_have_a_cause(self):
+    def test_failed_and_late_requests_have_a_cause(self):
         decisions = [
             {"what": "failed", "detail": "connection_lost"},
             {"what": "failed", "detail": "connection_lost"},
@@ -46,7 +46,7 @@
             "late, whole (failed connection_lost)",
         )
 
-    def test_causes_are_counted_by_time_and_route(self):
+    def test_causes_are_counted_by_interval_and_route(self):
         late = {"took_ms": 300.0}
         lines = [line(9, **late), line(0), line(4, **late), line(5, **late)]
         self.assertEqual(
@@ -58,20 +58,20 @@
         )
         self.assertEqual(count_causes([]), [])
 
-    def test_other_output_between_the_lines_is_passed_over(self):
-        self.assertIsNone(decoded_line("Traceback (most recent call last):"))
-        self.assertEqual(list(log_lines([])), [])
+    def test_output_between_log_lines_is_ignored(self):
+        self.assertIsNone(parse_log_line("Traceback (most recent call last):"))
+        self.assertEqual(list(read_log_lines([])), [])
 
 
-class LateAnswerTest(unittest.TestCase):
-    """What the log says of an answer that was late."""
+class LateReplyTest(unittest.TestCase):
+    """Log lines of late replies."""
 
     @trio_test
-    async def test_late_answer_is_logged_with_its_decisions(self):
-        """An operator asks why searches were late, and the log does not say.
+    async def test_late_reply_is_logged_with_its_decisions(self):
+        """The log did not show why searches were late.
 
-        Lines of served requests give way to those of failures when there are
-        many, and hold no decisions; late answers come when there are many.
+        When there are many lines, those of served requests are dropped in favour
+        of failures and carry no decisions; late replies occur under such load.
         """
         fixture = GatewayFixture(gather_route(20, minimum=1.0))
         async with fixture.running():
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from ibisfront.cli.exits import CommandError
-from ibisfront.cli.lab import seeds_of
+from ibisfront.cli.lab import parse_seeds
 from ibisfront.gateway.queries.gather_run import GatherRun
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.lab import PatternError, RunResult, compare, read_pattern, run_pattern
@@ -184,8 +184,8 @@
             compare(self.runs([0.5]), [])
 
     def test_seeds_are_a_number_or_a_range(self):
-        self.assertEqual(list(seeds_of("3-5")), [3, 4, 5])
-        self.assertEqual(list(seeds_of("7")), [7])
+        self.assertEqual(list(parse_seeds("3-5")), [3, 4, 5])
+        self.assertEqual(list(parse_seeds("7")), [7])
         for text in ("", "a", "5-1", "1-x"):
             with self.subTest(text), self.assertRaises(CommandError):
-                seeds_of(text)
+                parse_seeds(text)
