--- a/ibisfront/lab/callers.py
+++ b/ibisfront/lab/callers.py
@@ -59,7 +59,9 @@
             at_s += float(random.exponential(1.0 / peak_per_s))
             if at_s >= pattern.duration_s:
                 break
-            if random.random() * peak_per_s >= query_kind.per_s * _load(pattern, at_s):
+            if random.random() * peak_per_s >= query_kind.per_s * _relative_load(
+                pattern, at_s
+            ):
                 continue
             instances = random.integers(pattern.gatherers, size=query_kind.retries + 1)
             arrivals.append(
@@ -73,7 +75,7 @@
     return sorted(arrivals)
 
 
-def _load(pattern: Pattern, at_s: float) -> float:
+def _relative_load(pattern: Pattern, at_s: float) -> float:
     wave = math.sin(2.0 * math.pi * at_s / pattern.period_s)
     load = 1.0 + pattern.swing * wave
     for burst in pattern.bursts:
--- a/ibisfront/lab/results.py
+++ b/ibisfront/lab/results.py
@@ -127,22 +127,28 @@
             histogram.record_value(int(latency_ms * 1000.0))
 
     def result(
-        self, title: str, seed: int, *, primaries: int, received: int, shed: int
+        self,
+        title: str,
+        seed: int,
+        *,
+        primaries: int,
+        received_requests: int,
+        shed: int,
     ) -> RunResult:
         """Return the results of the run."""
         callers: Counter[str] = Counter()
         for outcomes in self._outcomes.values():
             callers.update(outcomes)
         failed = callers[Outcome.REFUSED.value] + callers[Outcome.UNSERVED.value]
-        staying = callers.total() - callers[Outcome.LEFT.value]
+        not_abandoned = callers.total() - callers[Outcome.LEFT.value]
         return RunResult(
             title=title,
             seed=seed,
             worth=round(
                 self._achieved_worth.total() / max(self._full_worth.total(), 1e-9), 4
             ),
-            unserved=round(failed / max(staying, 1), 4),
-            extra=round(max(received - primaries, 0) / max(primaries, 1), 4),
+            unserved=round(failed / max(not_abandoned, 1), 4),
+            extra=round(max(received_requests - primaries, 0) / max(primaries, 1), 4),
             shed=shed,
             queries={name: self._summarize(name) for name in sorted(self._outcomes)},
             seconds=[
--- a/ibisfront/lab/runner.py
+++ b/ibisfront/lab/runner.py
@@ -68,7 +68,7 @@
         pattern.title,
         seed,
         primaries=len(arrivals) * pattern.shards,
-        received=sum(server.received for server in servers),
+        received_requests=sum(server.received_requests for server in servers),
         shed=sum(server.shed for server in servers),
     )
 
--- a/ibisfront/lab/servers.py
+++ b/ibisfront/lab/servers.py
@@ -71,7 +71,7 @@
         Whether it sends no replies, and whether it refuses connections.
     connections : set of callable
         Callbacks that close its connections from the server side.
-    received, shed : int
+    received_requests, shed : int
         Number of requests received, and of those rejected.
     """
 
@@ -90,7 +90,7 @@
         "factor",
         "is_down",
         "is_silent",
-        "received",
+        "received_requests",
         "shed",
     )
 
@@ -116,14 +116,14 @@
         self.is_silent = False
         self.is_down = False
         self.connections: set[Callable[[], None]] = set()
-        self.received = 0
+        self.received_requests = 0
         self.shed = 0
 
     def receive(self, job: Job, now_ms: float) -> None:
         """Run, queue or reject a request."""
         if job.is_cancelled:
             return
-        self.received += 1
+        self.received_requests += 1
         if self.is_silent:
             return
         if len(self._running) < self._pattern.slots:
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -84,7 +84,7 @@
         server = self.server(slots=2, queue=1)
         for _ in range(5):
             server.receive(self.job(), 0.0)
-        self.assertEqual((server.received, server.shed), (5, 2))
+        self.assertEqual((server.received_requests, server.shed), (5, 2))
         self.assertTrue(all(reply.not_run for reply in self.replies))
 
     def test_cancelled_request_frees_its_slot(self):
