--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -1,4 +1,4 @@
-"""Gateways in two zones that ask each other, in any clock."""
+"""Gateways in two zones that delegate queries to each other, on any clock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import ExchangeErrorKind, InboundRequest
 from ibisfront.gateway.observability import Observer
-from ibisfront.gateway.queries.delegated_query import delegated_from
+from ibisfront.gateway.queries.delegated_query import parse_delegated_query
 from ibisfront.gateway.queries.delegation import Delegation
 from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
@@ -37,8 +37,8 @@
 from ibisfront.testing.gateway_fixture import (
     CONNECT_MS,
     HOST,
-    StandInConnection,
-    StandInServer,
+    FakeServer,
+    InMemoryConnection,
     connect_to,
 )
 
@@ -54,17 +54,16 @@
 __all__ = ["TwoZones"]
 
 _FEW_CONNECTIONS = 4
-"""Connections that a server accepts where not every instance can gather."""
+"""Connection limit of a server that makes the instances use coordinators."""
 
-_MOST_READS = 1_000_000
-"""Far beyond the reads of any test: forty queries take some ten thousand."""
+_MAX_CLOCK_READS = 1_000_000
+"""Far above the reads of any test: forty queries take about ten thousand."""
 
 
 class _CountingClock(Clock):
-    """A clock that counts how often it is read.
+    """A clock that counts its reads.
 
-    It refuses to be read without end, so that a task that spins fails its
-    test instead of hanging it.
+    It limits their number, so that a busy loop fails its test instead of hanging.
     """
 
     __slots__ = ("reads",)
@@ -76,66 +75,66 @@
     def now_ms(self) -> float:
         """Return the monotonic time in milliseconds."""
         self.reads += 1
-        if self.reads > _MOST_READS:
-            raise AssertionError("a task spins: the time was read without end")
+        if self.reads > _MAX_CLOCK_READS:
+            raise AssertionError("busy loop: the clock was read too often")
         return super().now_ms()
 
 
 class TwoZones:
-    """Two instances in two zones; every other service stands in each.
+    """Two instances in two zones, with every other service in each.
 
-    A third one, in a zone without servers, gathers too for one that follows.
+    With delegation, a third instance is a coordinator in a zone without servers.
 
     Parameters
     ----------
     route : Route
-        The gathering route in force at first.
-    also : Route, optional
-        A route whose services exist too.
+        The initial scatter-gather route.
+    extra_route : Route, optional
+        Another route whose services exist.
     latency_ms : float
-        How long a server's reply takes.
-    follows : bool
-        Whether the instance in ``z0`` has its queries gathered by the other.
+        Latency of a server's reply.
+    delegates : bool
+        Whether the instance in ``z0`` delegates its queries to a coordinator.
 
     Attributes
     ----------
     delegated : int
-        How many queries one instance asked of the other.
+        Number of delegated queries.
     frozen : bool
-        Whether the instance in ``z1`` takes queries and says nothing.
+        Whether the instance in ``z1`` accepts queries and never replies.
     peer_connect_ms : float
-        How long a connection between the instances takes to open.
+        Time to open a connection between the instances.
     """
 
     def __init__(
         self,
         route: Route,
         *,
-        also: Route | None = None,
+        extra_route: Route | None = None,
         latency_ms: float = 10.0,
-        follows: bool = False,
+        delegates: bool = False,
     ) -> None:
-        self._follows = follows
-        self._zones = ("z0", "z1", "z2") if follows else ("z0", "z1")
+        self._delegates = delegates
+        self._zones = ("z0", "z1", "z2") if delegates else ("z0", "z1")
         self.clock = _CountingClock()
         self.delegated = 0
         self.frozen = False
         self.peer_connect_ms = CONNECT_MS
         self._route = route
-        routes = [route] if also is None else [route, also]
+        routes = [route] if extra_route is None else [route, extra_route]
         self._names = [name for item in routes for name in item.service_names]
-        self._servers: dict[str, StandInServer] = {}
+        self._servers: dict[str, FakeServer] = {}
         for index, service in enumerate(self._names):
             for copy in range(2):
                 zone = f"z{index % 2}"
                 name = f"{service}.{copy}"
                 entry = ServerEntry(name, service, name, zone, 2)
-                self._servers[name] = StandInServer(entry, latency_ms=latency_ms)
+                self._servers[name] = FakeServer(entry, latency_ms=latency_ms)
         self._ids = itertools.count(1)
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Run both instances for the length of the block."""
+        """Run the instances for the duration of the block."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.gateways = {zone: self._gateway(zone) for zone in self._zones}
@@ -144,7 +143,7 @@
             nursery.cancel_scope.cancel()
 
     def put(self, version: int, route: Route, *, only: str | None = None) -> None:
-        """Put a version in force at both instances, or at one of them."""
+        """Apply a configuration version at all instances, or at one of them."""
         services = {name: RoutedService(name, 25) for name in self._names}
         configuration = Configuration(version, (route,), services, CallerLimits())
         for zone, gateway in self.gateways.items():
@@ -166,11 +165,11 @@
         )
 
     def _coordinators(self, zone: str) -> Coordinators:
-        """Return which instances gather, as an instance sees it."""
+        """Return the coordinators as computed by the instance of a zone."""
         own = InstanceEntry(f"instance-{zone}", zone, zone)
         coordinators = Coordinators(own)
-        if self._follows:
-            # The strongest of each zone gather; that of z0 is out of reach.
+        if self._delegates:
+            # The largest of each zone coordinate; that of z0 is unreachable.
             listed = [
                 InstanceEntry("instance-z0", "z0", "z0"),
                 InstanceEntry("instance-z1", "z1", "z1"),
@@ -185,14 +184,14 @@
             coordinators.update(listed, table)
         return coordinators
 
-    async def ask(self, zone: str) -> CallerReply:
-        """Ask the instance of a zone as a caller would."""
+    async def send_request(self, zone: str) -> CallerReply:
+        """Send a caller's query to the instance of a zone."""
         return await self.gateways[zone].answer(self.request("/search/a"))
 
-    def received_from(self, asker: str, *, zone: str) -> int:
-        """Return how many sub-requests crossed from an instance to a zone."""
+    def received_from(self, sender: str, *, zone: str) -> int:
+        """Return how many sub-requests an instance sent to another zone."""
         return sum(
-            exchange.server.is_near is (asker == zone)
+            exchange.server.is_near is (sender == zone)
             and not exchange.server.is_near
             and server.entry.zone == zone
             for server in self._servers.values()
@@ -201,11 +200,11 @@
 
     @property
     def clock_reads(self) -> int:
-        """How often the time was read: a measure of wake-ups."""
+        """The number of clock reads, a measure of wake-ups."""
         return self.clock.reads
 
     def slow_down(self, service: str, latency_ms: float) -> None:
-        """Let the servers of a service take so long; for ever is silence."""
+        """Set the latency of a service's servers; infinity means no reply."""
         for server in self._servers.values():
             if server.entry.service == service:
                 server.latency_ms = latency_ms
@@ -213,21 +212,21 @@
     def set_latency(
         self, zone: str, latency_ms: float, *, copy: int | None = None
     ) -> None:
-        """Let the servers of a zone, or one of each service, take so long."""
+        """Set the latency of a zone's servers, or of one copy of each service."""
         for name, server in self._servers.items():
-            is_meant = copy is None or name.endswith(f".{copy}")
-            if server.entry.zone == zone and is_meant:
+            is_selected = copy is None or name.endswith(f".{copy}")
+            if server.entry.zone == zone and is_selected:
                 server.latency_ms = latency_ms
 
-    def cut(self, zone: str) -> None:
-        """Let the servers of a zone be out of reach of both instances."""
+    def partition(self, zone: str) -> None:
+        """Make the servers of a zone unreachable from all instances."""
         for server in self._servers.values():
             if server.entry.zone == zone:
                 server.latency_ms = math.inf
-                server.accepts = False
+                server.accepts_connections = False
 
     def running_requests(self) -> int:
-        """Return how many requests the servers work on now."""
+        """Return how many requests the servers are running."""
         return sum(server.running for server in self._servers.values())
 
     def _gateway(self, zone: str) -> Gateway:
@@ -272,7 +271,7 @@
 
     async def _open(self, address: Address) -> ServerConnection:
         await trio.sleep(CONNECT_MS / 1000.0)
-        if not self._servers[address].accepts:
+        if not self._servers[address].accepts_connections:
             raise TimeoutError("no connection")
         return connect_to(self._servers[address])
 
@@ -281,8 +280,8 @@
         return _PeerConnection(self, self.gateways[address])
 
 
-class _PeerConnection(StandInConnection):
-    """A connection between the two instances, through the real codecs."""
+class _PeerConnection(InMemoryConnection):
+    """A connection between two instances that uses the real codecs."""
 
     __slots__ = ("_gateway", "_zones")
 
@@ -292,27 +291,27 @@
         self._gateway = gateway
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
-        """Take a query to the other instance."""
+        """Start sending a query to the other instance."""
         exchange.sent_at_ms = now_ms
         self._exchange = exchange
-        self._taken.set()
+        self._sent.set()
         return True
 
     async def run(self, on_idle: Callable[[ServerConnection], None]) -> None:
-        """Carry queries until closed."""
+        """Deliver queries until closed."""
         try:
             with self._scope:
                 while True:
-                    await self._taken.wait()
-                    self._taken = trio.Event()
-                    await self._carry()
+                    await self._sent.wait()
+                    self._sent = trio.Event()
+                    await self._deliver()
                     on_idle(self)
         finally:
             exchange, self._exchange = self._exchange, None
             if exchange is not None:
                 exchange.fail(ExchangeErrorKind.CONNECTION_LOST)
 
-    async def _carry(self) -> None:
+    async def _deliver(self) -> None:
         exchange = self._exchange
         assert exchange is not None
         reader = RequestReader(16_384, 65_536)
@@ -320,7 +319,7 @@
         request = WIRE.decode_request(
             reader.messages.pop(), self._zones.clock.now_ms(), 0.0
         )
-        self._zones.delegated += delegated_from(request) is not None
+        self._zones.delegated += parse_delegated_query(request) is not None
         if self._zones.frozen and self._gateway is self._zones.gateways["z1"]:
             await trio.sleep_forever()
         reply = await self._gateway.answer_instance(request)
@@ -328,7 +327,7 @@
         replies.feed(WIRE.encode_reply(reply, True))
         decoded = WIRE.decode_reply(replies.messages.pop())
         if decoded.request_id not in (None, exchange.request_id):
-            # Taken for the reply to another request, and left aside.
+            # The reply belongs to another request and is ignored.
             await trio.sleep_forever()
         self._exchange = None
         exchange.finish(decoded)
--- a/ibisfront/tests/test_gateway_pool.py
+++ b/ibisfront/tests/test_gateway_pool.py
@@ -12,40 +12,40 @@
 
 
 class ReadyConnectionTest(unittest.TestCase):
-    """Queries that come while others wait for their parts."""
+    """Queries that arrive while others wait for their parts."""
 
     @trio_test
     async def test_second_query_does_not_wait_for_connections(self):
-        """Guards against queries that open a connection for each of their parts."""
+        """Guards against a query that has to open a connection for each part."""
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running(), trio.open_nursery() as nursery:
-            await fixture.ask()
-            await fixture.ask()
+            await fixture.send_request()
+            await fixture.send_request()
             opened = sum(server.opened for server in fixture.all_servers())
-            nursery.start_soon(fixture.ask)
-            nursery.start_soon(fixture.ask)
+            nursery.start_soon(fixture.send_request)
+            nursery.start_soon(fixture.send_request)
             await trio.sleep(0.0005)
             sent = sum(len(server.received) for server in fixture.all_servers())
         self.assertEqual((opened, sent), (12, 24))
 
     @trio_test
-    async def test_server_that_is_asked_rarely_keeps_one_connection(self):
-        """Guards against connections of many instances that nobody uses."""
+    async def test_server_with_few_requests_keeps_one_connection(self):
+        """Guards against unused connections of many instances."""
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running():
             for _ in range(3):
-                await fixture.ask()
+                await fixture.send_request()
                 await trio.sleep(2.0)
         self.assertEqual({server.opened for server in fixture.all_servers()}, {1})
 
 
 class LargeReplyTest(unittest.TestCase):
-    """Replies that nobody waits for any more, on their way from another zone."""
+    """Abandoned replies in transit from another zone."""
 
-    async def _hedged(self, size_bytes):
-        """Return what the other zone's server saw after it lost against the near one.
+    async def _hedge(self, size_bytes):
+        """Hedge a request in another zone; return what the losing server saw.
 
-        That is how many requests were cut, and how many connections were opened.
+        That is the number of cancelled requests and of opened connections.
         """
         fixture = GatewayFixture(gather_route(1), latency_ms=10.0)
         near, far = fixture.servers["part-0"]
@@ -53,19 +53,19 @@
         async with fixture.running():
             near.body = far.body = bytes(size_bytes)
             for _ in range(100):
-                await fixture.ask()
+                await fixture.send_request()
             near.latency_ms, far.latency_ms = 30.0, 200.0
-            await fixture.ask()
+            await fixture.send_request()
             await trio.sleep(0.1)
             self.assertEqual(len(far.received), 1)
             return far.cancelled, far.opened
 
     @trio_test
-    async def test_large_reply_is_stopped_and_its_connection_replaced(self):
-        """Guards against bytes between zones that are of use to nobody."""
-        self.assertEqual(await self._hedged(1_000), (1, 2))
+    async def test_large_reply_is_cancelled_and_its_connection_replaced(self):
+        """Guards against transferring unused bytes between zones."""
+        self.assertEqual(await self._hedge(1_000), (1, 2))
 
     @trio_test
-    async def test_small_reply_is_let_come(self):
-        """Guards against connections that cost more bytes than they save."""
-        self.assertEqual(await self._hedged(96), (0, 1))
+    async def test_small_reply_is_read(self):
+        """Guards against replacing a connection at a cost above the bytes saved."""
+        self.assertEqual(await self._hedge(96), (0, 1))
