--- a/ibisfront/cli/causes.py
+++ b/ibisfront/cli/causes.py
@@ -23,7 +23,7 @@
 
 __all__ = ["CauseCount", "Causes", "cause_of", "count_causes"]
 
-_FIRST_ERROR = 400
+_MIN_ERROR_STATUS = 400
 _NOT_FOUND = 404
 _DEFAULT_STEP_S = 4
 """Default interval of the counts: about one stage of an outage as callers see it."""
@@ -99,7 +99,7 @@
         return None
     if reason == "delegated_parts":
         return None
-    if status >= _FIRST_ERROR:
+    if status >= _MIN_ERROR_STATUS:
         return f"{status} {reason}{_most_frequent_decision(line)}"
     took_ms = line.fields.get("took_ms", 0.0)
     if took_ms > line.fields.get("objective_ms", float("inf")):
--- a/ibisfront/cli/client.py
+++ b/ibisfront/cli/client.py
@@ -20,7 +20,7 @@
 _Decoded = TypeVar("_Decoded")
 _CONNECT_TIMEOUT_S = 2.0
 _READ_TIMEOUT_S = 35.0
-_ROUNDS = 2
+_MAX_ROUNDS = 2
 _OK = 200
 _CONNECT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout)
 _EXCHANGE_ERRORS = (
@@ -78,7 +78,7 @@
             If no instance replied.
         """
         maybe_sent = False
-        for address in self._addresses * _ROUNDS:
+        for address in self._addresses * _MAX_ROUNDS:
             try:
                 response = self._send(address, method, path, body)
             except _CONNECT_ERRORS:
--- a/ibisfront/cli/table_edits.py
+++ b/ibisfront/cli/table_edits.py
@@ -38,8 +38,8 @@
 
 TABLE_PATH = "/v1/admin/table"
 _STATUS_PATH = "/v1/admin/status"
-_POLL_S = 0.1
-_ATTEMPTS = 5
+_POLL_INTERVAL_S = 0.1
+_MAX_ATTEMPTS = 5
 _STABLE_POLLS = 3
 _UNRESOLVED_CODES = ("write_unknown",)
 
@@ -145,7 +145,7 @@
         If the edit was not made, or its outcome is unknown.
     """
     edit_id = secrets.token_hex(8)
-    for _ in range(_ATTEMPTS):
+    for _ in range(_MAX_ATTEMPTS):
         proposal = _proposal(base, changes, edit_id)
         try:
             accepted = _send_proposal(client, proposal)
@@ -161,7 +161,7 @@
             edit_id, base.version, accepted.version, accepted.changes, propagation
         )
     raise CommandError(
-        f"other edits came first {_ATTEMPTS} times: try again", ExitCode.CONFLICT
+        f"other edits came first {_MAX_ATTEMPTS} times: try again", ExitCode.CONFLICT
     )
 
 
@@ -191,7 +191,7 @@
         is_timed_out = time.monotonic() >= deadline_s
         if propagation.complete or is_timed_out or stable_polls >= _STABLE_POLLS:
             return propagation
-        time.sleep(_POLL_S)
+        time.sleep(_POLL_INTERVAL_S)
 
 
 def _poll_propagation(
