--- a/ibisfront/tests/test_cli.py
+++ b/ibisfront/tests/test_cli.py
@@ -120,8 +120,8 @@
         new = await tool.run("purpose set archive --search register --urgent yes")
         self.assertIn("+ purpose archive", new.output)
         self.assertEqual((await tool.run("table set vestry archive")).code, 0)
-        gone = await tool.run("purpose remove archive")
-        self.assertIn("- row vestry/archive", gone.output)
+        removed = await tool.run("purpose remove archive")
+        self.assertIn("- row vestry/archive", removed.output)
 
     async def check_files(self, tool, folder):
         for name in ("table.toml", "table.csv"):
@@ -131,9 +131,9 @@
             base = exported.output.split("--base ")[1].strip()
             rewrite(path, "harbour", "harbor")
             apply = f"table apply {path} --base {base}"
-            asked = await tool.run(apply)
-            self.assertEqual(asked.code, ExitCode.REFUSED, asked)
-            self.assertIn("+ row harbor/name-check", asked.output)
+            unconfirmed = await tool.run(apply)
+            self.assertEqual(unconfirmed.code, ExitCode.REFUSED, unconfirmed)
+            self.assertIn("+ row harbor/name-check", unconfirmed.output)
             applied = await tool.run(apply + " --yes")
             self.assertEqual(applied.code, ExitCode.DONE, applied)
             again = await tool.run(apply.replace("apply", "apply --yes"))
@@ -141,9 +141,9 @@
             rewrite(path, "harbor", "harbour")
             base = (await tool.json("table show", TableView)).version
             await tool.run(f"table apply {path} --yes --base {base}")
-        unsaid = await tool.run(f"table apply {path} --yes")
-        self.assertEqual(unsaid.code, ExitCode.USAGE)
-        self.assertIn("--base", unsaid.errors)
+        unversioned = await tool.run(f"table apply {path} --yes")
+        self.assertEqual(unversioned.code, ExitCode.USAGE)
+        self.assertIn("--base", unversioned.errors)
 
     async def check_services(self, tool):
         added = await tool.run("service add archive archive-0 127.0.0.1:9 z1")
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -24,11 +24,11 @@
 
 def pattern(**changes):
     """Return a small pattern."""
-    queries = QueryKind(
+    query_kind = QueryKind(
         "search", per_s=20.0, work_ms=10.0, objective_ms=100.0, deadline_ms=1000.0
     )
     fields = {"duration_s": 3.0, "shards": 12, "gatherers": 2, "zones": 2}
-    return Pattern(**{"title": "small", "queries": [queries], **fields, **changes})
+    return Pattern(**{"title": "small", "queries": [query_kind], **fields, **changes})
 
 
 class PatternTest(unittest.TestCase):
@@ -138,7 +138,7 @@
         one queue place, rejects requests in waves. Every shard is required, and the
         deadline is ten times the latency objective.
         """
-        queries = QueryKind(
+        query_kind = QueryKind(
             "search",
             per_s=40.0,
             work_ms=10.0,
@@ -148,7 +148,7 @@
             retries=0,
         )
         down = Fault(FaultKind.DOWN, 1.0, 1.5, 0.3)
-        full = pattern(queries=[queries], faults=[down], slots=1, queue=1)
+        full = pattern(queries=[query_kind], faults=[down], slots=1, queue=1)
         seeds = range(4)
         unserved = sum(run_pattern(full, seed=seed).unserved for seed in seeds)
         with mock.patch.object(
