--- a/ibisfront/testing/local_platform.py
+++ b/ibisfront/testing/local_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in behind the interface of ``PlatformClient``."""
+"""The fake platform with the interface of ``PlatformClient``."""
 
 from __future__ import annotations
 
@@ -32,71 +32,71 @@
 
 
 class LocalPlatform:
-    """Calls a platform in this process as one instance would.
+    """Calls a fake platform in the same process, as one instance would.
 
     Parameters
     ----------
     platform : FakePlatform
-        The platform.
+        The fake platform.
     clock : Clock
-        The test's clock.
+        Clock of the test.
 
     Attributes
     ----------
-    cut_off : bool
-        While set, every call times out, as from a zone that is cut off.
+    is_partitioned : bool
+        While true, every call times out, as from a partitioned zone.
     """
 
     def __init__(self, platform: FakePlatform, *, clock: Clock) -> None:
-        self.cut_off = False
+        self.is_partitioned = False
         self._platform = platform
         self._clock = clock
 
     async def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
-        """Return an object, or None if there is none."""
+        """Return an object, or None if it does not exist."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
-                return _object(await self._platform.get(kind, name))
+                return _to_versioned_object(await self._platform.get(kind, name))
             except PlatformRefused as refused:
                 if refused.status == HTTPStatus.NOT_FOUND:
                     return None
-                raise _unavailable() from refused
+                raise _unavailable_error() from refused
             except AnswerLost as lost:
-                raise _unavailable() from lost
-        raise _unavailable()
+                raise _unavailable_error() from lost
+        raise _unavailable_error()
 
     async def list_objects(self, kinds: Sequence[ObjectKind]) -> ObjectsRead:
-        """Return every object of some kinds."""
+        """Return all objects of the given kinds."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
-                return _read(await self._platform.list(frozenset(kinds)))
+                return _to_objects_read(await self._platform.list(frozenset(kinds)))
             except (PlatformRefused, AnswerLost) as error:
-                raise _unavailable() from error
-        raise _unavailable()
+                raise _unavailable_error() from error
+        raise _unavailable_error()
 
     async def changes(
         self, kinds: Sequence[ObjectKind], *, after: Version, wait_ms: float
     ) -> ObjectsRead | None:
-        """Wait for changes after a revision; None if it is too old."""
+        """Wait for changes after a revision; return None if it is too old."""
         timeout_ms = wait_ms + _CALL_TIMEOUT_MS
         with self._clock.timeout_ms(timeout_ms):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
-                found = await self._platform.changes(
+                changes = await self._platform.changes(
                     frozenset(kinds), after=after, wait_ms=wait_ms
                 )
             except PlatformRefused as refused:
                 if refused.status == HTTPStatus.GONE:
                     return None
-                raise _unavailable() from refused
+                raise _unavailable_error() from refused
             except AnswerLost as lost:
-                raise _unavailable() from lost
-            if self.cut_off:
-                raise _unavailable()
-            return _read(found)
-        raise _unavailable()
+                raise _unavailable_error() from lost
+            if self.is_partitioned:
+                raise _unavailable_error()
+            return _to_objects_read(changes)
+        raise _unavailable_error()
 
     async def put(
         self,
@@ -106,10 +106,10 @@
         *,
         if_version: Version | None,
     ) -> Version:
-        """Replace one version of an object, or create it."""
+        """Replace the given version of an object, or create the object."""
         value = msgspec.json.decode(value_json)
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
                 return await self._platform.put(
                     kind, name, value, if_version=if_version
@@ -117,45 +117,47 @@
             except PlatformRefused as refused:
                 if refused.status == HTTPStatus.PRECONDITION_FAILED:
                     raise WriteConflict(f"{kind}/{name}") from refused
-                raise _unknown() from refused
+                raise _unknown_outcome_error() from refused
             except AnswerLost as lost:
-                raise _unknown() from lost
-        raise _unknown()
+                raise _unknown_outcome_error() from lost
+        raise _unknown_outcome_error()
 
     async def members(self) -> list[Member]:
-        """Return the listed instances that are live, as first contacts."""
+        """Return the listed live instances as initial contacts."""
         with self._clock.timeout_ms(_CALL_TIMEOUT_MS):
-            await self._check_cut()
+            await self._hang_if_partitioned()
             try:
                 listed = await self._platform.instances()
             except (PlatformRefused, AnswerLost) as error:
-                raise _unavailable() from error
+                raise _unavailable_error() from error
             return [
                 Member(item.name, item.zone, item.peer_address, item.admin_address)
                 for item in listed.instances
                 if item.state is InstanceState.LIVE
             ]
-        raise _unavailable()
+        raise _unavailable_error()
 
-    async def _check_cut(self) -> None:
-        if self.cut_off:
+    async def _hang_if_partitioned(self) -> None:
+        if self.is_partitioned:
             await trio.sleep_forever()
 
 
-def _read(found: ObjectList | ChangeList) -> ObjectsRead:
-    return ObjectsRead(found.revision, tuple(_object(item) for item in found.objects))
+def _to_objects_read(result: ObjectList | ChangeList) -> ObjectsRead:
+    return ObjectsRead(
+        result.revision, tuple(_to_versioned_object(item) for item in result.objects)
+    )
 
 
-def _object(stored: StoredObject) -> VersionedObject:
+def _to_versioned_object(stored: StoredObject) -> VersionedObject:
     value_json = None if stored.value is None else msgspec.json.encode(stored.value)
     return VersionedObject(
         ObjectKind(stored.kind), stored.name, stored.version, value_json
     )
 
 
-def _unavailable() -> IbisfrontError:
-    return IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform is out")
+def _unavailable_error() -> IbisfrontError:
+    return IbisfrontError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform is unavailable")
 
 
-def _unknown() -> IbisfrontError:
-    return IbisfrontError(ErrorKind.WRITE_UNKNOWN, "the answer was lost")
+def _unknown_outcome_error() -> IbisfrontError:
+    return IbisfrontError(ErrorKind.WRITE_UNKNOWN, "the response was lost")
