--- a/ibisfront/testing/__init__.py
+++ b/ibisfront/testing/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-ins and helpers for tests, public for use by others.
+"""Test doubles and helpers for tests; a public interface.
 
 The modules that run as programs (``python -m ibisfront.testing.platform`` and
-the like) are not imported here: Python would run them a second time.
+similar) are not imported here: Python would execute them a second time.
 """
 
 from __future__ import annotations
--- a/ibisfront/testing/backend.py
+++ b/ibisfront/testing/backend.py
@@ -1,9 +1,9 @@
-"""Backend servers' stand-ins as a process: their HTTP faces and the control.
+"""Fake backend servers in a process: their HTTP servers and the control API.
 
 Run ``python -m ibisfront.testing.backend --service S --port 0 --count N``. It
 prints one line ``listening HOST:PORT NAME`` for each server, then ``control
-HOST:PORT`` for one more port, which addresses the servers by name and which
-the faults do not touch.
+HOST:PORT`` for the port of the control API, which addresses the servers by
+name and is not subject to the faults.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     Attributes
     ----------
     service : str
-        The service asked.
+        The requested service.
     request : Any
         The request itself.
     """
@@ -62,28 +62,28 @@
 
 
 class SnapshotList(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a change of the snapshots held.
+    """The body of a request that replaces the snapshots held.
 
     Attributes
     ----------
     snapshots : tuple of str
-        All of them, newest last.
+        All snapshots held, newest last.
     """
 
     snapshots: tuple[str, ...]
 
 
 class ServerReport(msgspec.Struct, frozen=True):
-    """The state of one server with its address and connections.
+    """The state, address and connection counts of one server.
 
     Attributes
     ----------
     address : str
-        Where it listens.
+        The listening address.
     state : BackendState
         The server's state.
     connections : ConnectionCounts
-        Its connections.
+        The connection counts.
     """
 
     address: str
@@ -97,7 +97,7 @@
     Attributes
     ----------
     counts : dict of str to int
-        How often each of the latest request ids began to run.
+        How often a run began, by request id, for the latest ids.
     performed : list of PerformRun
         Every run of a perform request, in order.
     """
@@ -107,23 +107,23 @@
 
 
 class BackendServer:
-    """The HTTP face of one backend server.
+    """HTTP server of one fake backend server.
 
     Parameters
     ----------
     backend : FakeBackend
-        What to serve.
+        The fake to serve.
     nursery : trio.Nursery
-        Runs the restarts after crashes.
+        Runs the tasks that reopen the listener after a crash.
     clock : Clock, optional
-        Tells and waits for time.
+        Time source.
 
     Attributes
     ----------
     backend : FakeBackend
-        What it serves.
+        The fake that is served.
     server : HttpServer
-        Its port and connections.
+        The listening port and its connections.
     """
 
     __slots__ = ("_clock", "_nursery", "backend", "server")
@@ -135,21 +135,21 @@
         self._clock = clock or Clock()
         self._nursery = nursery
         self.server = HttpServer(
-            self._handle, admit=self._admit, pause=backend.wait_thawed
+            self._handle, admit=self._admit, pause=backend.wait_until_unfrozen
         )
-        backend.on_crash = self._go_down
+        backend.on_crash = self._close_for_downtime
 
     def report(self) -> ServerReport:
-        """Return the state."""
+        """Return the server's state."""
         address = str(self.server.address)
         return ServerReport(address, self.backend.state(), self.server.counts)
 
-    def _go_down(self, down_ms: float) -> None:
+    def _close_for_downtime(self, down_ms: float) -> None:
         self.server.close_listener()
         self.server.reset_connections()
-        self._nursery.start_soon(self._come_back, down_ms)
+        self._nursery.start_soon(self._reopen_after_downtime, down_ms)
 
-    async def _come_back(self, down_ms: float) -> None:
+    async def _reopen_after_downtime(self, down_ms: float) -> None:
         await self._clock.sleep_ms(down_ms)
         self.server.open_listener()
 
@@ -211,17 +211,17 @@
 
 
 class BackendControl:
-    """The control of all backend servers of a process.
+    """Control API of all fake backend servers of a process.
 
     Parameters
     ----------
     servers : list of BackendServer
-        The servers, of different names.
+        The servers; their names are unique.
 
     Attributes
     ----------
     server : HttpServer
-        The control's port.
+        The port of the control API.
     """
 
     __slots__ = ("_servers", "server")
@@ -250,7 +250,7 @@
                 report = RunReport(runs.counts, runs.performed)
                 return json_response(HTTPStatus.OK, report)
             case (HTTPMethod.POST, "control", "servers", name, command):
-                return _command(self._servers[name], command, request.body)
+                return _run_command(self._servers[name], command, request.body)
         return Response(HTTPStatus.NOT_FOUND)
 
 
@@ -289,7 +289,7 @@
 }
 
 
-def _command(server: BackendServer, command: str, body: bytes) -> Response:
+def _run_command(server: BackendServer, command: str, body: bytes) -> Response:
     if command not in COMMANDS:
         return Response(HTTPStatus.NOT_FOUND, f"no command {command}".encode())
     COMMANDS[command](server, body)
@@ -297,11 +297,11 @@
 
 
 def _parse_arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Backend servers' stand-ins")
+    parser = argparse.ArgumentParser(description="Fake backend servers")
     parser.add_argument("--service", required=True, action="append")
-    parser.add_argument("--port", type=int, default=0, help="of the first server")
+    parser.add_argument("--port", type=int, default=0, help="port of the first server")
     parser.add_argument("--control-port", type=int, default=0)
-    parser.add_argument("--count", type=int, default=1, help="servers a service")
+    parser.add_argument("--count", type=int, default=1, help="servers per service")
     for field in msgspec.structs.fields(BackendSettings):
         option = "--" + field.name.replace("_", "-")
         parser.add_argument(option, type=type(field.default), default=field.default)
--- a/ibisfront/testing/backend_records.py
+++ b/ibisfront/testing/backend_records.py
@@ -1,4 +1,4 @@
-"""What a backend server's stand-in finds, and the record of what it ran."""
+"""Search results of a fake backend server, and the log of its runs."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class RunLog:
-    """Records the runs of one server, so that a test can count doubles.
+    """Records the runs of one server, so that a test can count duplicates.
 
     Attributes
     ----------
     counts : dict of str to int
-        How often each of the latest request ids began to run.
+        How often a run began, by request id, for the latest ids.
     performed : list of PerformRun
         Every run of a perform request, in order.
     """
@@ -33,7 +33,7 @@
         self.performed: list[PerformRun] = []
 
     def add(self, work: WorkRequest) -> None:
-        """Record that a request begins to run."""
+        """Record that a request starts to run."""
         count = self.counts.pop(work.request_id, 0)
         self.counts[work.request_id] = count + 1
         if len(self.counts) > RUN_COUNTS_LIMIT:
@@ -45,17 +45,17 @@
 def search_rows(
     service: str, snapshot: str, request: Any, rows: int
 ) -> list[SearchRow]:
-    """Return the rows that every server of a service finds.
+    """Return the rows that every server of a service returns for a search.
 
     Parameters
     ----------
     service, snapshot : str
-        What is searched.
+        The service and snapshot searched.
     request : Any
-        The search; its ``limit``, if it has one, replaces ``rows``, and its
-        ``marker`` is what the rows echo.
+        The search; its ``limit``, if present, replaces ``rows``. The rows echo
+        its ``marker`` if present, else the whole request.
     rows : int
-        How many rows there are.
+        Number of rows.
     """
     echo = request
     if isinstance(request, dict):
--- a/ibisfront/testing/backend_state.py
+++ b/ibisfront/testing/backend_state.py
@@ -1,8 +1,8 @@
-"""A backend server's stand-in: slots, queue, snapshots, faults, no sockets.
+"""Fake backend server: slots, queue, snapshots and faults, without sockets.
 
-All waits go through :class:`ibisfront.core.clock.Clock`, so that a test under
-trio's mock clock drives it. A caller cancels a request by cancelling the task
-that waits for it.
+All waits use :class:`ibisfront.core.clock.Clock`, so that tests run under
+trio's mock clock. A caller cancels a request by cancelling the task that waits
+for it.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     ConnectionLost,
     CrashPoint,
     ErrorBody,
-    LoadLie,
+    LoadReportFault,
     LoadReport,
     NotRun,
     PerformResult,
     SearchResult,
-    WorkRefused,
+    WorkRejected,
     WorkRequest,
 )
 
@@ -42,28 +42,27 @@
 
 
 class FakeBackend:
-    """One backend server of one service, for use in-process or behind HTTP.
+    """One backend server of one service, used in-process or over HTTP.
 
     Parameters
     ----------
     service : str
-        The service whose requests it runs.
+        The service whose requests are run.
     name : str
-        The server's own name.
+        The server's name.
     settings : BackendSettings, optional
-        Its size and speed.
+        Capacity and service times.
     clock : Clock, optional
-        Tells and waits for time.
+        Time source.
 
     Attributes
     ----------
     on_crash : callable
-        Called at each crash with the time that the server stays down, in
-        milliseconds.
+        Called at each crash with the downtime in milliseconds.
     runs : RunLog
-        What ran, by request.
+        The requests that were run.
     settings : BackendSettings
-        Its size and speed.
+        Capacity and service times.
     """
 
     __slots__ = (
@@ -79,7 +78,7 @@
         "_slots",
         "_snapshots",
         "_started_ms",
-        "_thawed",
+        "_unfrozen",
         "name",
         "on_crash",
         "runs",
@@ -109,15 +108,15 @@
         self._crash_scopes: set[trio.CancelScope] = set()
         self._started_ms = -math.inf
         self._down_until_ms = -math.inf
-        self._thawed = trio.Event()
-        self._thawed.set()
+        self._unfrozen = trio.Event()
+        self._unfrozen.set()
         self._last_reply: BackendReply | None = None
         self._load: LoadReport | None = None
         self._load_at_ms = -math.inf
 
     @property
     def faults(self) -> BackendFaults:
-        """The faults as set."""
+        """The active faults."""
         return self._faults
 
     @property
@@ -129,16 +128,16 @@
         """Replace all faults."""
         self._faults = faults
         if not faults.frozen:
-            self._thawed.set()
-        elif self._thawed.is_set():
-            self._thawed = trio.Event()
+            self._unfrozen.set()
+        elif self._unfrozen.is_set():
+            self._unfrozen = trio.Event()
 
     def set_snapshots(self, snapshots: tuple[str, ...]) -> None:
-        """Hold other snapshots, newest last."""
+        """Replace the snapshots held, newest last."""
         self._snapshots = snapshots
 
     def state(self) -> BackendState:
-        """Return what a test can read."""
+        """Return the state for a test to read."""
         return BackendState(
             name=self.name,
             service=self.service,
@@ -149,16 +148,16 @@
             faults=self._faults,
         )
 
-    async def wait_thawed(self) -> None:
+    async def wait_until_unfrozen(self) -> None:
         """Wait while the server is frozen."""
-        await self._thawed.wait()
+        await self._unfrozen.wait()
 
     def restart(self) -> None:
-        """Start anew: cold, if the faults say for how long."""
+        """Restart the server; it is cold for ``faults.cold_ms``."""
         self._started_ms = self._clock.now_ms()
 
     def crash(self) -> None:
-        """Lose all that runs and waits, and be down for a while."""
+        """Drop all running and queued requests, and stay down for a time."""
         self._counts.crashes += 1
         down_ms = self._faults.crash_down_ms
         self._down_until_ms = self._clock.now_ms() + down_ms
@@ -168,7 +167,7 @@
         self.on_crash(down_ms)
 
     async def load(self) -> LoadReport:
-        """Return the load report, with its lag and its lie.
+        """Return the load report, with its lag and its fault applied.
 
         Raises
         ------
@@ -178,18 +177,18 @@
         await self._check_up()
         now_ms = self._clock.now_ms()
         if self._load is None or now_ms - self._load_at_ms >= self._faults.load_lag_ms:
-            self._load = self._true_load()
+            self._load = self._actual_load()
             self._load_at_ms = now_ms
         match self._faults.load_lie:
-            case LoadLie.IDLE:
+            case LoadReportFault.IDLE:
                 return msgspec.structs.replace(self._load, in_flight=0, draining=False)
-            case LoadLie.BUSY:
+            case LoadReportFault.BUSY:
                 busy = self.settings.slots + self.settings.queue_limit
                 return msgspec.structs.replace(self._load, in_flight=busy)
         return self._load
 
     async def healthz(self) -> None:
-        """Return while the process lives.
+        """Return if the server is up.
 
         Raises
         ------
@@ -204,10 +203,10 @@
         Raises
         ------
         ConnectionLost
-            If the server is down, crashes or loses the answer.
+            If the server is down, crashes or drops the reply.
         """
-        asked = msgspec.structs.replace(work, snapshot=work.snapshot or "")
-        return await self._serve(asked, self._search)
+        search_work = msgspec.structs.replace(work, snapshot=work.snapshot or "")
+        return await self._serve(search_work, self._search)
 
     async def perform(self, work: WorkRequest) -> BackendReply:
         """Run one request that is not idempotent, and record the run.
@@ -215,7 +214,7 @@
         Raises
         ------
         ConnectionLost
-            If the server is down, crashes or loses the answer.
+            If the server is down, crashes or drops the reply.
         """
         return await self._serve(work, self._perform)
 
@@ -228,7 +227,7 @@
         return PerformResult({"service": work.service, "request": work.request})
 
     async def _check_up(self) -> None:
-        await self.wait_thawed()
+        await self.wait_until_unfrozen()
         if self._clock.now_ms() < self._down_until_ms:
             raise ConnectionLost
 
@@ -242,7 +241,7 @@
         with trio.CancelScope() as scope:
             self._crash_scopes.add(scope)
             try:
-                reply = await self._serve_to_end(work, execute)
+                reply = await self._serve_until_deadline(work, execute)
             except trio.Cancelled:
                 self._counts.cancelled += not scope.cancel_called
                 raise
@@ -252,7 +251,7 @@
             raise ConnectionLost
         return reply
 
-    async def _serve_to_end(
+    async def _serve_until_deadline(
         self,
         work: WorkRequest,
         execute: Callable[[WorkRequest], SearchResult | PerformResult],
@@ -263,60 +262,60 @@
             try:
                 await self._run(work)
                 reply = self._reply(work, HTTPStatus.OK, execute(work))
-            except WorkRefused as refused:
-                reply = self._refusal(work, refused)
+            except WorkRejected as rejected:
+                reply = self._rejection(work, rejected)
         if scope.cancelled_caught:
             self._counts.deadline_exceeded += 1
         self._counts.answered += reply.status == HTTPStatus.OK
-        return await self._spoil(reply)
+        return await self._apply_reply_faults(reply)
 
     async def _run(self, work: WorkRequest) -> None:
         crashes = self._has_crash_marker(work)
         self._check_can_run(work)
         await self._wait_for_slot()
         try:
-            await self.wait_thawed()
+            await self.wait_until_unfrozen()
             self._check_snapshot(work)
             if crashes and self._faults.crash_point is CrashPoint.BEFORE_RUNNING:
-                await self._crash_here()
+                await self._crash_and_wait()
             self._counts.runs += 1
             self.runs.add(work)
             await self._clock.sleep_ms(self._service_time_ms())
-            await self.wait_thawed()
+            await self.wait_until_unfrozen()
             if crashes:
-                await self._crash_here()
+                await self._crash_and_wait()
         finally:
             self._slots.release()
-        if self._hits(self._faults.fail_fraction):
+        if self._fault_applies(self._faults.fail_fraction):
             self._counts.failed += 1
-            raise WorkRefused(HTTPStatus.INTERNAL_SERVER_ERROR, "failed")
+            raise WorkRejected(HTTPStatus.INTERNAL_SERVER_ERROR, "failed")
 
-    async def _crash_here(self) -> None:
+    async def _crash_and_wait(self) -> None:
         self.crash()
         await trio.sleep_forever()  # cancelled by the crash
 
     def _check_can_run(self, work: WorkRequest) -> None:
         if work.service != self.service:
             self._counts.refused_bad += 1
-            raise WorkRefused(HTTPStatus.BAD_REQUEST, f"not {work.service} here")
+            raise WorkRejected(HTTPStatus.BAD_REQUEST, f"not {work.service} here")
         if self._is_cold() and self._faults.cold_start is ColdStart.REFUSE:
             self._counts.refused_cold += 1
-            raise WorkRefused(HTTPStatus.SERVICE_UNAVAILABLE, "cold", NotRun.COLD)
+            raise WorkRejected(HTTPStatus.SERVICE_UNAVAILABLE, "cold", NotRun.COLD)
         if self._faults.draining:
             self._counts.refused_draining += 1
-            raise WorkRefused(
+            raise WorkRejected(
                 HTTPStatus.SERVICE_UNAVAILABLE, "draining", NotRun.DRAINING
             )
         self._check_snapshot(work)
         is_full = self._slots.value == 0 and self._queued() >= self.settings.queue_limit
         if self._faults.shedding or is_full:
             self._counts.shed += 1
-            raise WorkRefused(HTTPStatus.SERVICE_UNAVAILABLE, "shed", NotRun.SHED)
+            raise WorkRejected(HTTPStatus.SERVICE_UNAVAILABLE, "shed", NotRun.SHED)
 
     def _check_snapshot(self, work: WorkRequest) -> None:
         if work.snapshot is not None and work.snapshot not in self._snapshots:
             self._counts.refused_snapshot += 1
-            raise WorkRefused(HTTPStatus.CONFLICT, f"does not hold {work.snapshot}")
+            raise WorkRejected(HTTPStatus.CONFLICT, f"does not hold {work.snapshot}")
 
     async def _wait_for_slot(self) -> None:
         if self._slots.value == 0:
@@ -328,28 +327,28 @@
 
     def _service_time_ms(self) -> float:
         settings = self.settings
-        spread = math.exp(self._random.gauss(0.0, settings.service_sigma))
-        duration_ms = settings.service_median_ms * spread
-        if self._hits(self._faults.straggle_fraction):
+        factor = math.exp(self._random.gauss(0.0, settings.service_sigma))
+        duration_ms = settings.service_median_ms * factor
+        if self._fault_applies(self._faults.straggle_fraction):
             duration_ms *= self._faults.straggle_factor
         if self._is_cold():
             duration_ms *= self._faults.cold_slow_factor
         return duration_ms
 
-    async def _spoil(self, reply: BackendReply) -> BackendReply:
-        """Apply the faults of answers to a reply."""
+    async def _apply_reply_faults(self, reply: BackendReply) -> BackendReply:
+        """Apply the reply faults."""
         faults = self._faults
-        if self._hits(faults.late_answer_fraction):
+        if self._fault_applies(faults.late_answer_fraction):
             await self._clock.sleep_ms(faults.late_answer_ms)
-        await self.wait_thawed()
-        if self._hits(faults.lose_answer_fraction):
+        await self.wait_until_unfrozen()
+        if self._fault_applies(faults.lose_answer_fraction):
             raise ConnectionLost
-        if self._hits(faults.duplicate_answer_fraction):
+        if self._fault_applies(faults.duplicate_answer_fraction):
             reply = msgspec.structs.replace(reply, copies=2)
-        other, self._last_reply = self._last_reply or reply, reply
-        if self._hits(faults.crossed_answer_fraction):
-            return other
-        if self._hits(faults.wrong_id_fraction):
+        previous, self._last_reply = self._last_reply or reply, reply
+        if self._fault_applies(faults.crossed_answer_fraction):
+            return previous
+        if self._fault_applies(faults.wrong_id_fraction):
             wrong_id = f"not-{reply.request_id}"
             return msgspec.structs.replace(reply, request_id=wrong_id)
         return reply
@@ -368,13 +367,13 @@
             draining=self._faults.draining,
         )
 
-    def _refusal(self, work: WorkRequest, refused: WorkRefused) -> BackendReply:
-        reply = self._reply(work, refused.status, ErrorBody(refused.error))
-        if refused.not_run is None:
+    def _rejection(self, work: WorkRequest, rejected: WorkRejected) -> BackendReply:
+        reply = self._reply(work, rejected.status, ErrorBody(rejected.error))
+        if rejected.not_run is None:
             return reply
         return msgspec.structs.replace(
             reply,
-            not_run=refused.not_run,
+            not_run=rejected.not_run,
             retry_after_ms=self.settings.retry_after_ms,
         )
 
@@ -384,7 +383,7 @@
             return False
         return marker in msgspec.json.encode(work.request).decode()
 
-    def _hits(self, fraction: float) -> bool:
+    def _fault_applies(self, fraction: float) -> bool:
         return self._random.random() < fraction
 
     def _is_cold(self) -> bool:
@@ -396,7 +395,7 @@
     def _in_flight(self) -> int:
         return self.settings.slots - self._slots.value
 
-    def _true_load(self) -> LoadReport:
+    def _actual_load(self) -> LoadReport:
         return LoadReport(
             in_flight=self._in_flight() + self._queued(),
             slots=self.settings.slots,
--- a/ibisfront/testing/backend_types.py
+++ b/ibisfront/testing/backend_types.py
@@ -1,4 +1,4 @@
-"""The settings, faults, counts and replies of a backend server's stand-in."""
+"""Settings, faults, counts and replies of a fake backend server."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     "ColdStart",
     "ConnectionLost",
     "CrashPoint",
-    "LoadLie",
+    "LoadReportFault",
     "LoadReport",
     "NotRun",
     "PerformResult",
     "PerformRun",
     "SearchResult",
     "SearchRow",
-    "WorkRefused",
+    "WorkRejected",
     "WorkRequest",
 ]
 
@@ -32,28 +32,28 @@
 class BackendSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """The size and speed of one backend server.
+    """Capacity and service times of one fake backend server.
 
     Attributes
     ----------
     slots : int
-        How many requests run at once.
+        Number of requests that run concurrently.
     queue_limit : int
-        How many may wait for a slot before more are shed.
+        Queued requests above which further ones are shed.
     connection_limit : int
-        How many connections may be open before more are refused.
+        Open connections above which further ones are refused.
     accept_ms : float
-        The cost of a new connection; one is accepted at a time.
+        Duration of an accept; connections are accepted one at a time.
     service_median_ms : float
-        The median of the service time, which is log-normal.
+        Median of the log-normal service time.
     service_sigma : float
-        The spread of the service time's logarithm; 0 for none.
+        Standard deviation of the service time's logarithm.
     retry_after_ms : int
-        The advice of a refusal.
+        The ``Retry-After-Ms`` of a rejection.
     rows : int
-        How many rows a search returns, if its request has no ``limit``.
+        Rows that a search returns if its request has no ``limit``.
     seed : int
-        Decides the service times and which requests a fault of a fraction hits.
+        Seed of the service times and of the faults given as fractions.
     """
 
     slots: int = 2
@@ -68,14 +68,14 @@
 
 
 class ColdStart(StrEnum):
-    """What a server does with requests while it is cold."""
+    """How a server handles requests while it is cold."""
 
     REFUSE = "refuse"
     SLOW = "slow"
 
 
-class LoadLie(StrEnum):
-    """What ``/load`` says."""
+class LoadReportFault(StrEnum):
+    """How ``/load`` misreports the load."""
 
     NONE = "none"
     IDLE = "idle"
@@ -90,7 +90,7 @@
 
 
 class NotRun(StrEnum):
-    """Why a request was refused unrun (``X-Not-Run``)."""
+    """Why a request was rejected before it ran (``X-Not-Run``)."""
 
     SHED = "shed"
     DRAINING = "draining"
@@ -105,42 +105,44 @@
     Attributes
     ----------
     draining : bool
-        Requests are refused, and replies say so; what runs goes on.
+        New requests are rejected and replies are marked as draining; running
+        requests continue.
     shedding : bool
         All requests are shed.
     frozen : bool
-        Nothing is accepted, read or answered until it is off again.
+        While set, nothing is accepted, read or answered.
     cold_ms : float
-        How long the server is cold after a start.
+        Duration of the cold phase after a start.
     cold_start : ColdStart
-        Whether it refuses while cold or is slow.
+        Whether a cold server rejects requests or runs them slowly.
     cold_slow_factor : float
-        By how much it is slow.
+        Factor on the service time while cold.
     load_lag_ms : float
-        How old a load report may be.
-    load_lie : LoadLie
-        What the load report says in place of the truth.
+        Age up to which a load report is reused.
+    load_lie : LoadReportFault
+        What the load report states instead of the actual load.
     straggle_fraction, straggle_factor : float
-        The share of requests that take longer, and by how much.
+        The fraction of requests that take longer, and the factor on their
+        service time.
     fail_fraction : float
-        The share of requests that run and fail (500).
+        The fraction of requests that run and fail (500).
     lose_answer_fraction : float
-        The share of answers lost: the connection closes in place of it.
+        The fraction of replies lost: the connection closes instead.
     wrong_id_fraction : float
-        The share of replies that echo another request's id, the rest being
-        right.
+        The fraction of replies that echo a wrong request id but are otherwise
+        correct.
     crossed_answer_fraction : float
-        The share of replies replaced as a whole by the reply before.
+        The fraction of replies replaced entirely by the previous reply.
     late_answer_fraction, late_answer_ms : float
-        The share of answers held back after the run, and for how long.
+        The fraction of replies delayed after the run, and the delay.
     duplicate_answer_fraction : float
-        The share of answers sent twice.
+        The fraction of replies sent twice.
     crash_marker : str or None
-        A request whose body has it crashes the server.
+        A request whose body contains this text crashes the server.
     crash_point : CrashPoint
         Whether such a request runs before the crash.
     crash_down_ms : float
-        How long the server is down before it starts again.
+        Downtime after a crash.
     """
 
     draining: bool = False
@@ -150,7 +152,7 @@
     cold_start: ColdStart = ColdStart.REFUSE
     cold_slow_factor: float = 10.0
     load_lag_ms: float = 0.0
-    load_lie: LoadLie = LoadLie.NONE
+    load_lie: LoadReportFault = LoadReportFault.NONE
     straggle_fraction: float = 0.0
     straggle_factor: float = 10.0
     fail_fraction: float = 0.0
@@ -171,13 +173,13 @@
     Attributes
     ----------
     service : str
-        The service asked.
+        The requested service.
     request : Any
-        The request itself, any JSON value.
+        The request itself; any JSON value.
     request_id : str
         The sub-request's id.
     deadline_ms : float or None
-        The remaining budget, if any.
+        The remaining time budget, if any.
     snapshot : str or None
         The snapshot to search; None for ``/perform``.
     """
@@ -190,16 +192,16 @@
 
 
 class SearchRow(msgspec.Struct, frozen=True):
-    """One row of a search's result.
+    """One row of a search result.
 
     Attributes
     ----------
     id : str
         The row's id, unique over all services.
     score : float
-        From 0 to 1, the best row first.
+        From 0 to 1; rows are sorted best first.
     service, snapshot : str
-        Where the row is from.
+        The service and snapshot that the row comes from.
     request : Any
         The request's ``marker`` if it has one, else the whole request.
     """
@@ -212,26 +214,26 @@
 
 
 class SearchResult(msgspec.Struct, frozen=True):
-    """The body of an answered search."""
+    """The body of a successful search reply."""
 
     snapshot: str
     rows: list[SearchRow]
 
 
 class PerformResult(msgspec.Struct, frozen=True):
-    """The body of an answered perform request."""
+    """The body of a successful perform reply."""
 
     result: Any
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The body of a refusal or failure."""
+    """The body of a rejection or failure."""
 
     error: str
 
 
 class BackendReply(msgspec.Struct, frozen=True, kw_only=True):
-    """One reply, as its status line, headers and body say it.
+    """One reply: status, headers and body.
 
     Attributes
     ----------
@@ -240,17 +242,17 @@
     body : SearchResult or PerformResult or ErrorBody
         The JSON body.
     request_id : str
-        The echoed id.
+        The echoed request id.
     snapshots : tuple of str
         The snapshots held, newest last.
     draining : bool
-        Whether the server drains.
+        Whether the server is draining.
     not_run : NotRun or None
-        Why it did not run, for a 503.
+        Why the request did not run, for a 503.
     retry_after_ms : int or None
-        When to come back, for a 503.
+        When to retry, for a 503.
     copies : int
-        How often the reply is sent.
+        Number of times the reply is sent.
     """
 
     status: int
@@ -273,7 +275,7 @@
 
 
 class PerformRun(msgspec.Struct, frozen=True):
-    """One run of a perform request, counted when it begins.
+    """One run of a perform request, recorded when it starts.
 
     Attributes
     ----------
@@ -288,24 +290,24 @@
 
 
 class BackendCounts(msgspec.Struct):
-    """What one backend server has counted since it was made.
+    """Counters of one backend server since its creation.
 
     Attributes
     ----------
     runs : int
-        The requests that began to run.
+        Requests that started to run.
     answered, failed : int
-        The requests answered with 200 and 500.
+        Requests answered with 200 and 500.
     cancelled : int
-        The requests whose callers went away before the answer.
+        Requests whose callers disconnected before the reply.
     deadline_exceeded : int
-        The requests given up at their deadline.
+        Requests abandoned at their deadline.
     shed, refused_draining, refused_cold, refused_snapshot, refused_bad : int
-        The requests refused unrun.
+        Requests rejected before they ran, by reason.
     crashes : int
-        The crashes.
+        Crashes.
     in_flight_peak, queued_peak : int
-        The most requests that ran and waited at once.
+        Peak numbers of running and of queued requests.
     """
 
     runs: int = 0
@@ -324,20 +326,20 @@
 
 
 class BackendState(msgspec.Struct, frozen=True, kw_only=True):
-    """What a test can read of one backend server, besides its runs.
+    """State of one backend server, except its runs.
 
     Attributes
     ----------
     name, service : str
-        The server.
+        The server's name and service.
     in_flight, queued : int
-        The requests that run and that wait for a slot.
+        Requests that run and that wait for a slot.
     snapshots : tuple of str
         The snapshots held, newest last.
     counts : BackendCounts
-        What it has counted.
+        Counters since creation.
     faults : BackendFaults
-        The faults as set.
+        The active faults.
     """
 
     name: str
@@ -350,10 +352,10 @@
 
 
 class ConnectionLost(Exception):
-    """The connection was lost in place of an answer."""
+    """The connection was lost before a reply."""
 
 
-class WorkRefused(Exception):
+class WorkRejected(Exception):
     """Ends a request with a reply other than 200.
 
     Parameters
@@ -361,9 +363,9 @@
     status : HTTPStatus
         The reply's status.
     error : str
-        What the reply's body says.
+        The error in the reply's body.
     not_run : NotRun, optional
-        Why it did not run, for a 503.
+        Why the request did not run, for a 503.
     """
 
     def __init__(
--- a/ibisfront/tests/test_testing_backend.py
+++ b/ibisfront/tests/test_testing_backend.py
@@ -1,4 +1,4 @@
-"""Tests of the backend servers' stand-in."""
+"""Tests of the fake backend server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     ColdStart,
     ConnectionLost,
     CrashPoint,
-    LoadLie,
+    LoadReportFault,
     NotRun,
     WorkRequest,
 )
@@ -27,7 +27,7 @@
 
 
 def make_backend(**faults):
-    """Return a backend server of the service ``s`` with some faults."""
+    """Return a backend server of the service ``s`` with the given faults."""
     backend = FakeBackend("s", "s-0", settings=SETTINGS)
     backend.set_faults(BackendFaults(**faults))
     return backend
@@ -50,7 +50,7 @@
 
 
 class TestWork(unittest.TestCase):
-    """Slots, queue, deadlines and refusals, in-process."""
+    """Slots, queue, deadlines and rejections, in-process."""
 
     @trio_test
     async def test_search(self):
@@ -109,7 +109,7 @@
         self.assertEqual(state.counts.deadline_exceeded, 2)
 
     @trio_test
-    async def test_refusals_unrun(self):
+    async def test_rejections_before_the_run(self):
         backend = make_backend()
         reply = await backend.search(search_work(snapshot="none"))
         self.assertEqual(reply.status, 409)
@@ -138,7 +138,7 @@
         self.assertEqual(replies[0].snapshots, ("snapshot-2",))
 
     @trio_test
-    async def test_performs_are_recorded(self):
+    async def test_perform_runs_are_recorded(self):
         backend = make_backend()
         await backend.perform(perform_work("print", "id-1"))
         reply = await backend.perform(perform_work("print", "id-2"))
@@ -154,7 +154,7 @@
     """Each fault, in-process."""
 
     @trio_test
-    async def test_draining_finishes_what_runs(self):
+    async def test_draining_finishes_running_requests(self):
         backend = make_backend()
         async with trio.open_nursery() as nursery:
 
@@ -192,7 +192,7 @@
         self.assertAlmostEqual(trio.current_time(), 0.060)
 
     @trio_test
-    async def test_same_seed_same_times(self):
+    async def test_same_seed_gives_same_service_times(self):
         ends = []
         for _ in range(2):
             settings = BackendSettings(seed=7)
@@ -205,7 +205,7 @@
         self.assertAlmostEqual(ends[0], ends[1])
 
     @trio_test
-    async def test_freeze_and_thaw(self):
+    async def test_freeze_and_unfreeze(self):
         backend = make_backend(frozen=True)
         for call in (backend.healthz, backend.load):
             with trio.move_on_after(3600) as scope:
@@ -219,7 +219,7 @@
         self.assertEqual(backend.state().counts.answered, 1)
 
     @trio_test
-    async def test_crash_loses_all_that_runs(self):
+    async def test_crash_drops_running_requests(self):
         for point, markers, runs in (
             (CrashPoint.BEFORE_RUNNING, ("good", "poison"), 1),
             (CrashPoint.AFTER_RUNNING, ("poison", "good"), 2),
@@ -262,7 +262,7 @@
         self.assertEqual(reply.not_run, NotRun.COLD)
 
     @trio_test
-    async def test_load_lags_and_lies(self):
+    async def test_load_report_lag_and_faults(self):
         backend = make_backend(load_lag_ms=1000)
         async with trio.open_nursery() as nursery:
             await backend.load()
@@ -276,13 +276,13 @@
             self.assertEqual((await backend.load()).in_flight, 0)
             await trio.sleep(0.5)
             self.assertEqual((await backend.load()).in_flight, 1)
-            backend.set_faults(BackendFaults(load_lie=LoadLie.IDLE))
+            backend.set_faults(BackendFaults(load_lie=LoadReportFault.IDLE))
             self.assertEqual((await backend.load()).in_flight, 0)
-            backend.set_faults(BackendFaults(load_lie=LoadLie.BUSY))
+            backend.set_faults(BackendFaults(load_lie=LoadReportFault.BUSY))
             self.assertEqual((await backend.load()).in_flight, 3)
 
     @trio_test
-    async def test_spoiled_answers(self):
+    async def test_reply_faults(self):
         backend = make_backend()
         await backend.search(search_work("first"))
         backend.set_faults(BackendFaults(crossed_answer_fraction=1))
@@ -300,7 +300,7 @@
         self.assertEqual(backend.state().counts.runs, 5)
 
     @trio_test
-    async def test_late_answer_holds_no_slot(self):
+    async def test_late_reply_holds_no_slot(self):
         backend = make_backend(late_answer_fraction=1, late_answer_ms=1000)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(backend.search, search_work(deadline_ms=100))
