--- a/ibisfront/testing/call_rate.py
+++ b/ibisfront/testing/call_rate.py
@@ -1,4 +1,4 @@
-"""Counts calls against a rate, for the platform's stand-in."""
+"""Rate-limited call counters of the fake platform."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class RateCount(msgspec.Struct):
-    """The calls of one sort.
+    """Counts of one kind of call.
 
     Attributes
     ----------
     total : int
-        The calls carried out or tried, without the refused ones.
+        Calls made, without those rejected by the rate limit.
     refused : int
-        The calls refused for being over the rate.
+        Calls rejected by the rate limit.
     per_second, peak_per_second : int
-        The calls of the last second, now and at most.
+        Calls in the last second: current and peak.
     """
 
     total: int = 0
@@ -31,17 +31,17 @@
 
 
 class CallRate:
-    """Counts the calls of the last second and since the start.
+    """Counts calls in the last second and since the start.
 
     Parameters
     ----------
     clock : Clock
-        Tells the time.
+        Time source.
 
     Attributes
     ----------
     count : RateCount
-        The calls, as of the last look.
+        The counts as of the last refresh.
     """
 
     __slots__ = ("_clock", "_times_ms", "count")
@@ -52,17 +52,17 @@
         self.count = RateCount()
 
     def refresh(self) -> RateCount:
-        """Return the count as of now."""
+        """Return the current counts."""
         oldest_ms = self._clock.now_ms() - MILLISECONDS_PER_SECOND
         while self._times_ms and self._times_ms[0] <= oldest_ms:
             self._times_ms.popleft()
         self.count.per_second = len(self._times_ms)
         return self.count
 
-    def take(self, limit: int | None) -> bool:
-        """Count one call; return False if it is over the limit."""
+    def try_acquire(self, limit_per_s: int | None) -> bool:
+        """Count one call; return False if it exceeds the limit."""
         count = self.refresh()
-        if limit is not None and count.per_second >= limit:
+        if limit_per_s is not None and count.per_second >= limit_per_s:
             count.refused += 1
             return False
         self._times_ms.append(self._clock.now_ms())
--- a/ibisfront/testing/object_store.py
+++ b/ibisfront/testing/object_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, by its published protocol."""
+"""Fake object store that implements the platform's published protocol."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
     from ibisfront.gateway.messages import InboundRequest
 
-__all__ = ["StandInStore"]
+__all__ = ["FakeObjectStore"]
 
-_PAGE = 500
+_PAGE_OBJECTS = 500
 _LIMITS = CallerLimits(maximum_body_bytes=4 * 1024 * 1024, idle_timeout_ms=60_000.0)
 
 
 class _Event(msgspec.Struct):
-    """One change, as the history keeps it."""
+    """One change in the history."""
 
     revision: int
     kind: str
@@ -37,44 +37,44 @@
     deleted: bool
 
 
-class StandInStore:
-    """Objects by kind and name, with one revision counter and a history.
+class FakeObjectStore:
+    """Objects by kind and name, with a single revision counter and a history.
 
-    Bodies are maps here, as they are on the wire: the stand-in must not share
-    the client's types, or both would be wrong in the same way.
+    Bodies are plain dicts as on the wire: if the fake shared the client's
+    types, an error in them would go unnoticed.
 
     Attributes
     ----------
-    refuses_with : int
-        The status that every call gets; 0 if it is well.
+    error_status : int
+        The status that every call gets; 0 if calls succeed.
     is_silent : bool
-        Whether calls get no answer.
-    loses_writes : int
-        How many writes are done and not answered.
+        Whether calls get no response.
+    lost_write_responses : int
+        Number of further writes that take effect but get no response.
     calls : list of str
         Method and target of every call.
     address : str
-        Where it listens, once it runs.
+        The listening address, once running.
     page : int
-        How many objects a list returns at once.
+        Maximum number of objects per list response.
     """
 
     def __init__(self) -> None:
         self._objects: dict[str, dict[str, dict[str, Any]]] = {}
         self._history: list[_Event] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._revision = 1
         self._changed = trio.Event()
-        self.refuses_with = 0
+        self.error_status = 0
         self.is_silent = False
-        self.loses_writes = 0
+        self.lost_write_responses = 0
         self.calls: list[str] = []
         self.address = ""
-        self.page = _PAGE
+        self.page = _PAGE_OBJECTS
 
     @asynccontextmanager
-    async def running(self) -> AsyncIterator[StandInStore]:
-        """Serve on a free port for the length of the block."""
+    async def running(self) -> AsyncIterator[FakeObjectStore]:
+        """Serve on a free port while the context is open."""
         sock = listening_socket("127.0.0.1:0")
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
@@ -91,49 +91,51 @@
             nursery.cancel_scope.cancel()
 
     def put(self, kind: str, name: str, spec: object) -> None:
-        """Write an object as the operator or a server would."""
+        """Write an object, as an operator or a backend server does."""
         objects = self._objects.setdefault(kind, {})
-        known = objects.get(name)
-        if known is not None and known["spec"] == spec:
+        existing = objects.get(name)
+        if existing is not None and existing["spec"] == spec:
             return
         self._revision += 1
-        made = self._revision if known is None else known["meta"]["createRevision"]
+        create_revision = (
+            self._revision if existing is None else existing["meta"]["createRevision"]
+        )
         meta: dict[str, Any] = {
             "name": name,
             "rev": self._revision,
-            "createRevision": made,
+            "createRevision": create_revision,
             "finalizers": [],
             "deleting": False,
         }
         objects[name] = {"meta": meta, "spec": spec, "status": None}
-        self._note(kind, objects[name], deleted=False)
+        self._record_event(kind, objects[name], deleted=False)
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
         found = self._objects.get(kind, {}).pop(name, None)
         if found is not None:
             self._revision += 1
-            self._note(kind, found, deleted=True)
+            self._record_event(kind, found, deleted=True)
 
-    def forget_history(self) -> None:
-        """Drop the history; watches from before get 410."""
+    def compact(self) -> None:
+        """Drop the history; watches from earlier revisions get 410."""
         self._history.clear()
-        self._forgotten = self._revision
-        self._wake()
+        self._compacted_revision = self._revision
+        self._notify_watches()
 
     def names(self, kind: str) -> list[str]:
         """Return the names of a kind's objects."""
         return sorted(self._objects.get(kind, {}))
 
     def spec(self, kind: str, name: str) -> object:
-        """Return what an object holds."""
+        """Return the spec of an object."""
         return self._objects[kind][name]["spec"]
 
-    def _note(self, kind: str, item: dict[str, Any], *, deleted: bool) -> None:
+    def _record_event(self, kind: str, item: dict[str, Any], *, deleted: bool) -> None:
         self._history.append(_Event(self._revision, kind, item, deleted))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
@@ -141,8 +143,8 @@
         self.calls.append(f"{request.method.decode()} {request.target.decode()}")
         if self.is_silent:
             await trio.sleep_forever()
-        if self.refuses_with:
-            return CallerReply(self.refuses_with, [], b"", "refused")
+        if self.error_status:
+            return CallerReply(self.error_status, [], b"", "refused")
         parts = urlsplit(request.target.decode())
         options = {key: values[0] for key, values in parse_qs(parts.query).items()}
         _, _, kind, *rest = parts.path.split("/")
@@ -150,8 +152,8 @@
         if request.method == b"GET":
             return await self._read(kind, name, options)
         reply = self._write(request, kind, name, options)
-        if self.loses_writes:
-            self.loses_writes -= 1
+        if self.lost_write_responses:
+            self.lost_write_responses -= 1
             await trio.sleep_forever()
         return reply
 
@@ -171,7 +173,7 @@
     ) -> CallerReply:
         with trio.move_on_after(int(options.get("waitMs", "0")) / 1000.0):
             while True:
-                if revision < self._forgotten:
+                if revision < self._compacted_revision:
                     return _json(410, {})
                 if self._events(kind, revision):
                     break
@@ -214,6 +216,6 @@
 
 def _json(status: int, body: object) -> CallerReply:
     headers = [(b"Content-Type", b"application/json")]
-    # The lenient encoder: what another writer has put there goes out as it is.
+    # json, unlike msgspec, returns unchanged whatever another writer stored.
     text = json.dumps(body, separators=(",", ":"))
     return CallerReply(status, headers, text.encode(), "store")
--- a/ibisfront/testing/platform.py
+++ b/ibisfront/testing/platform.py
@@ -1,8 +1,8 @@
-"""The platform's stand-in as a process: its HTTP face and its control.
+"""Fake platform as a process: its object API and its control API.
 
 Run ``python -m ibisfront.testing.platform --port 0``. It prints one line
-``listening HOST:PORT`` for the object API, then ``control HOST:PORT`` for a
-second port, which the faults do not touch.
+``listening HOST:PORT`` for the object API, then ``control HOST:PORT`` for the
+control API, which is not subject to the faults.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 LOOPBACK = "127.0.0.1"
 
 
-class WriteAnswer(msgspec.Struct, frozen=True):
-    """The body of an accepted or refused write.
+class WriteResponse(msgspec.Struct, frozen=True):
+    """The body of the response to a write.
 
     Attributes
     ----------
@@ -43,30 +43,30 @@
     version: int | None
 
 
-class RevisionAnswer(msgspec.Struct, frozen=True):
-    """The body of a 404 and of other refusals.
+class RevisionResponse(msgspec.Struct, frozen=True):
+    """The body of a 404 and of other rejections.
 
     Attributes
     ----------
     revision : int
-        The newest revision.
+        The latest revision.
     """
 
     revision: int
 
 
 class PlatformServer:
-    """The HTTP face of one platform and its control.
+    """HTTP servers of one fake platform: object API and control API.
 
     Parameters
     ----------
     platform : FakePlatform
-        What to serve.
+        The fake to serve.
 
     Attributes
     ----------
     server, control : HttpServer
-        The object API, and the control, which the faults do not touch.
+        The object API, and the control API, which is not subject to the faults.
     """
 
     __slots__ = ("_platform", "control", "server")
@@ -82,7 +82,7 @@
         except AnswerLost:
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, action=Action.CLOSE)
         except PlatformRefused as refused:
-            return _refusal(refused)
+            return _rejection(refused)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
             return Response(HTTPStatus.BAD_REQUEST, str(error).encode())
 
@@ -98,8 +98,8 @@
             case (HTTPMethod.DELETE, "objects", kind, name):
                 return await self._delete(request, kind, name)
             case (HTTPMethod.GET, "objects"):
-                found = await self._platform.list(_kinds(request))
-                return json_response(HTTPStatus.OK, found)
+                objects = await self._platform.list(_kinds(request))
+                return json_response(HTTPStatus.OK, objects)
             case (HTTPMethod.GET, "changes"):
                 changes = await self._platform.changes(
                     _kinds(request),
@@ -121,7 +121,7 @@
             msgspec.json.decode(request.body),
             if_version=None if if_match is None else _parse_version(if_match),
         )
-        return json_response(HTTPStatus.OK, WriteAnswer(version))
+        return json_response(HTTPStatus.OK, WriteResponse(version))
 
     async def _delete(self, request: Request, kind: str, name: str) -> Response:
         if_match = request.headers.get("if-match")
@@ -130,7 +130,7 @@
         version = await self._platform.delete(
             kind, name, if_version=_parse_version(if_match)
         )
-        return json_response(HTTPStatus.OK, WriteAnswer(version))
+        return json_response(HTTPStatus.OK, WriteResponse(version))
 
     async def _handle_control(self, request: Request) -> Response:
         try:
@@ -145,8 +145,8 @@
             case (HTTPMethod.POST, "control", "faults"):
                 self._set_faults(update_struct(self._platform.faults, request.body))
             case (HTTPMethod.POST, "control", "instances"):
-                listed = msgspec.json.decode(request.body, type=InstanceList)
-                self._platform.set_instances(listed)
+                instances = msgspec.json.decode(request.body, type=InstanceList)
+                self._platform.set_instances(instances)
             case (HTTPMethod.POST, "control", "compact"):
                 self._platform.compact()
             case _:
@@ -172,26 +172,28 @@
     return int(tag.strip().strip('"'))
 
 
-def _refusal(refused: PlatformRefused) -> Response:
+def _rejection(refused: PlatformRefused) -> Response:
     if refused.status == HTTPStatus.PRECONDITION_FAILED:
-        return json_response(refused.status, WriteAnswer(refused.version))
-    return json_response(refused.status, RevisionAnswer(refused.revision))
+        return json_response(refused.status, WriteResponse(refused.version))
+    return json_response(refused.status, RevisionResponse(refused.revision))
 
 
 async def _serve(arguments: argparse.Namespace) -> None:
-    face = PlatformServer(FakePlatform(seed=arguments.seed))
+    platform_server = PlatformServer(FakePlatform(seed=arguments.seed))
     async with trio.open_nursery() as nursery:
-        address = await nursery.start(face.server.run, LOOPBACK, arguments.port)
+        address = await nursery.start(
+            platform_server.server.run, LOOPBACK, arguments.port
+        )
         print(f"listening {address}", flush=True)
         control = await nursery.start(
-            face.control.run, LOOPBACK, arguments.control_port
+            platform_server.control.run, LOOPBACK, arguments.control_port
         )
         print(f"control {control}", flush=True)
 
 
 def main() -> None:
     """Run the platform until interrupted."""
-    parser = argparse.ArgumentParser(description="The platform's stand-in")
+    parser = argparse.ArgumentParser(description="Fake platform")
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--control-port", type=int, default=0)
     parser.add_argument("--seed", type=int, default=0)
--- a/ibisfront/testing/platform_state.py
+++ b/ibisfront/testing/platform_state.py
@@ -1,7 +1,7 @@
-"""The platform's stand-in: objects, changes and instances, without sockets.
+"""Fake platform: objects, changes and instances, without sockets.
 
-All waits go through :class:`ibisfront.core.clock.Clock`, so that a test under
-trio's mock clock drives it.
+All waits use :class:`ibisfront.core.clock.Clock`, so that tests run under
+trio's mock clock.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 
 class _Write(msgspec.Struct, frozen=True):
-    """A write that may take effect now or later.
+    """A write that takes effect immediately or later.
 
-    ``if_version`` of None asks for an object that does not exist; a ``value``
-    of None deletes.
+    An ``if_version`` of None requires that the object does not exist; a
+    ``value`` of None deletes the object.
     """
 
     key: _ObjectKey
@@ -66,21 +66,21 @@
 
 
 class FakePlatform:
-    """The platform's object API, for use in-process or behind HTTP.
+    """The platform's object API, used in-process or over HTTP.
 
-    Every call can raise :class:`PlatformRefused` (429 when over the rate) and
-    :class:`AnswerLost`. While it hangs, a call waits until it is cancelled,
-    even if the outage ends. A value is not to be changed once it was passed in
-    or returned.
+    Every call can raise :class:`PlatformRefused` (429 above the rate limit) and
+    :class:`AnswerLost`. A call made during a ``hang`` outage waits until it is
+    cancelled, even if the outage ends. Values must not be modified after they
+    were passed in or returned.
 
     Parameters
     ----------
     clock : Clock, optional
-        Tells and waits for time.
+        Time source.
     seed : int, optional
-        Decides which calls a fault of a fraction hits.
+        Seed of the faults given as fractions.
     log_limit_objects : int, optional
-        How many changes are kept for watches and stale reads.
+        Number of changes kept for watches and stale reads.
     """
 
     __slots__ = (
@@ -117,7 +117,7 @@
         self._faults = PlatformFaults()
         self._objects: dict[_ObjectKey, StoredObject] = {}
         self._revision = 0
-        # The objects as they were before the oldest change of the log.
+        # The objects as of the revision before the oldest change in the log.
         self._base: dict[_ObjectKey, StoredObject] = {}
         self._base_revision = 0
         self._log: deque[StoredObject] = deque()
@@ -135,13 +135,13 @@
 
     @property
     def faults(self) -> PlatformFaults:
-        """The faults as set."""
+        """The active faults."""
         return self._faults
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Replace all faults; they hit calls that wait already, too."""
+        """Replace all faults; they also apply to calls that already wait."""
         self._faults = faults
-        self._wake()
+        self._notify_watches()
 
     def set_instances(self, instances: InstanceList) -> None:
         """Replace the instance list; readers see it after the lag."""
@@ -149,11 +149,11 @@
         self._instance_samples.append(sample)
 
     def compact(self) -> None:
-        """Forget all past changes, so that older watches get 410."""
+        """Drop all past changes, so that older watches get 410."""
         self._trim_log(0)
 
     def state(self) -> PlatformState:
-        """Return what a test can read."""
+        """Return the state for a test to read."""
         self._apply_due_writes()
         return PlatformState(
             revision=self._revision,
@@ -186,7 +186,7 @@
         return found
 
     async def list(self, kinds: Collection[str]) -> ObjectList:
-        """Return all objects of some kinds."""
+        """Return all objects of the given kinds."""
         await self._begin_read()
         revision = self._read_revision()
         objects = self._objects_at(revision).values()
@@ -233,7 +233,7 @@
     async def changes(
         self, kinds: Collection[str], *, after: int, wait_ms: float
     ) -> ChangeList:
-        """Wait for changes after a revision and return the newest of each.
+        """Wait for changes after a revision; return each object's latest version.
 
         Raises
         ------
@@ -252,7 +252,7 @@
         return found
 
     async def instances(self) -> InstanceList:
-        """Return the instance list as it was before the lag."""
+        """Return the instance list as of ``instance_lag_ms`` ago."""
         await self._begin_read()
         visible_ms = self._clock.now_ms() - self._faults.instance_lag_ms
         samples = self._instance_samples
@@ -262,65 +262,65 @@
 
     async def _begin_read(self) -> None:
         await self._check_outage()
-        if not self._reads.take(self._faults.reads_per_second_limit):
-            raise self._refused(HTTPStatus.TOO_MANY_REQUESTS)
-        await self._slow_down()
+        if not self._reads.try_acquire(self._faults.reads_per_second_limit):
+            raise self._rejection(HTTPStatus.TOO_MANY_REQUESTS)
+        await self._delay()
 
     async def _end_call(self) -> None:
-        await self._slow_down()
+        await self._delay()
         await self._check_outage()
 
-    async def _slow_down(self) -> None:
+    async def _delay(self) -> None:
         await self._clock.sleep_ms(self._faults.slow_ms / 2)
         self._apply_due_writes()
 
     async def _check_outage(self) -> None:
         if self._faults.outage is Outage.REFUSE:
-            raise self._answer_lost()
+            raise self._lose_answer()
         if self._faults.outage is Outage.HANG:
             await trio.sleep_forever()
 
     async def _write(self, write: _Write) -> int:
         await self._check_outage()
-        if not self._writes.take(self._faults.writes_per_second_limit):
-            raise self._refused(HTTPStatus.TOO_MANY_REQUESTS)
+        if not self._writes.try_acquire(self._faults.writes_per_second_limit):
+            raise self._rejection(HTTPStatus.TOO_MANY_REQUESTS)
         if len(msgspec.json.encode(write.value)) > VALUE_LIMIT_BYTES:
-            raise self._refused(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        await self._slow_down()
-        if self._hits(self._faults.lose_requests_fraction):
-            raise self._answer_lost()
-        if self._hits(self._faults.late_writes_fraction):
-            self._postpone(write)
-            raise self._answer_lost()
-        lost = self._hits(self._faults.lose_answers_fraction)
+            raise self._rejection(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        await self._delay()
+        if self._fault_applies(self._faults.lose_requests_fraction):
+            raise self._lose_answer()
+        if self._fault_applies(self._faults.late_writes_fraction):
+            self._schedule_late_write(write)
+            raise self._lose_answer()
+        lost = self._fault_applies(self._faults.lose_answers_fraction)
         try:
             version = self._apply(write)
         except PlatformRefused:
             if lost:
-                raise self._answer_lost() from None
+                raise self._lose_answer() from None
             raise
         await self._end_call()
         if lost:
-            raise self._answer_lost()
+            raise self._lose_answer()
         return version
 
-    def _hits(self, fraction: float) -> bool:
+    def _fault_applies(self, fraction: float) -> bool:
         return self._random.random() < fraction
 
-    def _answer_lost(self) -> AnswerLost:
+    def _lose_answer(self) -> AnswerLost:
         self._lost += 1
         return AnswerLost()
 
-    def _refused(
+    def _rejection(
         self, status: HTTPStatus, version: int | None = None
     ) -> PlatformRefused:
         return PlatformRefused(status, version, self._revision)
 
-    def _postpone(self, write: _Write) -> None:
+    def _schedule_late_write(self, write: _Write) -> None:
         due_ms = self._clock.now_ms() + self._faults.late_write_ms
         self._late_count += 1
         heapq.heappush(self._late_writes, _LateWrite(due_ms, self._late_count, write))
-        self._wake()  # the watches wait no longer than for this write
+        self._notify_watches()  # watches now wait at most until this write
 
     def _apply_due_writes(self) -> None:
         now_ms = self._clock.now_ms()
@@ -328,20 +328,20 @@
             try:
                 self._apply(heapq.heappop(self._late_writes).write)
             except PlatformRefused:
-                continue  # nobody waits for the answer
+                continue  # no caller waits for the response
 
     def _apply(self, write: _Write) -> int:
         current = self._objects.get(write.key)
         current_version = None if current is None else current.version
         if current_version != write.if_version:
-            raise self._refused(HTTPStatus.PRECONDITION_FAILED, current_version)
+            raise self._rejection(HTTPStatus.PRECONDITION_FAILED, current_version)
         self._revision += 1
         key = write.key
         stored = StoredObject(key.kind, key.name, self._revision, write.value)
         _store(self._objects, stored)
         self._log.append(stored)
         self._trim_log(self._log_limit)
-        self._wake()
+        self._notify_watches()
         return self._revision
 
     def _trim_log(self, limit: int) -> None:
@@ -350,7 +350,7 @@
             _store(self._base, oldest)
             self._base_revision = oldest.version
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
@@ -374,14 +374,14 @@
             await self._check_outage()
             self._apply_due_writes()
             if after < self._base_revision:
-                raise self._refused(HTTPStatus.GONE)
+                raise self._rejection(HTTPStatus.GONE)
             found = self._changes_after(kinds, after)
-            left_ms = end_ms - self._clock.now_ms()
-            if found.objects or left_ms <= 0:
+            remaining_ms = end_ms - self._clock.now_ms()
+            if found.objects or remaining_ms <= 0:
                 return found
-            await self._wait_for_wake(left_ms)
+            await self._wait_for_change(remaining_ms)
 
-    async def _wait_for_wake(self, duration_ms: float) -> None:
+    async def _wait_for_change(self, duration_ms: float) -> None:
         if self._late_writes:
             due_ms = self._late_writes[0].due_ms
             duration_ms = min(duration_ms, due_ms - self._clock.now_ms())
--- a/ibisfront/testing/platform_types.py
+++ b/ibisfront/testing/platform_types.py
@@ -1,4 +1,4 @@
-"""The objects, faults, counts and errors of the platform's stand-in."""
+"""Objects, faults, counts and errors of the fake platform."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Outage(StrEnum):
-    """How the platform is down, if it is."""
+    """Kind of platform outage."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -33,7 +33,7 @@
 
 
 class InstanceState(StrEnum):
-    """What the platform says of an instance."""
+    """State of an instance in the instance list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -47,9 +47,9 @@
     name, zone : str
         The instance and its availability zone.
     peer_address, admin_address : str
-        Where it listens, as ``HOST:PORT``.
+        Listening addresses as ``HOST:PORT``.
     state : InstanceState
-        Whether it is leaving.
+        Whether the instance is leaving.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of ``/instances``, read and steered.
+    """The body of ``/instances`` and of ``/control/instances``.
 
     Attributes
     ----------
@@ -81,14 +81,14 @@
 
 
 class ObjectList(msgspec.Struct, frozen=True):
-    """All objects of some kinds, as of one revision."""
+    """All objects of the requested kinds, as of one revision."""
 
     revision: int
     objects: list[StoredObject]
 
 
 class ChangeList(msgspec.Struct, frozen=True):
-    """The newest version of each changed object, and the revision reached."""
+    """The latest version of each changed object, and the latest revision."""
 
     revision: int
     objects: list[StoredObject]
@@ -100,24 +100,25 @@
     Attributes
     ----------
     outage : Outage
-        ``refuse`` resets connections and refuses new ones; ``hang`` never
-        answers.
+        ``refuse`` resets connections and refuses new ones; under ``hang``
+        calls get no response.
     slow_ms : float
-        Added to each call, half before its effect and half after.
+        Delay added to each call, half before its effect and half after.
     lose_requests_fraction : float
-        The share of writes that are lost before they take effect.
+        The fraction of writes that are lost before they take effect.
     lose_answers_fraction : float
-        The share of writes that take effect and whose answers are lost.
+        The fraction of writes that take effect but whose responses are lost.
     late_writes_fraction : float
-        The share of writes that take effect later, their answers lost at once.
+        The fraction of writes that take effect later; their responses are lost
+        immediately.
     late_write_ms : float
-        How much later they do.
+        Delay of the late writes.
     stale_revisions : int
-        How many revisions behind a get or list is served.
+        Number of revisions by which a get or list is behind.
     instance_lag_ms : float
-        How old the instance list is.
+        Age of the instance list.
     reads_per_second_limit, writes_per_second_limit : int or None
-        The rates over which calls are refused.
+        Rate limits above which calls are rejected.
     """
 
     outage: Outage = Outage.NONE
@@ -133,24 +134,24 @@
 
 
 class PlatformState(msgspec.Struct, frozen=True):
-    """What a test can read of the platform.
+    """State of the platform for a test to read.
 
     Attributes
     ----------
     revision, oldest_revision : int
-        The newest revision, and the oldest that a watch may start after.
+        The latest revision, and the oldest that a watch may start after.
     objects : int
-        The objects that exist.
+        Number of objects.
     reads, writes : RateCount
         The calls; a watch counts as one read.
     watches_total, watches_waiting, watches_waiting_peak : int
-        The watches since the start, and those that wait, now and at most.
+        Watches since the start, and waiting watches: current and peak.
     lost : int
-        The calls whose answers were lost.
+        Calls whose responses were lost.
     late_pending : int
-        The late writes that have not taken effect yet.
+        Late writes that have not taken effect yet.
     faults : PlatformFaults
-        The faults as set.
+        The active faults.
     """
 
     revision: int
@@ -167,7 +168,7 @@
 
 
 class PlatformRefused(Exception):
-    """The platform refused a call, which had no effect.
+    """The platform rejected a call, which had no effect.
 
     Parameters
     ----------
@@ -187,4 +188,4 @@
 
 
 class AnswerLost(Exception):
-    """The call's answer was lost; a write may have taken effect."""
+    """The response to a call was lost; a write may have taken effect."""
--- a/ibisfront/testing/soak/backends.py
+++ b/ibisfront/testing/soak/backends.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
-    from ibisfront.testing.object_store import StandInStore
+    from ibisfront.testing.object_store import FakeObjectStore
 
 __all__ = ["SoakBackend", "SoakBackends"]
 
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    store : StandInStore
+    store : FakeObjectStore
         Where they are listed.
     clock : Clock
         The soak's clock.
@@ -46,7 +46,7 @@
         The ids of those that were drained or are gone.
     """
 
-    def __init__(self, store: StandInStore, *, clock: Clock) -> None:
+    def __init__(self, store: FakeObjectStore, *, clock: Clock) -> None:
         self._store = store
         self._clock = clock
         self._all: dict[str, SoakBackend] = {}
--- a/ibisfront/testing/soak/world.py
+++ b/ibisfront/testing/soak/world.py
@@ -10,7 +10,7 @@
 import trio
 
 from ibisfront.core.clock import Clock
-from ibisfront.testing.object_store import StandInStore
+from ibisfront.testing.object_store import FakeObjectStore
 from ibisfront.testing.soak.backends import SoakBackend, SoakBackends
 from ibisfront.testing.soak.callers import Outcome, RequestPath, SoakCaller
 from ibisfront.testing.soak.checks import (
@@ -99,7 +99,7 @@
         self._seed = seed
         self._length_s = length_s
         self._clock = Clock()
-        self._store = StandInStore()
+        self._store = FakeObjectStore()
         self.fronts = [SoakFront(number, folder) for number in range(fronts)]
         self._callers = [
             SoakCaller(f"s{seed}c{number}", clock=self._clock)
@@ -262,17 +262,17 @@
     async def _hit_store(self, fault: Fault) -> None:
         store = self._store
         if fault.kind is FaultKind.STORE_FORGETS:
-            store.forget_history()
+            store.compact()
         elif fault.kind is FaultKind.STORE_LOSES:
-            store.loses_writes += 1
+            store.lost_write_responses += 1
         elif fault.kind is FaultKind.STORE_SILENT:
             store.is_silent = True
             await trio.sleep(fault.for_s)
             store.is_silent = False
         else:
-            store.refuses_with = 503 if fault.variant % 2 else 429
+            store.error_status = 503 if fault.variant % 2 else 429
             await trio.sleep(fault.for_s)
-            store.refuses_with = 0
+            store.error_status = 0
 
     async def _hit_server(self, fault: Fault, nursery: trio.Nursery) -> None:
         backend = self._backends.live(fault.target)
--- a/ibisfront/tests/test_platform_store.py
+++ b/ibisfront/tests/test_platform_store.py
@@ -13,7 +13,7 @@
 from ibisfront.gateway.state.store import StoreError, StoreErrorKind
 from ibisfront.platform.documents import configuration_from, server_entry_from
 from ibisfront.platform.store import PlatformDirectory, PlatformKindClient
-from ibisfront.testing.object_store import StandInStore
+from ibisfront.testing.object_store import FakeObjectStore
 from ibisfront.tests import trio_test_real_clock
 
 
@@ -54,7 +54,7 @@
 
     @trio_test_real_clock
     async def test_list_reads_all_pages(self):
-        store = StandInStore()
+        store = FakeObjectStore()
         store.page = 3
         for number in range(8):
             store.put("servers", f"s/{number}", {"n": number})
@@ -64,7 +64,7 @@
 
     @trio_test_real_clock
     async def test_watch_returns_changes_and_removals(self):
-        store = StandInStore()
+        store = FakeObjectStore()
         store.put("servers", "a", 1)
         async with store.running():
             client = client_of(store)
@@ -85,7 +85,7 @@
         The list of all servers is decoded as one answer, which is then not valid
         JSON.
         """
-        store = StandInStore()
+        store = FakeObjectStore()
         store.put("servers", "a", {"n": 1})
         for number, value in enumerate((float("nan"), "\udc00", "\ud800")):
             store.put("servers", f"odd-{number}", {"n": value})
@@ -106,13 +106,13 @@
 
     @trio_test_real_clock
     async def test_dropped_history_is_a_distinct_error(self):
-        store = StandInStore()
+        store = FakeObjectStore()
         store.put("servers", "a", 1)
         async with store.running():
             client = client_of(store)
             listing = await client.list_all()
             store.put("servers", "b", 1)
-            store.forget_history()
+            store.compact()
             with self.assertRaises(StoreError) as caught:
                 await client.watch(listing.revision - 1)
         self.assertIs(caught.exception.kind, StoreErrorKind.HISTORY_GONE)
@@ -129,7 +129,7 @@
         history is dropped and the watch fails. A new list must show it, and must
         not be marked as following an outage.
         """
-        store, recorder = StandInStore(), RecordingTarget()
+        store, recorder = FakeObjectStore(), RecordingTarget()
         store.put("servers", "a", 1)
         store.put("servers", "b", 1)
         async with store.running(), trio.open_nursery() as nursery:
@@ -140,14 +140,14 @@
             await recorder.until({"a", "b"})
             store._objects["servers"].pop("b")
             store._revision += 1
-            store.forget_history()
+            store.compact()
             await recorder.until({"a"})
             nursery.cancel_scope.cancel()
         self.assertEqual(recorder.lists, [False, False])
 
     @trio_test_real_clock
     async def test_list_after_an_outage_is_marked(self):
-        store, recorder = StandInStore(), RecordingTarget()
+        store, recorder = FakeObjectStore(), RecordingTarget()
         store.put("servers", "a", 1)
         async with store.running(), trio.open_nursery() as nursery:
             client = client_of(store)
@@ -155,10 +155,10 @@
                 lambda: watch_kind(client, recorder.target(), clock=Clock())
             )
             await recorder.until({"a"})
-            store.refuses_with = 503
+            store.error_status = 503
             await trio.sleep(0.5)
             store.put("servers", "b", 1)
-            store.refuses_with = 0
+            store.error_status = 0
             await recorder.until({"a", "b"})
             nursery.cancel_scope.cancel()
         self.assertEqual(recorder.lists, [False, True])
@@ -174,7 +174,7 @@
         Its previous entry still exists. A write with a revision is conditional,
         and would be rejected each time.
         """
-        store = StandInStore()
+        store = FakeObjectStore()
         async with store.running():
             directory = PlatformDirectory(store.address)
             await directory.register(InstanceEntry("i1", "z1", "10.0.0.1:1"))
@@ -185,8 +185,8 @@
 
     @trio_test_real_clock
     async def test_lost_answer_is_an_error_and_the_retry_succeeds(self):
-        store = StandInStore()
-        store.loses_writes = 1
+        store = FakeObjectStore()
+        store.lost_write_responses = 1
         async with store.running():
             directory = PlatformDirectory(store.address)
             entry = InstanceEntry("i1", "z1", "10.0.0.1:1")
--- a/ibisfront/tests/test_testing_platform.py
+++ b/ibisfront/tests/test_testing_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's stand-in."""
+"""Tests of the fake platform."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class PlatformCase(unittest.TestCase):
-    """Assertions on refusals."""
+    """Assertions on rejections."""
 
-    async def assert_refused(self, status, call):
-        """Await a call that must be refused, and return the refusal."""
+    async def assert_rejected(self, status, call):
+        """Await a call that must be rejected, and return the rejection."""
         with self.assertRaises(PlatformRefused) as caught:
             await call
         self.assertEqual(caught.exception.status, status)
@@ -62,14 +62,14 @@
     async def test_failed_conditions_change_nothing(self):
         platform = FakePlatform()
         await platform.put("table", "main", 1, if_version=None)
-        refused = await self.assert_refused(
+        rejection = await self.assert_rejected(
             412, platform.put("table", "main", 2, if_version=None)
         )
-        self.assertEqual(refused.version, 1)
-        refused = await self.assert_refused(
+        self.assertEqual(rejection.version, 1)
+        rejection = await self.assert_rejected(
             412, platform.delete("table", "other", if_version=1)
         )
-        self.assertIsNone(refused.version)
+        self.assertIsNone(rejection.version)
         self.assertEqual((await platform.get("table", "main")).value, 1)
         self.assertEqual(platform.state().revision, 1)
 
@@ -78,8 +78,8 @@
         platform = FakePlatform()
         await platform.put("table", "main", 1, if_version=None)
         self.assertEqual(await platform.delete("table", "main", if_version=1), 2)
-        refused = await self.assert_refused(404, platform.get("table", "main"))
-        self.assertEqual(refused.revision, 2)
+        rejection = await self.assert_rejected(404, platform.get("table", "main"))
+        self.assertEqual(rejection.revision, 2)
         self.assertEqual(await platform.put("table", "main", 2, if_version=None), 3)
 
     @trio_test
@@ -87,7 +87,7 @@
         platform = FakePlatform()
         fits = "x" * (VALUE_LIMIT_BYTES - 2)  # two quotation marks
         await platform.put("ledger", "a", fits, if_version=None)
-        await self.assert_refused(
+        await self.assert_rejected(
             413, platform.put("ledger", "b", fits + "x", if_version=None)
         )
 
@@ -134,15 +134,15 @@
         self.assertEqual((state.watches_waiting, state.watches_waiting_peak), (0, 1))
 
     @trio_test
-    async def test_too_old(self):
+    async def test_compacted_revision_is_gone(self):
         platform = FakePlatform(log_limit_objects=2)
         for name in ("a", "b", "c"):
             await platform.put("service", name, 1, if_version=None)
-        await self.assert_refused(410, platform.changes("service", after=0, wait_ms=0))
+        await self.assert_rejected(410, platform.changes("service", after=0, wait_ms=0))
         changes = await platform.changes(["service"], after=1, wait_ms=0)
         self.assertEqual([item.name for item in changes.objects], ["b", "c"])
         platform.compact()
-        await self.assert_refused(410, platform.changes("service", after=2, wait_ms=0))
+        await self.assert_rejected(410, platform.changes("service", after=2, wait_ms=0))
 
 
 class TestPlatformFaults(PlatformCase):
@@ -153,7 +153,9 @@
         platform = FakePlatform()
         platform.set_faults(PlatformFaults(writes_per_second_limit=1))
         await platform.put("service", "a", 1, if_version=None)
-        await self.assert_refused(429, platform.put("service", "b", 1, if_version=None))
+        await self.assert_rejected(
+            429, platform.put("service", "b", 1, if_version=None)
+        )
         await trio.sleep(1)
         self.assertEqual(await platform.put("service", "b", 1, if_version=None), 2)
         writes = platform.state().writes
@@ -175,7 +177,7 @@
         with self.assertRaises(AnswerLost):
             await platform.get("service", "a")
         platform.set_faults(PlatformFaults())
-        await self.assert_refused(404, platform.get("service", "a"))
+        await self.assert_rejected(404, platform.get("service", "a"))
 
     @trio_test
     async def test_hanging_outage(self):
@@ -187,7 +189,7 @@
         self.assertEqual(platform.state().revision, 0)
 
     @trio_test
-    async def test_slow_call_given_up_after_its_effect(self):
+    async def test_slow_call_cancelled_after_its_effect(self):
         platform = FakePlatform()
         platform.set_faults(PlatformFaults(slow_ms=1000))
         with trio.move_on_after(0.75) as scope:
@@ -196,7 +198,7 @@
         self.assertEqual(platform.state().revision, 1)
 
     @trio_test
-    async def test_lost_request_and_lost_answer(self):
+    async def test_lost_request_and_lost_response(self):
         platform = FakePlatform()
         platform.set_faults(PlatformFaults(lose_requests_fraction=1))
         with self.assertRaises(AnswerLost):
@@ -216,14 +218,14 @@
         platform.set_faults(PlatformFaults(late_writes_fraction=1, late_write_ms=2000))
         with self.assertRaises(AnswerLost):
             await platform.put("service", "a", 1, if_version=None)
-        await self.assert_refused(404, platform.get("service", "a"))
+        await self.assert_rejected(404, platform.get("service", "a"))
         self.assertEqual(platform.state().late_pending, 1)
         changes = await platform.changes(["service"], after=0, wait_ms=60_000)
         self.assertEqual([item.name for item in changes.objects], ["a"])
         self.assertEqual(trio.current_time(), 2)
 
     @trio_test
-    async def test_late_write_loses_to_a_newer_one(self):
+    async def test_late_write_conflicts_with_newer_write(self):
         platform = FakePlatform()
         platform.set_faults(PlatformFaults(late_writes_fraction=1, late_write_ms=2000))
         with self.assertRaises(AnswerLost):
@@ -259,107 +261,117 @@
 
 @asynccontextmanager
 async def open_platform():
-    """Serve a platform and yield its face and a client."""
-    face = PlatformServer(FakePlatform())
+    """Serve a fake platform and yield it and a client."""
+    platform_server = PlatformServer(FakePlatform())
     async with trio.open_nursery() as nursery, httpcore.AsyncConnectionPool() as pool:
-        await nursery.start(face.server.run, LOOPBACK, 0)
-        await nursery.start(face.control.run, LOOPBACK, 0)
-        yield face, pool
+        await nursery.start(platform_server.server.run, LOOPBACK, 0)
+        await nursery.start(platform_server.control.run, LOOPBACK, 0)
+        yield platform_server, pool
         nursery.cancel_scope.cancel()
 
 
-async def put(face, pool, name, value, **headers):
+async def put(platform_server, pool, name, value, **headers):
     """Put a service object over HTTP and return the response."""
     fields = {key.replace("_", "-"): field for key, field in headers.items()}
-    url = f"http://{face.server.address}/objects/service/{name}"
+    url = f"http://{platform_server.server.address}/objects/service/{name}"
     content = msgspec.json.encode(value)
     return await pool.request("PUT", url, headers=fields, content=content)
 
 
-async def get(face, pool, target):
+async def get(platform_server, pool, target):
     """Get from the object API and return the response."""
-    return await pool.request("GET", f"http://{face.server.address}/{target}")
+    return await pool.request(
+        "GET", f"http://{platform_server.server.address}/{target}"
+    )
 
 
-async def control(face, pool, command, content):
-    """Post to the control and return the response."""
-    url = f"http://{face.control.address}/control/{command}"
+async def control(platform_server, pool, command, content):
+    """Post to the control API and return the response."""
+    url = f"http://{platform_server.control.address}/control/{command}"
     return await pool.request("POST", url, content=msgspec.json.encode(content))
 
 
 class TestPlatformOverHttp(unittest.TestCase):
     """The platform over loopback sockets."""
 
-    def assert_answer(self, response, status, body):
+    def assert_response(self, response, status, body):
         self.assertEqual(response.status, status)
         self.assertEqual(msgspec.json.decode(response.content), body)
 
     @trio_test_real_clock
     async def test_put_and_get(self):
-        async with open_platform() as (face, pool):
-            response = await put(face, pool, "a%20b", {"n": 1}, if_none_match="*")
-            self.assert_answer(response, 200, {"version": 1})
-            response = await get(face, pool, "objects/service/a%20b")
+        async with open_platform() as (platform_server, pool):
+            response = await put(
+                platform_server, pool, "a%20b", {"n": 1}, if_none_match="*"
+            )
+            self.assert_response(response, 200, {"version": 1})
+            response = await get(platform_server, pool, "objects/service/a%20b")
             stored = {"kind": "service", "name": "a b", "version": 1, "value": {"n": 1}}
-            self.assert_answer(response, 200, stored)
-            response = await get(face, pool, "objects?kinds=table,service")
-            self.assert_answer(response, 200, {"revision": 1, "objects": [stored]})
-            response = await get(face, pool, "changes?kinds=service&after=0&wait_ms=9")
-            self.assert_answer(response, 200, {"revision": 1, "objects": [stored]})
-            self.assertEqual(face.server.counts.accepted, 1)
+            self.assert_response(response, 200, stored)
+            response = await get(platform_server, pool, "objects?kinds=table,service")
+            self.assert_response(response, 200, {"revision": 1, "objects": [stored]})
+            response = await get(
+                platform_server, pool, "changes?kinds=service&after=0&wait_ms=9"
+            )
+            self.assert_response(response, 200, {"revision": 1, "objects": [stored]})
+            self.assertEqual(platform_server.server.counts.accepted, 1)
 
     @trio_test_real_clock
-    async def test_refusals(self):
-        async with open_platform() as (face, pool):
-            response = await get(face, pool, "objects/service/a")
-            self.assert_answer(response, 404, {"revision": 0})
-            response = await put(face, pool, "a", 1)
+    async def test_rejections(self):
+        async with open_platform() as (platform_server, pool):
+            response = await get(platform_server, pool, "objects/service/a")
+            self.assert_response(response, 404, {"revision": 0})
+            response = await put(platform_server, pool, "a", 1)
             self.assertEqual(response.status, 428)
-            response = await put(face, pool, "a", 1, if_match='"7"')
-            self.assert_answer(response, 412, {"version": None})
+            response = await put(platform_server, pool, "a", 1, if_match='"7"')
+            self.assert_response(response, 412, {"version": None})
             large = "x" * VALUE_LIMIT_BYTES
-            response = await put(face, pool, "a", large, if_none_match="*")
+            response = await put(platform_server, pool, "a", large, if_none_match="*")
             self.assertEqual(response.status, 413)
-            response = await put(face, pool, "a", None, if_none_match="*")
+            response = await put(platform_server, pool, "a", None, if_none_match="*")
             self.assertEqual(response.status, 400)
-            await put(face, pool, "a", 1, if_none_match="*")
-            await control(face, pool, "compact", {})
-            response = await get(face, pool, "changes?kinds=service&after=0&wait_ms=0")
+            await put(platform_server, pool, "a", 1, if_none_match="*")
+            await control(platform_server, pool, "compact", {})
+            response = await get(
+                platform_server, pool, "changes?kinds=service&after=0&wait_ms=0"
+            )
             self.assertEqual(response.status, 410)
 
     @trio_test_real_clock
     async def test_delete(self):
-        async with open_platform() as (face, pool):
-            await put(face, pool, "a", 1, if_none_match="*")
-            url = f"http://{face.server.address}/objects/service/a"
+        async with open_platform() as (platform_server, pool):
+            await put(platform_server, pool, "a", 1, if_none_match="*")
+            url = f"http://{platform_server.server.address}/objects/service/a"
             response = await pool.request("DELETE", url)
             self.assertEqual(response.status, 428)
             response = await pool.request("DELETE", url, headers={"If-Match": '"1"'})
-            self.assert_answer(response, 200, {"version": 2})
+            self.assert_response(response, 200, {"version": 2})
 
     @trio_test_real_clock
-    async def test_lost_answer_closes_the_connection(self):
-        async with open_platform() as (face, pool):
-            await control(face, pool, "faults", {"lose_answers_fraction": 1.0})
+    async def test_lost_response_closes_the_connection(self):
+        async with open_platform() as (platform_server, pool):
+            await control(
+                platform_server, pool, "faults", {"lose_answers_fraction": 1.0}
+            )
             with self.assertRaises(httpcore.RemoteProtocolError):
-                await put(face, pool, "a", 1, if_none_match="*")
-            response = await get(face, pool, "objects/service/a")
+                await put(platform_server, pool, "a", 1, if_none_match="*")
+            response = await get(platform_server, pool, "objects/service/a")
             self.assertEqual(response.status, 200)
 
     @trio_test_real_clock
     async def test_refusing_outage_and_recovery(self):
-        async with open_platform() as (face, pool):
-            await get(face, pool, "instances")
-            await control(face, pool, "faults", {"outage": "refuse"})
+        async with open_platform() as (platform_server, pool):
+            await get(platform_server, pool, "instances")
+            await control(platform_server, pool, "faults", {"outage": "refuse"})
             with self.assertRaises(httpcore.NetworkError):
-                while True:  # the reset of the idle connection may come late
-                    await get(face, pool, "instances")
+                while True:  # the reset of the idle connection may be delayed
+                    await get(platform_server, pool, "instances")
             with self.assertRaises(httpcore.ConnectError):
-                await get(face, pool, "instances")
-            await control(face, pool, "faults", {"outage": "none"})
+                await get(platform_server, pool, "instances")
+            await control(platform_server, pool, "faults", {"outage": "none"})
             while True:
                 try:
-                    response = await get(face, pool, "instances")
+                    response = await get(platform_server, pool, "instances")
                 except httpcore.ConnectError:
                     continue  # not listening again yet
                 break
@@ -367,23 +379,29 @@
 
     @trio_test_real_clock
     async def test_hanging_outage_and_recovery(self):
-        async with open_platform() as (face, pool):
-            await control(face, pool, "faults", {"outage": "hang"})
+        async with open_platform() as (platform_server, pool):
+            await control(platform_server, pool, "faults", {"outage": "hang"})
             with trio.move_on_after(SILENCE_SECONDS) as scope:
-                await get(face, pool, "instances")
+                await get(platform_server, pool, "instances")
             self.assertTrue(scope.cancelled_caught)
-            await control(face, pool, "faults", {"outage": "none"})
-            self.assertEqual((await get(face, pool, "instances")).status, 200)
+            await control(platform_server, pool, "faults", {"outage": "none"})
+            self.assertEqual(
+                (await get(platform_server, pool, "instances")).status, 200
+            )
 
     @trio_test_real_clock
-    async def test_steering(self):
-        async with open_platform() as (face, pool):
+    async def test_control(self):
+        async with open_platform() as (platform_server, pool):
             listed = msgspec.to_builtins(INSTANCES)
-            await control(face, pool, "instances", listed)
-            self.assert_answer(await get(face, pool, "instances"), 200, listed)
-            await control(face, pool, "faults", {"slow_ms": 1.0})
-            response = await control(face, pool, "faults", {"stale_revisions": 1})
+            await control(platform_server, pool, "instances", listed)
+            self.assert_response(
+                await get(platform_server, pool, "instances"), 200, listed
+            )
+            await control(platform_server, pool, "faults", {"slow_ms": 1.0})
+            response = await control(
+                platform_server, pool, "faults", {"stale_revisions": 1}
+            )
             faults = msgspec.json.decode(response.content)["faults"]
             self.assertEqual((faults["slow_ms"], faults["stale_revisions"]), (1.0, 1))
-            response = await control(face, pool, "faults", {"slow": 1.0})
+            response = await control(platform_server, pool, "faults", {"slow": 1.0})
             self.assertEqual(response.status, 400)
