--- a/benchmarks/exchange_floor.py
+++ b/benchmarks/exchange_floor.py
@@ -177,7 +177,7 @@
 
 async def _measure_all(rounds: int) -> list[Way]:
     async with RunningProcess(["-m", "benchmarks.exchange_floor", "--serve"]) as child:
-        line = await child.printed(LISTENING)
+        line = await child.read_prefixed(LISTENING)
         host, _, port = line.strip().rpartition(":")
         return await measure((host, int(port)), rounds=rounds)
 
--- a/benchmarks/fanout_cost.py
+++ b/benchmarks/fanout_cost.py
@@ -186,7 +186,7 @@
             arguments += ["--accept-ms", "0", "--service-median-ms", "0.5"]
             process = await stack.enter_async_context(RunningProcess(arguments))
             for name in part:
-                line = await process.printed(LISTENING)
+                line = await process.read_prefixed(LISTENING)
                 addresses[name] = line.split()[0]
         yield addresses
 
--- a/benchmarks/gather_cost.py
+++ b/benchmarks/gather_cost.py
@@ -188,7 +188,7 @@
 async def _run() -> None:
     command = ["-m", "benchmarks.gather_cost", "--serve"]
     async with RunningProcess(command) as servers:
-        address = await servers.printed(LISTENING)
+        address = await servers.read_prefixed(LISTENING)
         for fanout in FANOUTS:
             spent_us = await measure(address, fanout)
             sys.stdout.write(f"fan-out {fanout}: {spent_us:.0f} us a sub-request\n")
--- a/benchmarks/runner.py
+++ b/benchmarks/runner.py
@@ -82,7 +82,7 @@
     ):
         nursery.start_soon(scenario.fault, deployment)
         with trio.fail_after(scenario.duration_s + _AFTER_LOAD_S):
-            printed = await load.printed(_RESULT)
+            printed = await load.read_prefixed(_RESULT)
     return msgspec.json.decode(_RESULT + printed, type=LoadResult)
 
 
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -116,9 +116,9 @@
 
 async def _zone_cut(deployment: Deployment) -> None:
     await trio.sleep(_FAULT_AT_S)
-    await deployment.cut_zone(deployment.shape.zones[-1])
+    await deployment.partition_zone(deployment.shape.zones[-1])
     await trio.sleep(_FAULT_FOR_S)
-    await deployment.mend_cuts()
+    await deployment.heal_partitions()
 
 
 async def _crashing_request(deployment: Deployment) -> None:
--- a/ibisfront/testing/deployment.py
+++ b/ibisfront/testing/deployment.py
@@ -1,7 +1,8 @@
-"""A whole deployment on this machine: stand-ins and entry instances.
+"""A whole deployment on the local machine: fakes and entry instances.
 
-Used by the demo, the benchmarks and the tests of real processes. Each
-stand-in and each instance is a process of its own.
+Used by the demo, the benchmarks and the tests with real processes. The fake
+platform, each service's fake backend servers and each instance are separate
+processes.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
     address_of,
     reserve_address,
 )
-from ibisfront.testing.relay import Cut, Cuts, RelayAddress, RelayTarget
+from ibisfront.testing.relay import Partition, Partitions, RelayAddress, RelayTarget
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -52,8 +53,8 @@
     "register_shape",
 ]
 
-PLATFORM_PLACE = "platform"
-"""The platform's side of a cut."""
+PLATFORM_LOCATION = "platform"
+"""Location of the platform in a partition."""
 
 ADMIN_TOKEN = "token-of-the-test-deployment"
 _RELAY_PROCESSES = 4
@@ -73,21 +74,21 @@
     process: RunningProcess
 
     def url(self, path: str) -> str:
-        """Return a URL of the callers' listener."""
+        """Return a URL on the callers' listener."""
         return f"http://{self.caller_address}{path}"
 
     def admin_url(self, path: str) -> str:
-        """Return a URL of the operators' listener."""
+        """Return a URL on the operators' listener."""
         return f"http://{self.admin_address}{path}"
 
 
 class Deployment:
-    """Runs a deployment while its context is open.
+    """Runs a deployment while its context is active.
 
     Parameters
     ----------
     shape : DeploymentShape
-        What to start.
+        The processes and objects to start.
     """
 
     def __init__(self, shape: DeploymentShape) -> None:
@@ -99,7 +100,7 @@
         self.backend_controls: dict[str, str] = {}
         self.platform_address = ""
         self.platform_control = ""
-        self._platform_seen = ""
+        self._platform_relay_address = ""
         self.relay_controls: list[str] = []
         self._next_relay: Iterator[str] = iter(())
         self.folder = Path()
@@ -116,7 +117,7 @@
             async with trio.open_nursery() as nursery:
                 for service in self.shape.services:
                     nursery.start_soon(self._start_service, service)
-            await self._publish()
+            await self._publish_objects()
             async with trio.open_nursery() as nursery:
                 for number in range(self.shape.instances):
                     nursery.start_soon(self.start_instance, f"i{number + 1}")
@@ -164,30 +165,30 @@
         return await self.client.send(method, url, body=body, headers=headers)
 
     async def put_object(self, kind: str, name: str, value: object) -> None:
-        """Create or replace an object of the platform."""
+        """Create or replace an object on the platform."""
         url = f"http://{self.platform_address}/objects/{kind}/{name}"
-        known = await self.client.send("GET", url)
+        existing = await self.client.send("GET", url)
         headers = {"If-None-Match": "*"}
-        if known.status == 200:
-            version = known.decode(_Versioned).version
+        if existing.status == 200:
+            version = existing.decode(_ObjectVersion).version
             headers = {"If-Match": f'"{version}"'}
         reply = await self.client.send("PUT", url, body=value, headers=headers)
         if reply.status != 200:
             raise RuntimeError(f"PUT {url}: {reply.status} {reply.body!r}")
 
     async def set_platform_faults(self, **faults: object) -> None:
-        """Set fields of the platform's ``PlatformFaults``."""
+        """Update fields of the fake platform's ``PlatformFaults``."""
         await self._post(f"http://{self.platform_control}/control/faults", faults)
 
     async def command_backend(
         self, server: str, command: str, **fields: object
     ) -> None:
-        """Send a command to a backend server's stand-in, by its name.
+        """Send a command to the control API of a fake backend server.
 
         Parameters
         ----------
         server : str
-            Such as ``register-00-1``.
+            The server's name, such as ``register-00-1``.
         command : str
             ``faults``, ``snapshots``, ``silence``, ``reset``, ``crash`` or
             ``restart``.
@@ -198,22 +199,22 @@
         await self._post(f"http://{control}/control/servers/{server}/{command}", fields)
 
     async def backend_states(self) -> list[BackendState]:
-        """Return what every backend server's stand-in has counted."""
+        """Return the state of every fake backend server."""
         states: list[BackendState] = []
         for control in self.backend_controls.values():
             reply = await self.client.send("GET", f"http://{control}/control/servers")
-            states.extend(report.state for report in reply.decode(list[_Report]))
+            states.extend(report.state for report in reply.decode(list[_ServerReport]))
         return states
 
     async def performed(self, server: str) -> list[PerformRun]:
-        """Return each run of non-idempotent work at a backend server."""
+        """Return every run of a perform request at a backend server."""
         control = self.backend_controls[server.rpartition("-")[0]]
         url = f"http://{control}/control/servers/{server}/runs"
         reply = await self.client.send("GET", url)
-        return reply.decode(_Runs).performed
+        return reply.decode(_RunReport).performed
 
     async def start_instance(
-        self, name: str, *, like: InstanceProcess | None = None
+        self, name: str, *, predecessor: InstanceProcess | None = None
     ) -> InstanceProcess:
         """Start one more entry instance and wait until it is ready.
 
@@ -221,23 +222,26 @@
         ----------
         name : str
             ``i1``, ``i2`` and so on; the number decides the zone.
-        like : InstanceProcess, optional
-            An ended instance whose addresses the new one takes over.
+        predecessor : InstanceProcess, optional
+            A stopped instance whose addresses the new one reuses.
         """
         number = int(name.removeprefix("i")) - 1
         zone = self.shape.zones[number % len(self.shape.zones)]
-        if like is None:
-            host = self.place_of(zone)
+        if predecessor is None:
+            host = self.ip_of_zone(zone)
             caller, admin, peer = (self._reserve(host) for _ in range(3))
-            advertised = await self._relayed(peer, host)
+            advertised = await self._open_relay(peer, host)
         else:
-            caller, admin = like.caller_address, like.admin_address
-            peer, advertised = like.listening_peer_address, like.peer_address
+            caller, admin = predecessor.caller_address, predecessor.admin_address
+            peer, advertised = (
+                predecessor.listening_peer_address,
+                predecessor.peer_address,
+            )
         settings = self._settings(name, zone, caller, admin)
         settings["peers"] = {"address": peer}
         if advertised != peer:
             settings["peers"]["advertised_address"] = advertised
-            settings["instance"]["outgoing_ip"] = self.place_of(zone)
+            settings["instance"]["outgoing_ip"] = self.ip_of_zone(zone)
         path = self.folder / f"{name}.toml"
         path.write_text(tomli_w.dumps(settings) + "\n" + self.shape.settings_text)
         process = await self._stack.enter_async_context(
@@ -248,49 +252,49 @@
         )
         instance = InstanceProcess(name, zone, caller, admin, advertised, peer, process)
         self.instances.append(instance)
-        await self.announce_instances()
+        await self.publish_instances()
         await self.wait_ready(instance)
         return instance
 
     async def stop_instance(self, instance: InstanceProcess) -> int:
-        """Stop an instance in the planned way and return its exit code."""
+        """Stop an instance with SIGTERM and return its exit code."""
         instance.process.send(signal.SIGTERM)
         exit_code = await instance.process.wait()
         self.instances.remove(instance)
-        await self.announce_instances()
+        await self.publish_instances()
         return exit_code
 
     async def replace_instance(self, instance: InstanceProcess) -> InstanceProcess:
-        """Stop an instance and start one of its name and addresses."""
+        """Stop an instance and start one with the same name and addresses."""
         await self.stop_instance(instance)
-        return await self.start_instance(instance.name, like=instance)
+        return await self.start_instance(instance.name, predecessor=instance)
 
-    def place_of(self, zone: str) -> str:
-        """Return the IP that a zone's instances connect from."""
+    def ip_of_zone(self, zone: str) -> str:
+        """Return the IP from which a zone's instances connect."""
         if not self.shape.relayed:
             return LOOPBACK
         return f"127.0.{self.shape.zones.index(zone) + 1}.1"
 
-    async def cut_zone(self, zone: str, *, platform: bool = True) -> None:
-        """Cut a zone off from the other zones and from the platform."""
-        others = [self.place_of(other) for other in self.shape.zones if other != zone]
+    async def partition_zone(self, zone: str, *, platform: bool = True) -> None:
+        """Partition a zone from the other zones and, by default, the platform."""
+        others = [self.ip_of_zone(other) for other in self.shape.zones if other != zone]
         if platform:
-            others.append(PLATFORM_PLACE)
-        cuts = tuple(Cut(self.place_of(zone), other) for other in others)
-        await self._set_cuts(Cuts(cuts))
+            others.append(PLATFORM_LOCATION)
+        partitions = tuple(Partition(self.ip_of_zone(zone), other) for other in others)
+        await self._set_partitions(Partitions(partitions))
 
-    async def mend_cuts(self) -> None:
-        """End every cut."""
-        await self._set_cuts(Cuts())
+    async def heal_partitions(self) -> None:
+        """Heal all partitions."""
+        await self._set_partitions(Partitions())
 
-    async def _set_cuts(self, cuts: Cuts) -> None:
+    async def _set_partitions(self, partitions: Partitions) -> None:
         async with trio.open_nursery() as nursery:
             for control in self.relay_controls:
                 url = f"http://{control}/control/cuts"
-                nursery.start_soon(self._post, url, cuts)
+                nursery.start_soon(self._post, url, partitions)
 
-    async def announce_instances(self) -> None:
-        """Tell the platform stand-in which instances run."""
+    async def publish_instances(self) -> None:
+        """Publish the running instances to the fake platform."""
         entries = [
             _InstanceEntry(
                 instance.name,
@@ -305,7 +309,7 @@
         await self._post(url, _InstanceEntries(entries))
 
     async def wait_ready(self, instance: InstanceProcess) -> None:
-        """Wait until the balancer would send callers to an instance."""
+        """Wait until an instance reports that it is ready."""
         with trio.fail_after(_READY_TIMEOUT_S):
             while not await self._is_ready(instance):  # noqa: ASYNC110
                 await trio.sleep(_READY_POLL_S)
@@ -322,7 +326,7 @@
     async def _is_ready(self, instance: InstanceProcess) -> bool:
         if instance.process.exit_code is not None:
             log = (self.folder / f"{instance.name}.log").read_text()
-            raise RuntimeError(f"{instance.name} has ended: {log}")
+            raise RuntimeError(f"{instance.name} exited: {log}")
         try:
             reply = await self.client.send("GET", instance.url("/readyz"))
         except OSError:
@@ -337,9 +341,11 @@
         process = await self._stack.enter_async_context(
             RunningProcess(["-m", "ibisfront.testing.platform", "--port", "0"])
         )
-        self.platform_address = await process.printed(LISTENING)
-        self.platform_control = await process.printed(CONTROL)
-        self._platform_seen = await self._relayed(self.platform_address, PLATFORM_PLACE)
+        self.platform_address = await process.read_prefixed(LISTENING)
+        self.platform_control = await process.read_prefixed(CONTROL)
+        self._platform_relay_address = await self._open_relay(
+            self.platform_address, PLATFORM_LOCATION
+        )
 
     async def _start_service(self, service: ServiceShape) -> None:
         process = await self._stack.enter_async_context(
@@ -355,8 +361,8 @@
             )
         )
         self.backend_processes[service.name] = process
-        lines = [await process.printed(LISTENING) for _ in range(service.servers)]
-        self.backend_controls[service.name] = await process.printed(CONTROL)
+        lines = [await process.read_prefixed(LISTENING) for _ in range(service.servers)]
+        self.backend_controls[service.name] = await process.read_prefixed(CONTROL)
         self.backend_servers[service.name] = tuple(
             [
                 await self._backend_server(service.name, number, line.split()[0])
@@ -371,16 +377,16 @@
         zone = self.shape.zones[(first + number) % len(self.shape.zones)]
         return BackendServer(
             name=f"{service}-{number}",
-            address=await self._relayed(address, self.place_of(zone)),
+            address=await self._open_relay(address, self.ip_of_zone(zone)),
             zone=zone,
         )
 
     async def _start_relays(self) -> None:
-        """Start the relay processes; the targets are spread over them.
+        """Start the relay processes, which share the targets.
 
-        One process alone is busy for most of a benchmark's time. It then
-        holds bytes back for hundreds of milliseconds and longer, which shows
-        at the instances as silent connections and servers that time out.
+        A single process is saturated during most of a benchmark and delays
+        bytes by hundreds of milliseconds or more, which the instances see as
+        silent connections and server timeouts.
         """
         if not self.shape.relayed:
             return
@@ -388,18 +394,18 @@
             process = await self._stack.enter_async_context(
                 RunningProcess(["-m", "ibisfront.testing.relay"])
             )
-            self.relay_controls.append(await process.printed(CONTROL))
+            self.relay_controls.append(await process.read_prefixed(CONTROL))
         self._next_relay = itertools.cycle(self.relay_controls)
 
-    async def _relayed(self, address: str, place: str) -> str:
+    async def _open_relay(self, address: str, location: str) -> str:
         if not self.shape.relayed:
             return address
         url = f"http://{next(self._next_relay)}/control/relays"
-        target = RelayTarget(address, place)
+        target = RelayTarget(address, location)
         reply = await self.client.send("POST", url, body=target)
         return reply.decode(RelayAddress).address
 
-    async def _publish(self) -> None:
+    async def _publish_objects(self) -> None:
         for name, servers in self.backend_servers.items():
             await self.put_object("service", name, Service(servers))
         for index in self.shape.indexes:
@@ -416,21 +422,21 @@
             "instance": {"name": name, "zone": zone},
             "callers": {"address": caller},
             "admin": {"address": admin, "token": ADMIN_TOKEN},
-            "platform": {"address": self._platform_seen},
+            "platform": {"address": self._platform_relay_address},
             "stop": {"balancer_lag_ms": self.shape.balancer_lag_ms},
             "shares": {"join_ms": self.shape.join_ms},
         }
 
 
-class _Report(msgspec.Struct):
+class _ServerReport(msgspec.Struct):
     state: BackendState
 
 
-class _Runs(msgspec.Struct):
+class _RunReport(msgspec.Struct):
     performed: list[PerformRun]
 
 
-class _Versioned(msgspec.Struct):
+class _ObjectVersion(msgspec.Struct):
     version: int
 
 
--- a/ibisfront/testing/deployment_shape.py
+++ b/ibisfront/testing/deployment_shape.py
@@ -1,4 +1,4 @@
-"""What a deployment on this machine consists of."""
+"""Description of a deployment on the local machine."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     Attributes
     ----------
     name : str
-        The service.
+        The service's name.
     servers : int
-        How many backend servers; spread over the zones in turn, from another
-        zone for each service, so that every zone has its own.
+        Number of backend servers. They are assigned to the zones round-robin,
+        starting at another zone for each service, so that each zone has some.
     options : tuple of str
-        Further options of ``python -m ibisfront.testing.backend``.
+        Additional options of ``python -m ibisfront.testing.backend``.
     """
 
     name: str
@@ -37,26 +37,27 @@
 
 
 class DeploymentShape(msgspec.Struct, frozen=True):
-    """What to start.
+    """The processes and objects of a deployment.
 
     Attributes
     ----------
     services, indexes : tuple
-        The back end.
+        The services and indexes of the back end.
     table : Table
-        The first table.
+        The initial table.
     zones : tuple of str
         The availability zones.
     instances : int
-        How many entry instances; spread over the zones in turn.
+        Number of entry instances, assigned to the zones round-robin.
     settings_text : str
-        Further settings of every instance, as TOML.
+        Additional settings of every instance, as TOML.
     balancer_lag_ms : int
-        How long an instance accepts requests after its stop began.
+        How long a stopping instance still accepts requests.
     join_ms : int
         How long a new instance uses only shares that others grant it.
     relayed : bool
-        Whether all paths but the callers' pass a relay that can cut zones.
+        Whether all network paths except the callers' pass a relay that can
+        partition zones.
     """
 
     services: tuple[ServiceShape, ...]
@@ -71,14 +72,14 @@
 
 
 def register_shape(services: int = 3, *, instances: int = 3) -> DeploymentShape:
-    """Return a small register in the manner of a mailing house.
+    """Return a small deployment with one index and one perform service.
 
     Parameters
     ----------
     services : int
-        How many services hold the register.
+        Number of services that hold the index.
     instances : int
-        How many entry instances run.
+        Number of entry instances.
     """
     names = tuple(f"register-{number:02d}" for number in range(services))
     return DeploymentShape(
--- a/ibisfront/testing/processes.py
+++ b/ibisfront/testing/processes.py
@@ -1,4 +1,4 @@
-"""Starting and ending processes of this project, for tests, demo and bench."""
+"""Starts and ends processes of this project for tests, demo and benchmarks."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 LOOPBACK = "127.0.0.1"
 
 LISTENING = "listening "
-"""What a stand-in prints before each address that it listens on."""
+"""Prefix of the lines with which a process prints its listening addresses."""
 
 CONTROL = "control "
-"""What a stand-in prints before the address that steers its faults."""
+"""Prefix of the line with which a process prints its control API address."""
 
 _END_TIMEOUT_S = 5.0
 
 
 def free_address(host: str = LOOPBACK) -> str:
-    """Return an address that nothing listens on now; good for one refusal."""
+    """Return an address that nothing listens on, for tests of refused connections."""
     with closing(reserve_address(host)) as reserved:
         return address_of(reserved)
 
 
 def reserve_address(host: str = LOOPBACK) -> socket.socket:
-    """Return a socket bound to a port that the system has picked.
+    """Return a socket bound to a port picked by the system.
 
-    While it stays open, and does not listen, no outgoing connection is given
-    its port, and a process that sets ``SO_REUSEADDR`` can listen there. A
-    port that was merely probed and closed was at times taken by a connection
-    before the daemon bound it: the daemon then ended with "address in use".
+    While the socket is open and not listening, no outgoing connection gets its
+    port, and a process that sets ``SO_REUSEADDR`` can listen there. A port
+    that is only probed and closed can be taken by another connection before
+    the daemon binds it, which then fails with "address in use".
     """
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -64,18 +64,18 @@
 
 
 class RunningProcess:
-    """A child process; ended, by its id, when its context ends.
+    """A child process that is ended when its context exits.
 
     Parameters
     ----------
     arguments : sequence of str
-        What follows the Python interpreter.
+        Arguments of the Python interpreter.
     log_path : str, optional
-        Where its standard error goes; dropped if left out.
+        File for standard error, which is discarded by default.
     output_path : str, optional
-        Where its standard output goes; read by ``printed`` if left out.
+        File for standard output; by default ``read_prefixed`` reads it.
     environment : mapping, optional
-        Variables that are added to those of this process.
+        Variables added to those of this process.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End the process, gently at first."""
+        """End the process, with SIGTERM first."""
         with trio.CancelScope(shield=True):
             await self.end()
 
@@ -119,16 +119,16 @@
 
     @property
     def exit_code(self) -> int | None:
-        """How it ended; None while it runs."""
+        """The exit code; None while the process runs."""
         return self._started().poll()
 
-    async def printed(self, prefix: str) -> str:
-        """Return what follows a prefix on the next line printed with it.
+    async def read_prefixed(self, prefix: str) -> str:
+        """Return the rest of the next line of output that starts with a prefix.
 
         Raises
         ------
         RuntimeError
-            If the process ended first.
+            If the process ends first.
         """
         output = self._started().stdout
         assert output is not None
@@ -147,13 +147,13 @@
         self._started().send_signal(signal_number)
 
     async def wait(self) -> int:
-        """Wait until it ends and return how it ended."""
+        """Wait until the process ends and return its exit code."""
         return await trio.to_thread.run_sync(
             self._started().wait, abandon_on_cancel=True
         )
 
     async def end(self) -> None:
-        """End the process: resume it, ask, and kill it if it does not go."""
+        """Resume the process, terminate it, and kill it after a timeout."""
         process = self._started()
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
--- a/ibisfront/testing/relay.py
+++ b/ibisfront/testing/relay.py
@@ -1,10 +1,10 @@
-"""A TCP relay whose paths can be cut, so that zones lose each other.
+"""A TCP relay that can partition the network paths between zones.
 
 Run ``python -m ibisfront.testing.relay``. It prints ``control HOST:PORT``.
-``POST /control/relays`` with a :class:`RelayTarget` opens a listener before a
-target and answers its address; ``POST /control/cuts`` with :class:`Cuts`
-replaces the cuts. Over a cut path nothing is forwarded and nothing is closed,
-as when a network drops every packet.
+``POST /control/relays`` with a :class:`RelayTarget` opens a listener that
+forwards to a target, and returns its address; ``POST /control/cuts`` with
+:class:`Partitions` replaces the partitions. On a partitioned path nothing is
+forwarded or closed, as if the network dropped every packet.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ibisfront.testing.http_messages import Request, Response, json_response
 from ibisfront.testing.http_server import HttpServer
 
-__all__ = ["Cut", "Cuts", "Relay", "RelayAddress", "RelayTarget", "main"]
+__all__ = ["Partition", "Partitions", "Relay", "RelayAddress", "RelayTarget", "main"]
 
 LOOPBACK = "127.0.0.1"
 _CHUNK_BYTES = 65_536
@@ -28,14 +28,15 @@
 
 
 class RelayTarget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a relay listener stands before.
+    """Target that a relay listener forwards to.
 
     Attributes
     ----------
     address : str
         The target's ``HOST:PORT``.
     place : str
-        Where the target is; a source's place is the IP it connects from.
+        Location of the target; a client's location is the IP that it connects
+        from.
     """
 
     address: str
@@ -43,102 +44,104 @@
 
 
 class RelayAddress(msgspec.Struct, frozen=True):
-    """Where a relay listener listens."""
+    """Address of a relay listener."""
 
     address: str
 
 
-class Cut(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Two places between which nothing passes, either way."""
+class Partition(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Two locations that exchange no bytes, in either direction."""
 
     first: str
     second: str
 
-    def parts(self, one: str, other: str) -> bool:
-        """Return whether two places are on its two sides."""
-        return {one, other} == {self.first, self.second}
+    def separates(self, first: str, second: str) -> bool:
+        """Return whether the partition is between two locations."""
+        return {first, second} == {self.first, self.second}
 
 
-class Cuts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Every cut in force."""
+class Partitions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """All active partitions."""
 
-    cuts: tuple[Cut, ...] = ()
+    cuts: tuple[Partition, ...] = ()
 
 
 class Relay:
-    """Every relay listener of a process, and the cuts.
+    """All relay listeners of a process, and the active partitions.
 
     Parameters
     ----------
     nursery : trio.Nursery
-        Where listeners and connections run.
+        Runs the listeners and connections.
     """
 
-    __slots__ = ("_changed", "_cuts", "_nursery")
+    __slots__ = ("_changed", "_nursery", "_partitions")
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
-        self._cuts = Cuts()
+        self._partitions = Partitions()
         self._changed = trio.Event()
 
     async def open(self, target: RelayTarget) -> RelayAddress:
-        """Open a listener before a target."""
+        """Open a listener that forwards to a target."""
         (listener,) = await trio.open_tcp_listeners(0, host=LOOPBACK)
 
         async def connected(stream: trio.SocketStream) -> None:
-            await self._carry(stream, target)
+            await self._forward(stream, target)
 
         self._nursery.start_soon(trio.serve_listeners, connected, [listener])
         return RelayAddress(f"{LOOPBACK}:{listener.socket.getsockname()[1]}")
 
-    def set_cuts(self, cuts: Cuts) -> None:
-        """Replace the cuts; what waits at an ended one goes on."""
-        self._cuts = cuts
+    def set_partitions(self, partitions: Partitions) -> None:
+        """Replace the partitions; bytes held back by a healed one are forwarded."""
+        self._partitions = partitions
         self._changed.set()
         self._changed = trio.Event()
 
-    async def _carry(self, source: trio.SocketStream, target: RelayTarget) -> None:
-        place = source.socket.getpeername()[0]
+    async def _forward(self, client: trio.SocketStream, target: RelayTarget) -> None:
+        place = client.socket.getpeername()[0]
         host, _, port = target.address.rpartition(":")
-        async with source:
-            await self._passable(place, target.place)
-            # A source that gave up during a cut would not have got through
-            # at all. Connecting for it now would use up the target's
-            # connection limit with dead connections when the cut ends.
-            if not _is_established(source):
+        async with client:
+            await self._wait_until_connected(place, target.place)
+            # A client that gave up during a partition would never have
+            # connected. Connecting for it now would use up the target's
+            # connection limit with dead connections after the partition.
+            if not _is_established(client):
                 return
             with suppress(OSError):
-                async with await trio.open_tcp_stream(host, int(port)) as onward:
-                    await self._pump_both(source, onward, place, target.place)
+                async with await trio.open_tcp_stream(host, int(port)) as upstream:
+                    await self._forward_both_ways(client, upstream, place, target.place)
 
-    async def _pump_both(
+    async def _forward_both_ways(
         self,
-        source: trio.SocketStream,
-        onward: trio.SocketStream,
+        client: trio.SocketStream,
+        upstream: trio.SocketStream,
         place: str,
         target_place: str,
     ) -> None:
-        async def pump(reader: trio.SocketStream, writer: trio.SocketStream) -> None:
+        async def forward(reader: trio.SocketStream, writer: trio.SocketStream) -> None:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 while data := await reader.receive_some(_CHUNK_BYTES):
-                    await self._passable(place, target_place)
+                    await self._wait_until_connected(place, target_place)
                     await writer.send_all(data)
-            await self._passable(place, target_place)
+            await self._wait_until_connected(place, target_place)
             nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(pump, source, onward)
-            nursery.start_soon(pump, onward, source)
+            nursery.start_soon(forward, client, upstream)
+            nursery.start_soon(forward, upstream, client)
 
-    async def _passable(self, one: str, other: str) -> None:
-        while any(cut.parts(one, other) for cut in self._cuts.cuts):
+    async def _wait_until_connected(self, first: str, second: str) -> None:
+        while any(
+            partition.separates(first, second) for partition in self._partitions.cuts
+        ):
             await self._changed.wait()
 
 
 def _is_established(stream: trio.SocketStream) -> bool:
-    """Return whether neither end has closed a connection, by the kernel's word.
+    """Return whether the kernel reports a connection as open at both ends.
 
-    Bytes that still wait to be read hide the end of the stream from a read.
+    A read cannot tell: unread bytes hide the end of the stream.
     """
     info = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
     return info[0] == _TCP_ESTABLISHED
@@ -154,7 +157,9 @@
                     target = msgspec.json.decode(request.body, type=RelayTarget)
                     return json_response(HTTPStatus.OK, await relay.open(target))
                 case (HTTPMethod.POST, "control", "cuts"):
-                    relay.set_cuts(msgspec.json.decode(request.body, type=Cuts))
+                    relay.set_partitions(
+                        msgspec.json.decode(request.body, type=Partitions)
+                    )
                     return json_response(HTTPStatus.OK, {})
             return Response(HTTPStatus.NOT_FOUND)
 
@@ -165,7 +170,9 @@
 
 def main() -> None:
     """Run the relay until interrupted."""
-    parser = argparse.ArgumentParser(description="A relay whose paths can be cut")
+    parser = argparse.ArgumentParser(
+        description="TCP relay that can partition network paths"
+    )
     parser.add_argument("--control-port", type=int, default=0)
     trio.run(_serve, parser.parse_args().control_port)
 
--- a/ibisfront/tests/test_ledger_processes.py
+++ b/ibisfront/tests/test_ledger_processes.py
@@ -139,7 +139,7 @@
     instance.process.send(signal.SIGKILL)
     await instance.process.wait()
     deployment.instances.remove(instance)
-    return await deployment.start_instance(instance.name, like=instance)
+    return await deployment.start_instance(instance.name, predecessor=instance)
 
 
 async def pause(instance: InstanceProcess, *, seconds: float) -> None:
--- a/ibisfront/tests/test_shared_state_processes.py
+++ b/ibisfront/tests/test_shared_state_processes.py
@@ -65,7 +65,7 @@
             second.process.send(signal.SIGKILL)
             await second.process.wait()
             deployment.instances.remove(second)
-            await deployment.start_instance(second.name, like=second)
+            await deployment.start_instance(second.name, predecessor=second)
             await _wait_until_all_at(deployment, version, 3)
             third.process.send(signal.SIGSTOP)
             await self._wait_until_unreachable(deployment, third.name)
--- a/ibisfront/tests/test_testing_processes.py
+++ b/ibisfront/tests/test_testing_processes.py
@@ -1,4 +1,4 @@
-"""Tests of the helpers that start processes."""
+"""Tests of the helpers for child processes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 
 
 class ReservedAddressTest(unittest.TestCase):
-    """A reserved port is kept for the process that it is meant for."""
+    """A reserved port stays available to the process it is reserved for."""
 
-    def test_a_reserved_port_is_not_given_away_but_can_be_listened_on(self) -> None:
-        """A test run ended now and then with "address in use".
+    def test_reserved_port_is_exclusive_but_can_be_listened_on(self) -> None:
+        """Guards against daemons that fail with "address in use".
 
-        The scaffolding picked a free port, closed it and started a daemon;
-        before the daemon bound it, the system gave the port to an outgoing
-        connection of another process. Seen in a bench run of 15 deployments.
+        If a free port is picked and closed before the daemon binds it, the
+        system can give it to an outgoing connection of another process.
         """
         with closing(reserve_address()) as reserved:
             port = int(address_of(reserved).rpartition(":")[2])
-            with closing(socket.socket()) as stranger, self.assertRaises(OSError):
-                stranger.bind((LOOPBACK, port))
+            with closing(socket.socket()) as other_socket, self.assertRaises(OSError):
+                other_socket.bind((LOOPBACK, port))
             with closing(socket.socket()) as daemon:
                 daemon.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 daemon.bind((LOOPBACK, port))
--- a/ibisfront/tests/test_testing_relay.py
+++ b/ibisfront/tests/test_testing_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the relay that cuts zones off."""
+"""Tests of the relay that partitions zones."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 import trio
 import trio.testing
 
-from ibisfront.testing.relay import Cut, Cuts, Relay, RelayTarget
+from ibisfront.testing.relay import Partition, Partitions, Relay, RelayTarget
 from ibisfront.tests import trio_test_real_clock
 
-PLACE = "far"
+TARGET_LOCATION = "far"
 
 
 async def _echo(stream: trio.SocketStream) -> None:
@@ -19,22 +19,24 @@
 
 
 class RelayTest(unittest.TestCase):
-    """A cut path passes nothing, closes nothing, and goes on when mended."""
+    """A partitioned path forwards and closes nothing, and recovers when healed."""
 
     @trio_test_real_clock
-    async def test_a_cut_holds_bytes_back_until_it_ends(self) -> None:
+    async def test_partition_holds_bytes_back_until_healed(self) -> None:
         async with trio.open_nursery() as nursery:
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, _echo, [listener])
             port = listener.socket.getsockname()[1]
             relay = Relay(nursery)
-            address = await relay.open(RelayTarget(f"127.0.0.1:{port}", PLACE))
+            address = await relay.open(
+                RelayTarget(f"127.0.0.1:{port}", TARGET_LOCATION)
+            )
             host, _, relay_port = address.address.rpartition(":")
             stream = await trio.open_tcp_stream(host, int(relay_port))
             await stream.send_all(b"one")
             self.assertEqual(await stream.receive_some(), b"one")
 
-            relay.set_cuts(Cuts((Cut("127.0.0.1", PLACE),)))
+            relay.set_partitions(Partitions((Partition("127.0.0.1", TARGET_LOCATION),)))
             await stream.send_all(b"two")
             received = trio.Event()
 
@@ -45,41 +47,43 @@
             nursery.start_soon(receive)
             await trio.testing.wait_all_tasks_blocked(0.05)
             self.assertFalse(received.is_set())
-            relay.set_cuts(Cuts())
+            relay.set_partitions(Partitions())
             await received.wait()
             nursery.cancel_scope.cancel()
 
     @trio_test_real_clock
-    async def test_a_source_that_gave_up_during_a_cut_never_gets_through(self) -> None:
-        """Healthy servers refuse connections when a cut ends.
+    async def test_client_that_gave_up_during_partition_is_not_forwarded(self) -> None:
+        """Guards against healthy servers refusing connections after a partition.
 
-        Instances connected, sent and gave up while the cut lasted. When it
-        ended, the relay opened all of these dead connections at the target
-        at once, beyond its connection limit.
+        If instances connect, send and give up during the partition, the relay
+        must not open all of these dead connections at the target when it heals;
+        they would exceed its connection limit.
         """
         async with trio.open_nursery() as nursery:
             accepted: list[bytes] = []
             arrived = trio.Event()
 
-            async def note(stream: trio.SocketStream) -> None:
+            async def record_first_bytes(stream: trio.SocketStream) -> None:
                 accepted.append(bytes(await stream.receive_some()))
                 arrived.set()
 
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, note, [listener])
+            nursery.start_soon(trio.serve_listeners, record_first_bytes, [listener])
             port = listener.socket.getsockname()[1]
             relay = Relay(nursery)
-            address = await relay.open(RelayTarget(f"127.0.0.1:{port}", PLACE))
+            address = await relay.open(
+                RelayTarget(f"127.0.0.1:{port}", TARGET_LOCATION)
+            )
             host, _, relay_port = address.address.rpartition(":")
-            relay.set_cuts(Cuts((Cut("127.0.0.1", PLACE),)))
-            given_up = await trio.open_tcp_stream(host, int(relay_port))
-            await given_up.send_all(b"given up")
+            relay.set_partitions(Partitions((Partition("127.0.0.1", TARGET_LOCATION),)))
+            abandoned = await trio.open_tcp_stream(host, int(relay_port))
+            await abandoned.send_all(b"given up")
             await trio.testing.wait_all_tasks_blocked(0.05)
-            await given_up.aclose()
-            patient = await trio.open_tcp_stream(host, int(relay_port))
-            await patient.send_all(b"patient")
+            await abandoned.aclose()
+            waiting = await trio.open_tcp_stream(host, int(relay_port))
+            await waiting.send_all(b"patient")
             await trio.testing.wait_all_tasks_blocked(0.05)
-            relay.set_cuts(Cuts())
+            relay.set_partitions(Partitions())
             await arrived.wait()
             await trio.testing.wait_all_tasks_blocked(0.05)
             self.assertEqual(accepted, [b"patient"])
