--- a/ibisfront/testing/nose2_summary.py
+++ b/ibisfront/testing/nose2_summary.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin: the closing count, and the known red tests.
+"""A nose2 plugin that prints a summary and tolerates known red tests.
 
 A test named in ``KNOWN-RED.txt`` (one line each: test, cause, issue) may fail
 without failing the run. It is still counted as failed and printed.
@@ -22,17 +22,17 @@
     Parameters
     ----------
     path : Path
-        The file; it need not exist.
+        The file; it may be missing.
 
     Returns
     -------
     dict of str to str
-        The whole line of each test, by the test's dotted name.
+        Each test's full line, by the test's dotted name.
 
     Raises
     ------
     ValueError
-        If more tests are listed than the project allows.
+        If more than ``MAXIMUM_KNOWN_RED`` tests are listed.
     """
     if not path.exists():
         return {}
@@ -65,7 +65,7 @@
     def testOutcome(self, event: Any) -> None:  # noqa: N802
         """Count one outcome."""
         if event.outcome == result.SUBTEST and event.exc_info is None:
-            return  # its test counts it
+            return  # counted with its test
         if event.outcome == result.SKIP:
             self.skipped += 1
             return
@@ -95,5 +95,5 @@
         """Pass a run in which only known red tests failed."""
         if self.failed and self.failed == len(self.known_red_seen):
             event.success = True
-            # The runner's own reporter would judge after this, and fail the run.
+            # Otherwise the runner's own reporter runs next and fails the run.
             event.handled = True
--- a/ibisfront/testing/proofs.py
+++ b/ibisfront/testing/proofs.py
@@ -1,7 +1,7 @@
 """Checks that every test named in ``docs/PROOFS.md`` exists and ran.
 
 ``python -m ibisfront.testing.proofs`` reads the page and the list of tests
-that the last run of ``make test`` wrote, and fails on any difference.
+written by the last run of ``make test``, and fails on any mismatch.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ["Proof", "faults_of", "main", "read_proofs"]
+__all__ = ["Proof", "find_problems", "main", "read_proofs"]
 
 PROOFS_PATH = Path("docs/PROOFS.md")
 RAN_PATH = Path("bench-results/tests-ran.txt")
@@ -35,14 +35,15 @@
     Attributes
     ----------
     promise : str
-        The promise, or the failure that threatens it.
+        The promise, failure or bound of the row.
     tests : tuple of str
         The dotted names of the tests, below ``ibisfront.tests`` or
         ``properties``.
     failed_first : str
-        The commit that records the first failing run, or that none does.
+        The commit that records the first failing run, or a statement that
+        there is none.
     state : str
-        ``proved``, ``partly`` or ``not proved``, and why.
+        ``proved``, ``partly`` or ``not proved``, and the reason.
     """
 
     promise: str
@@ -61,37 +62,37 @@
     ]
 
 
-def faults_of(proofs: Sequence[Proof], ran: Sequence[str]) -> list[str]:
-    """Return what is wrong with the page, a line each."""
-    faults = []
+def find_problems(proofs: Sequence[Proof], ran: Sequence[str]) -> list[str]:
+    """Return the problems of the page, one line each."""
+    problems = []
     for proof in proofs:
         state = _STATE.match(proof.state)
         if state is None:
-            faults.append(f"{proof.promise!r}: the state must be one of {STATES}")
+            problems.append(f"{proof.promise!r}: the state must be one of {STATES}")
         elif state.group() != "not proved" and not proof.tests:
-            faults.append(f"{proof.promise!r} is {state.group()} but names no test")
+            problems.append(f"{proof.promise!r} is {state.group()} but names no test")
         if _FAILED_FIRST.search(proof.failed_first) is None:
-            faults.append(
+            problems.append(
                 f"{proof.promise!r}: 'Failed first' must name a commit, such as "
                 "`0123abc`, or say 'not seen failing'"
             )
-        faults.extend(
+        problems.extend(
             f"{proof.promise!r}: {test} did not run"
             for test in proof.tests
             if not any(name.endswith("." + test) or name == test for name in ran)
         )
-    return faults
+    return problems
 
 
 def main() -> int:
-    """Check the page; 1 if anything is wrong with it."""
+    """Check the page; return 1 if it has problems."""
     proofs = read_proofs(PROOFS_PATH.read_text())
-    faults = faults_of(proofs, RAN_PATH.read_text().split())
+    problems = find_problems(proofs, RAN_PATH.read_text().split())
     if not proofs:
-        faults.append(f"{PROOFS_PATH} has no rows")
-    for fault in faults:
-        sys.stderr.write(f"PROOFS: {fault}\n")
-    return 1 if faults else 0
+        problems.append(f"{PROOFS_PATH} has no rows")
+    for problem in problems:
+        sys.stderr.write(f"PROOFS: {problem}\n")
+    return 1 if problems else 0
 
 
 def _cells(line: str) -> list[str]:
--- a/ibisfront/tests/test_testing_nose2_summary.py
+++ b/ibisfront/tests/test_testing_nose2_summary.py
@@ -1,4 +1,4 @@
-"""Tests of the runner's closing count and of known red tests."""
+"""Tests of the runner's summary and of known red tests."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
             ran = ran.txt
             """)
         )
-        # A process of its own: the runner reads the settings of its folder too.
+        # A separate process, because the runner reads the settings of its folder.
         run = subprocess.run(
             [sys.executable, "-m", "nose2"],
             cwd=folder,
@@ -54,8 +54,8 @@
 class KnownRedTest(unittest.TestCase):
     """A run in which only known red tests fail passes, and prints them.
 
-    It failed all the same: nose2's own reporter judges after this plugin, and
-    took back its verdict. No run had had a known red test since.
+    Guards against nose2's own reporter, which runs after this plugin and would
+    override its result.
     """
 
     FAILS = "test_nose2_sample.SampleTest.test_fails, a cause, issue 1"
--- a/ibisfront/tests/test_testing_proofs.py
+++ b/ibisfront/tests/test_testing_proofs.py
@@ -1,10 +1,10 @@
-"""Tests of the check of the proofs page."""
+"""Tests of the check of ``docs/PROOFS.md``."""
 
 from __future__ import annotations
 
 import unittest
 
-from ibisfront.testing.proofs import Proof, faults_of, read_proofs
+from ibisfront.testing.proofs import Proof, find_problems, read_proofs
 
 PAGE = """
 | Promise | Mechanism | Test | Failed first | Figure | State |
@@ -33,30 +33,32 @@
         self.assertEqual(proofs[0].failed_first, "`abc1234`")
         self.assertEqual(proofs[2].tests, ("test_y.Machine.runTest",))
 
-    def test_a_test_that_did_not_run_is_a_fault(self) -> None:
-        faults = faults_of(
+    def test_a_test_that_did_not_run_is_a_problem(self) -> None:
+        problems = find_problems(
             read_proofs(PAGE), ["ibisfront.tests.test_x.T.test_two", MACHINE]
         )
-        self.assertEqual(len(faults), 1)
-        self.assertIn("test_x.T.test_one did not run", faults[0])
+        self.assertEqual(len(problems), 1)
+        self.assertIn("test_x.T.test_one did not run", problems[0])
 
-    def test_tests_that_ran_are_no_fault(self) -> None:
+    def test_tests_that_ran_are_no_problem(self) -> None:
         ran = ["ibisfront.tests.test_x.T.test_one", MACHINE]
-        self.assertEqual(faults_of(read_proofs(PAGE), ran), [])
+        self.assertEqual(find_problems(read_proofs(PAGE), ran), [])
 
-    def test_a_claim_without_a_test_is_a_fault(self) -> None:
-        self.assertEqual(len(faults_of([Proof("p", (), NOT_SEEN, "proved")], [])), 1)
+    def test_a_claim_without_a_test_is_a_problem(self) -> None:
+        self.assertEqual(
+            len(find_problems([Proof("p", (), NOT_SEEN, "proved")], [])), 1
+        )
 
-    def test_an_empty_state_is_a_fault(self) -> None:
-        self.assertEqual(len(faults_of([Proof("p", (), NOT_SEEN, "")], [])), 1)
+    def test_an_empty_state_is_a_problem(self) -> None:
+        self.assertEqual(len(find_problems([Proof("p", (), NOT_SEEN, "")], [])), 1)
 
-    def test_an_empty_or_vague_failed_first_is_a_fault(self) -> None:
-        """A row claims a proof by a test that nobody ever saw fail.
+    def test_an_empty_or_vague_failed_first_is_a_problem(self) -> None:
+        """Guards against proofs by a test that was never seen failing.
 
-        The column was left empty, or says "yes", and the reader takes the
-        test for one that can fail.
+        If the column is empty or says "yes", readers assume that the test
+        can fail.
         """
         for vague in ("", "yes", "guard taken out"):
             with self.subTest(vague):
                 proof = Proof("p", (), vague, "not proved: later")
-                self.assertEqual(len(faults_of([proof], [])), 1)
+                self.assertEqual(len(find_problems([proof], [])), 1)
