--- a/ibisfront/testing/balanced_load.py
+++ b/ibisfront/testing/balanced_load.py
@@ -1,4 +1,4 @@
-"""A small steady load behind a small balancer, for the demo."""
+"""Steady load through a simple load balancer, for the demo."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True):
-    """What became of the requests of a load.
+    """Outcomes of the requests of a load.
 
     Attributes
     ----------
     sent, whole : int
-        The requests, and the answers that covered every service.
+        Requests sent, and answers that cover every service.
     others : dict of str to int
-        How many ended otherwise, by code.
+        Number of other outcomes, by error code, or ``partial``.
     lost : int
-        The requests whose connection ended without any answer.
+        Requests whose connection closed without an answer.
     p50_ms, p99_ms : float
-        Latencies of the answers.
+        Latency percentiles of the answers.
     """
 
     sent: int
@@ -55,21 +55,21 @@
     p99_ms: float
 
 
-class _Problem(msgspec.Struct):
+class _ErrorReply(msgspec.Struct):
     code: str
 
 
 class BalancedLoad:
-    """Sends searches in turn to the instances that are ready.
+    """Sends searches round-robin to the ready instances.
 
     Parameters
     ----------
     deployment : Deployment
-        Where the instances are.
+        The deployment whose instances are called.
     kinds : tuple of SearchKind
-        What is sent, in turn.
+        The searches sent, in rotation.
     senders : int
-        How many requests are under way at once.
+        Number of concurrent requests.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._senders = senders
         self._instances = list(deployment.instances)
         self._ready = list(self._instances)
-        self._turn = itertools.count()
+        self._sequence = itertools.count()
         self._outcomes: Counter[str] = Counter()
         self._latency = LatencyHistogram()
         self._clock = Clock()
@@ -88,23 +88,23 @@
         self._ended = trio.Event()
 
     async def run(self) -> None:
-        """Send until :meth:`end` is called."""
+        """Send requests until :meth:`end` is called."""
         async with trio.open_nursery() as probes:
             probes.start_soon(self._probe)
             async with trio.open_nursery() as senders:
                 for _ in range(self._senders):
-                    senders.start_soon(self._send_on)
+                    senders.start_soon(self._send_until_ended)
             probes.cancel_scope.cancel()
         self._ended.set()
 
     async def wait_sent(self, count: int) -> None:
-        """Wait until some more requests have ended."""
-        goal = self._outcomes.total() + count
-        while self._outcomes.total() < goal:
+        """Wait until ``count`` more requests have completed."""
+        target_total = self._outcomes.total() + count
+        while self._outcomes.total() < target_total:
             await self._clock.sleep_ms(_PROBE_MS)
 
     async def end(self) -> LoadResult:
-        """Send nothing more, and return what became of what was sent."""
+        """Stop sending and return the outcomes of the requests sent."""
         self._ending.set()
         await self._ended.wait()
         others = dict(self._outcomes)
@@ -117,9 +117,9 @@
             p99_ms=self._latency.percentile_ms(99.0),
         )
 
-    async def _send_on(self) -> None:
+    async def _send_until_ended(self) -> None:
         while not self._ending.is_set():
-            instance = self._ready[next(self._turn) % len(self._ready)]
+            instance = self._ready[next(self._sequence) % len(self._ready)]
             self._outcomes[await self._send(instance, next(self._kinds))] += 1
 
     async def _send(self, instance: InstanceProcess, kind: SearchKind) -> str:
@@ -132,12 +132,12 @@
             return "lost"
         self._latency.record_ms(self._clock.now_ms() - started_at_ms)
         if reply.status != _OK:
-            return reply.decode(_Problem).code
+            return reply.decode(_ErrorReply).code
         coverage = reply.decode(Answer).coverage
         return "whole" if coverage.answered == coverage.total else "partial"
 
     async def _probe(self) -> None:
-        """Keep the rotation in step with what the instances say, as a balancer."""
+        """Keep the set of ready instances current, as a load balancer does."""
         while True:
             ready = [item for item in self._instances if await self._is_ready(item)]
             self._ready = ready or self._ready
--- a/ibisfront/testing/connections.py
+++ b/ibisfront/testing/connections.py
@@ -1,7 +1,7 @@
-"""Connections to backend stand-ins in the same process, without sockets.
+"""Connections to fake backend servers in the same process, without sockets.
 
-They speak through :class:`ibisfront.core.backend_pool.BackendConnection`, so that a
-test under trio's mock clock drives the whole query path.
+They implement :class:`ibisfront.core.backend_pool.BackendConnection`, so that
+tests run the whole query path under trio's mock clock.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 __all__ = ["BackendNetwork", "FakeConnection"]
 
-_NOT_RUN = {
+_REASONS_NOT_RUN = {
     NotRun.SHED: MissingReason.SHED,
     NotRun.DRAINING: MissingReason.DRAINING,
     NotRun.COLD: MissingReason.COLD,
 }
-_STATUSES = {
+_REASONS_BY_STATUS = {
     400: (MissingReason.REFUSED, True),
     409: (MissingReason.SNAPSHOT_GONE, True),
     504: (MissingReason.TIMED_OUT, False),
@@ -40,7 +40,7 @@
 
 
 class BackendNetwork:
-    """The way from one instance to the backend servers of a test.
+    """Network between one instance and the backend servers of a test.
 
     Parameters
     ----------
@@ -52,9 +52,9 @@
     backends : dict of str to FakeBackend
         The servers, by address.
     opened : Counter
-        How many connections were opened to each address.
+        Number of connections opened, by address.
     sent : Counter
-        How many sub-requests were sent to each address.
+        Number of sub-requests sent, by address.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -66,27 +66,27 @@
         self._refusing_until_ms: dict[Address, float] = {}
 
     def add(self, address: Address, backend: FakeBackend) -> None:
-        """Put a server at an address."""
+        """Register a server at an address."""
         self.backends[address] = backend
 
-        def go_down(down_ms: float) -> None:
+        def refuse_connections(down_ms: float) -> None:
             self._refusing_until_ms[address] = self.clock.now_ms() + down_ms
 
-        backend.on_crash = go_down
+        backend.on_crash = refuse_connections
 
     def kill(self, address: Address) -> None:
-        """End a server for good: what runs is lost, connecting is refused."""
+        """Stop a server permanently: its requests are lost, connections refused."""
         self.backends[address].crash()
         self._refusing_until_ms[address] = math.inf
 
     def silence(self, address: Address) -> None:
-        """Make the open connections to a server silent for good."""
+        """Make the open connections to a server permanently silent."""
         for connection in self._connections:
             if connection.address == address:
                 connection.silent = True
 
     def open_to(self, address: Address) -> list[FakeConnection]:
-        """Return the connections that are open to an address."""
+        """Return the open connections to an address."""
         return [
             connection
             for connection in self._connections
@@ -106,7 +106,7 @@
 
 
 class FakeConnection:
-    """One connection to a backend stand-in."""
+    """One connection to a fake backend server."""
 
     def __init__(
         self, address: Address, backend: FakeBackend, network: BackendNetwork
@@ -134,10 +134,10 @@
             ) from None
         if self.silent:
             await trio.sleep_forever()
-        return _checked(reply, sub_request)
+        return _to_sub_reply(reply, sub_request)
 
     async def probe(self) -> bool:
-        """Ask whether the server lives; see ``BackendConnection``."""
+        """Run a liveness probe; see ``BackendConnection``."""
         if self.silent:
             await trio.sleep_forever()
         try:
@@ -165,15 +165,17 @@
         )
 
 
-def _checked(reply: BackendReply, sub_request: SubRequest) -> SubReply:
+def _to_sub_reply(reply: BackendReply, sub_request: SubRequest) -> SubReply:
     if reply.request_id != sub_request.sub_request_id:
         raise SubRequestError(MissingReason.WRONG_REPLY, not_run=False)
     if reply.status == 200:
         body = msgspec.json.encode(reply.body)
         return SubReply(body, reply.snapshots, reply.draining)
-    reason, not_run = _STATUSES.get(reply.status, (MissingReason.SERVER_ERROR, False))
+    reason, not_run = _REASONS_BY_STATUS.get(
+        reply.status, (MissingReason.SERVER_ERROR, False)
+    )
     if reply.not_run is not None:
-        reason, not_run = _NOT_RUN[reply.not_run], True
+        reason, not_run = _REASONS_NOT_RUN[reply.not_run], True
     raise SubRequestError(
         reason,
         not_run=not_run,
--- a/ibisfront/testing/demo.py
+++ b/ibisfront/testing/demo.py
@@ -1,10 +1,9 @@
-"""The whole tier on this machine: ``python -m ibisfront.testing.demo``.
+"""Demo of the whole tier on one machine: ``python -m ibisfront.testing.demo``.
 
-Starts the platform's stand-in, backend servers of both users' shapes and three
-entry instances in three zones, sends what callers and operators send, and
-prints what it saw. Then two front daemons serve under a stand-in of the users'
-platform. Exits 0 if all was as promised, and leaves no process
-behind.
+Starts a fake platform, fake backend servers for two back ends and three entry
+instances in three zones, sends requests of callers and operators, and prints
+the results. Then runs two front daemons against a fake object store. Exits 0 if
+all checks hold, and leaves no process running.
 """
 
 from __future__ import annotations
@@ -45,46 +44,48 @@
 
 
 class Report:
-    """Prints what was seen, and remembers what was not as promised."""
+    """Prints observations and collects failed checks."""
 
     __slots__ = ("failures", "started")
 
     def __init__(self) -> None:
         self.failures: list[str] = []
         self.started: list[psutil.Process] = []
-        """Every process that the demo started."""
+        """Processes started by the demo."""
 
-    def title(self, text: str) -> None:
-        """Print the heading of a part."""
+    def print_heading(self, text: str) -> None:
+        """Print a section heading."""
         print(f"\n{text}", flush=True)
 
-    def note(self, text: str) -> None:
-        """Print one line."""
+    def print_line(self, text: str) -> None:
+        """Print one line of a section."""
         print(f"  {text}", flush=True)
 
     def check(self, holds: bool, text: str) -> None:
-        """Print one line, and whether it is as promised."""
+        """Print the result of one check and record a failure."""
         if not holds:
             self.failures.append(text)
         print(f"  {'ok ' if holds else 'NOT'} {text}", flush=True)
 
 
 async def run_demo(report: Report) -> None:
-    """Start the deployment, go through the demo and end every process."""
+    """Start the deployment, run all parts of the demo and end every process."""
     started_s = time.monotonic()
     async with Deployment(demo_shape()) as deployment:
-        report.title("Started")
-        report.note(f"platform stand-in at {deployment.platform_address}")
-        report.note(f"{_server_count(deployment)} backend servers, two users' shapes")
+        report.print_heading("Started")
+        report.print_line(f"platform stand-in at {deployment.platform_address}")
+        report.print_line(
+            f"{_server_count(deployment)} backend servers, two users' shapes"
+        )
         for instance in deployment.instances:
-            report.note(
+            report.print_line(
                 f"entry instance {instance.name} in zone {instance.zone},"
                 f" callers at {instance.caller_address}"
             )
-        report.note(f"ready after {time.monotonic() - started_s:.1f} s")
+        report.print_line(f"ready after {time.monotonic() - started_s:.1f} s")
         await _searches(deployment, report)
         await _missing_service(deployment, report)
-        await _non_idempotent(deployment, report)
+        await _perform_once(deployment, report)
         await _table_edit(deployment, report)
         report.started = psutil.Process().children(recursive=True)
         await _planned_stop(deployment, report)
@@ -92,7 +93,7 @@
 
 
 async def _searches(deployment: Deployment, report: Report) -> None:
-    report.title("Searches, one at the instance of each zone")
+    report.print_heading("Searches, one at the instance of each zone")
     for instance in deployment.instances:
         for kind, services in ((_NAME_CHECK, REGISTER), (_BLOODLINE, LISTINGS)):
             reply = await deployment.search(
@@ -106,7 +107,7 @@
 
 
 async def _missing_service(deployment: Deployment, report: Report) -> None:
-    report.title(f"Both backend servers of {REGISTER[-1]} refuse all work")
+    report.print_heading(f"Both backend servers of {REGISTER[-1]} refuse all work")
     servers = [server.name for server in deployment.backend_servers[REGISTER[-1]]]
     for name in servers:
         await deployment.command_backend(name, "faults", shedding=True)
@@ -121,43 +122,47 @@
         await deployment.command_backend(name, "faults", shedding=False)
 
 
-async def _non_idempotent(deployment: Deployment, report: Report) -> None:
-    report.title("One non-idempotent request, sent three times")
+async def _perform_once(deployment: Deployment, report: Report) -> None:
+    report.print_heading("One non-idempotent request, sent three times")
     key = make_key(wall_ms=Clock().wall_ms(), random_bits=secrets.randbits(_KEY_BITS))
     for instance in deployment.instances:
         reply = await deployment.perform(
             instance, "vestry", "print-envelopes", {"bundle": "sunday"}, key=key
         )
         answer = reply.decode(PerformAnswer)
-        report.note(f"{instance.name}: {reply.status}, repeated: {answer.repeated}")
+        report.print_line(
+            f"{instance.name}: {reply.status}, repeated: {answer.repeated}"
+        )
     servers = [server.name for server in deployment.backend_servers[PRINT_QUEUE]]
     runs = [run for name in servers for run in await deployment.performed(name)]
     report.check(len(runs) == 1, f"the backend servers ran it {len(runs)} time(s)")
 
 
 async def _table_edit(deployment: Deployment, report: Report) -> None:
-    report.title("One edit of the table")
+    report.print_heading("One edit of the table")
     first = deployment.instances[0]
     current = await deployment.admin(first, "GET", "/v1/admin/table")
-    view = current.decode(TableView)
-    changed, *others = view.table.rows
+    current_table = current.decode(TableView)
+    changed, *others = current_table.table.rows
     rows = (msgspec.structs.replace(changed, weight=3.0), *others)
     proposal = TableProposal(
-        table=msgspec.structs.replace(view.table, rows=rows),
-        base_version=view.version,
+        table=msgspec.structs.replace(current_table.table, rows=rows),
+        base_version=current_table.version,
         edit_id=secrets.token_hex(8),
         edited_by="demo",
     )
     reply = await deployment.admin(first, "PUT", "/v1/admin/table", proposal)
     accepted = reply.decode(EditAccepted)
     accepted_s = time.monotonic()
-    report.note(
+    report.print_line(
         f"{changed.branch}/{changed.purpose} weight 1 to 3:"
         f" accepted as version {accepted.version}"
     )
-    everywhere = await _wait_in_force(deployment, accepted)
-    taken_ms = (time.monotonic() - accepted_s) * 1000
-    report.check(everywhere, f"in force at every instance {taken_ms:.0f} ms later")
+    in_force_everywhere = await _wait_in_force(deployment, accepted)
+    propagation_ms = (time.monotonic() - accepted_s) * 1000
+    report.check(
+        in_force_everywhere, f"in force at every instance {propagation_ms:.0f} ms later"
+    )
 
 
 async def _wait_in_force(deployment: Deployment, accepted: EditAccepted) -> bool:
@@ -177,7 +182,7 @@
 
 
 async def _planned_stop(deployment: Deployment, report: Report) -> None:
-    report.title("One instance is stopped under load")
+    report.print_heading("One instance is stopped under load")
     load = BalancedLoad(deployment, (_NAME_CHECK, _BLOODLINE), senders=_LOAD_SENDERS)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(load.run)
@@ -187,7 +192,7 @@
         await load.wait_sent(_LOAD_REQUESTS)
         result = await load.end()
     report.check(exit_code == 0, f"{stopped.name} ended with exit code {exit_code}")
-    report.note(
+    report.print_line(
         f"{result.sent} searches,"
         f" p50 {result.p50_ms:.0f} ms, p99 {result.p99_ms:.0f} ms"
     )
@@ -213,11 +218,11 @@
 
 
 def _print_answer(answer: Answer, report: Report) -> None:
-    report.note("the whole answer, but for all rows after the first:")
+    report.print_line("the whole answer, but for all rows after the first:")
     shortened = msgspec.structs.replace(answer, results=answer.results[:1])
     text = msgspec.json.format(msgspec.json.encode(shortened), indent=2).decode()
     for line in text.splitlines():
-        report.note(line)
+        report.print_line(line)
 
 
 def _server_count(deployment: Deployment) -> int:
@@ -225,19 +230,19 @@
 
 
 def main() -> None:
-    """Run the demo; exit 1 if something was not as promised."""
+    """Run the demo; exit 1 if a check failed."""
     started_s = time.monotonic()
     report = Report()
     trio.run(run_demo, report)
-    left = [child.pid for child in report.started if child.is_running()]
-    report.title("Ended")
+    still_running = [child.pid for child in report.started if child.is_running()]
+    report.print_heading("Ended")
     report.check(
-        not left,
-        f"processes left behind, of {len(report.started)}: {left or 'none'}",
+        not still_running,
+        f"processes left behind, of {len(report.started)}: {still_running or 'none'}",
     )
-    report.note(f"took {time.monotonic() - started_s:.1f} s")
+    report.print_line(f"took {time.monotonic() - started_s:.1f} s")
     for failure in report.failures:
-        report.note(f"NOT as promised: {failure}")
+        report.print_line(f"NOT as promised: {failure}")
     sys.exit(1 if report.failures else 0)
 
 
--- a/ibisfront/testing/demo_shape.py
+++ b/ibisfront/testing/demo_shape.py
@@ -1,4 +1,4 @@
-"""The deployment of the demo: both users' shapes, scaled down."""
+"""The deployment of the demo: a register and listings on a small scale."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def demo_shape() -> DeploymentShape:
-    """Return three entry instances in three zones, before both back ends."""
+    """Return three entry instances in three zones, with both back ends."""
     searched = (*REGISTER, *LISTINGS)
     return DeploymentShape(
         services=(
--- a/ibisfront/testing/faulty_server.py
+++ b/ibisfront/testing/faulty_server.py
@@ -1,7 +1,7 @@
-"""A backend server that answers wrongly by a script, over memory streams.
+"""A backend server that injects scripted reply faults, over memory streams.
 
-It speaks HTTP to the real adapter under trio's mock clock, so that late,
-doubled and crossed replies meet the code that has to tell them apart.
+It serves HTTP to the real adapter under trio's mock clock, so that late,
+duplicate and mismatched replies reach the code that must detect them.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class ReplyFault(StrEnum):
-    """What a server does with one request."""
+    """How a server replies to one request."""
 
     NONE = "none"
     DOUBLE = "double"
@@ -47,8 +47,8 @@
     SHED = "shed"
 
 
-class _Received(msgspec.Struct):
-    """One request as it came."""
+class _ParsedRequest(msgspec.Struct):
+    """The parts of a request that its reply repeats."""
 
     request_id: bytes
     snapshot: str
@@ -56,16 +56,16 @@
 
 
 class FaultyServer:
-    """One server, its snapshots and its script.
+    """One server with its snapshots and its script of faults.
 
     Parameters
     ----------
     service : str
-        The service that it runs.
+        The service served.
     snapshots : tuple of str
-        What it holds; may change at any time.
+        The snapshots held; may be changed at any time.
     faults : iterable of ReplyFault
-        What it does with each request, over and over.
+        The fault of each request in turn; repeated from the start at the end.
     clock : Clock
         The test's clock.
     """
@@ -85,7 +85,7 @@
         self._last_reply = b""
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Answer the requests of one connection by the script."""
+        """Serve the requests of one connection according to the script."""
         with suppress(trio.BrokenResourceError):
             await self._serve(stream)
         await stream.aclose()
@@ -103,47 +103,50 @@
                 break
             if fault is ReplyFault.LATE:
                 await self._clock.sleep_ms(_LATE_MS)
-            await stream.send_all(self._reply(_received(bytes(data)), fault))
+            await stream.send_all(self._reply(_parse_request(bytes(data)), fault))
 
-    def _reply(self, received: _Received, fault: ReplyFault) -> bytes:
-        before, self._last_reply = self._last_reply, self._usual(received, fault)
-        if fault is ReplyFault.CROSSED and before:
-            return before
+    def _reply(self, request: _ParsedRequest, fault: ReplyFault) -> bytes:
+        previous, self._last_reply = (
+            self._last_reply,
+            self._normal_reply(request, fault),
+        )
+        if fault is ReplyFault.CROSSED and previous:
+            return previous
         if fault is ReplyFault.DOUBLE:
             return self._last_reply * 2
         return self._last_reply
 
-    def _usual(self, received: _Received, fault: ReplyFault) -> bytes:
-        snapshot = received.snapshot
+    def _normal_reply(self, request: _ParsedRequest, fault: ReplyFault) -> bytes:
+        snapshot = request.snapshot
         if fault is ReplyFault.SHED:
-            return self._message(received, b"503 Busy", {}, b"X-Not-Run: shed\r\n")
+            return self._message(request, b"503 Busy", {}, b"X-Not-Run: shed\r\n")
         if fault is ReplyFault.OTHER_SNAPSHOT and self.snapshots:
             snapshot = self.snapshots[0]
         elif snapshot not in self.snapshots:
-            return self._message(received, b"409 Conflict", {})
+            return self._message(request, b"409 Conflict", {})
         row = {
             "id": f"{self.service}/{snapshot}",
             "score": 0.5,
             "service": self.service,
             "snapshot": snapshot,
-            "request": received.marker,
+            "request": request.marker,
         }
         body = {"snapshot": snapshot, "rows": [row]}
-        return self._message(received, b"200 OK", body)
+        return self._message(request, b"200 OK", body)
 
     def _message(
         self,
-        received: _Received,
+        request: _ParsedRequest,
         status: bytes,
         body: dict[str, Any],
         headers: bytes = b"",
     ) -> bytes:
         encoded = msgspec.json.encode(body)
-        held = ",".join(self.snapshots).encode()
+        snapshots = ",".join(self.snapshots).encode()
         return (
             b"HTTP/1.1 %s\r\nX-Request-Id: %s\r\nX-Snapshots: %s\r\n%s"
             b"Content-Length: %d\r\n\r\n%s"
-            % (status, received.request_id, held, headers, len(encoded), encoded)
+            % (status, request.request_id, snapshots, headers, len(encoded), encoded)
         )
 
 
@@ -155,7 +158,7 @@
     clock : Clock
         The test's clock.
     nursery : trio.Nursery
-        Where the servers run.
+        Runs the servers.
     """
 
     def __init__(self, clock: Clock, nursery: trio.Nursery) -> None:
@@ -169,32 +172,32 @@
         await self._clock.sleep_ms(1.0)
         if server is None:
             raise SubRequestError(MissingReason.CONNECT_FAILED, not_run=True)
-        ours, theirs = memory_stream_pair()
-        self._nursery.start_soon(server.serve, theirs)
+        client_stream, server_stream = memory_stream_pair()
+        self._nursery.start_soon(server.serve, server_stream)
         origin = httpcore.Origin(b"http", b"server", 80)
         connection = httpcore.AsyncHTTP11Connection(
             origin,
-            _MemoryStream(ours),  # type: ignore[arg-type]
+            _MemoryStream(client_stream),  # type: ignore[arg-type]
         )
         return HttpBackendConnection("server:80", connection, self._clock)
 
 
 class _MemoryStream(BackendStream):
-    """The adapter's stream over memory in place of a socket."""
+    """The adapter's stream over a memory stream instead of a socket."""
 
     def get_extra_info(self, info: str) -> Any:
-        """Return whether bytes are there, as a socket would."""
+        """Return whether bytes can be read, as a socket stream does."""
         if info != "is_readable":
             return None
         receive: MemoryReceiveStream = self._stream.receive_stream  # type: ignore[attr-defined]
         return bool(receive._incoming._data)
 
 
-def _received(data: bytes) -> _Received:
+def _parse_request(data: bytes) -> _ParsedRequest:
     head, _, body = data.partition(b"\r\n\r\n")
     headers = {name.lower(): value for name, value in _HEADER.findall(head)}
     request = msgspec.json.decode(body)["request"]
-    return _Received(
+    return _ParsedRequest(
         headers[b"x-request-id"],
         headers.get(b"x-snapshot", b"").decode(),
         request["marker"],
--- a/ibisfront/testing/front_demo.py
+++ b/ibisfront/testing/front_demo.py
@@ -1,4 +1,4 @@
-"""The demo's part on the front daemon, which serves on the users' platform."""
+"""Part of the demo that runs front daemons against a fake object store."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 async def show_front_daemon(report: Report) -> None:
-    """Serve searches, fetches and orders while the index is cut anew."""
-    report.title("The front daemon under a stand-in of the users' platform")
+    """Serve searches, fetches and orders while the index is repartitioned."""
+    report.print_heading("The front daemon under a stand-in of the users' platform")
     with tempfile.TemporaryDirectory() as folder:
         world = SoakWorld(
             0,
@@ -34,10 +34,14 @@
             settle_s=_SETTLE_S,
         )
         seen = await world.run()
-    report.note(f"{_FRONTS} front processes; the index is repartitioned under load")
-    # How many are served depends on the machine: all stand-ins run in this
-    # process, and fall silent together when it is kept from running.
-    report.note(f"{seen.requests} searches, fetches and orders, {seen.served} served")
+    report.print_line(
+        f"{_FRONTS} front processes; the index is repartitioned under load"
+    )
+    # The number served depends on the machine: all fakes run in this process
+    # and stop responding together when it is not scheduled.
+    report.print_line(
+        f"{seen.requests} searches, fetches and orders, {seen.served} served"
+    )
     failures = [f"{item.check}: {item.detail}" for item in seen.failures]
     report.check(
         not failures,
--- a/ibisfront/testing/http_client.py
+++ b/ibisfront/testing/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for tests, demo and bench."""
+"""A small HTTP client for tests, demo and benchmarks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     body : bytes
         The body.
     headers : dict of str to str
-        By lower-case name.
+        The headers by lower-case name.
     """
 
     status: int
@@ -31,12 +31,12 @@
     headers: dict[str, str]
 
     def decode(self, decoded_type: type[_Decoded]) -> _Decoded:
-        """Return the JSON body as a type."""
+        """Return the JSON body decoded as the given type."""
         return msgspec.json.decode(self.body, type=decoded_type)
 
 
 class HttpClient:
-    """Sends requests with JSON bodies; keeps connections open."""
+    """Sends requests with JSON bodies over persistent connections."""
 
     def __init__(self) -> None:
         self._pool = httpcore.AsyncConnectionPool(
@@ -51,7 +51,7 @@
         body: object = None,
         headers: dict[str, str] | None = None,
     ) -> HttpReply:
-        """Send one request and return its reply, whatever its status."""
+        """Send one request and return its reply, with any status."""
         content = b"" if body is None else msgspec.json.encode(body)
         response = await self._pool.request(
             method,
--- a/ibisfront/testing/http_messages.py
+++ b/ibisfront/testing/http_messages.py
@@ -22,12 +22,12 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a server listens.
+    """The address that a server listens on.
 
     Attributes
     ----------
     host : str
-        The IP number.
+        The IP address.
     port : int
         The TCP port.
     """
@@ -45,13 +45,13 @@
     Attributes
     ----------
     method : str
-        The method, in capitals.
+        The method, in upper case.
     segments : tuple of str
-        The path's parts between slashes, percent-decoded.
+        The path segments, percent-decoded.
     query : dict of str to str
-        The query's parameters, percent-decoded.
+        The query parameters, percent-decoded.
     headers : dict of str to str
-        The headers by name in small letters.
+        The headers by lower-case name.
     body : bytes
         The whole body.
     """
@@ -64,10 +64,10 @@
 
 
 class Action(StrEnum):
-    """What the server does with a response.
+    """How the server handles a response.
 
-    ``SEND`` sends it; ``CLOSE`` and ``RESET`` end the connection without it;
-    ``SILENCE`` keeps the connection open and never uses it again.
+    ``SEND`` sends it; ``CLOSE`` and ``RESET`` end the connection without sending
+    it; ``SILENCE`` keeps the connection open but never uses it again.
     """
 
     SEND = "send"
@@ -88,9 +88,9 @@
     headers : dict of str to str
         The headers besides the content length.
     action : Action
-        What to do with it.
+        How to handle the response.
     copies : int
-        How often to send it; more than once leaves the client out of step.
+        Number of times it is sent; more than one desynchronises the client.
     """
 
     status: int
@@ -110,7 +110,7 @@
     status : int
         The status.
     content : Any
-        What msgspec can encode.
+        Any value that msgspec can encode.
     headers : dict of str to str, optional
         Headers besides the content type.
     """
@@ -119,7 +119,7 @@
 
 
 def build_request(head: h11.Request, body: bytes) -> Request:
-    """Return the typed request of h11's events."""
+    """Return the request of an h11 head and a body."""
     target = urlsplit(head.target.decode("ascii"))
     segments = tuple(unquote(part) for part in target.path.split("/") if part)
     query = dict(parse_qsl(target.query, keep_blank_values=True))
--- a/ibisfront/testing/http_server.py
+++ b/ibisfront/testing/http_server.py
@@ -1,8 +1,8 @@
-"""A small HTTP/1.1 server with control over each connection, for stand-ins.
+"""A small HTTP/1.1 server with control over each connection, for fakes.
 
-A production server hides the connection from its application; a stand-in
-has to refuse, reset or silence connections, and to see that a client has
-closed one. Hence this server on trio and h11.
+Production servers hide the connection from the application, whereas a fake
+has to refuse, reset or silence connections and to detect that a client has
+closed one. This server uses trio and h11 directly.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 
 
 class ConnectionCounts(msgspec.Struct):
-    """What a server has seen of connections.
+    """Connection counts of a server.
 
     Attributes
     ----------
     open, peak : int
-        The open connections without the silent ones, now and at most.
+        Open connections except silent ones: current and peak.
     silent : int
-        The connections silenced for good.
+        Permanently silenced connections.
     accepted, refused : int
-        The connections accepted and refused since the start.
+        Connections accepted and refused since the start.
     """
 
     open: int = 0
@@ -89,12 +89,12 @@
         self.resetting = False
 
     def reset(self) -> None:
-        """End the connection with a TCP reset, dropping what runs for it."""
+        """End the connection with a TCP reset and cancel its running request."""
         self.resetting = True
         self.scope.cancel()
 
     async def aclose(self) -> None:
-        """Close the socket, with a reset if one was asked for."""
+        """Close the socket, with a reset if requested."""
         if self.resetting:
             option = (socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
             self.stream.socket.setsockopt(*option)
@@ -113,7 +113,7 @@
         return bool(data)
 
     async def stop_if_silent(self) -> None:
-        """Never return if the connection was silenced."""
+        """Wait forever if the connection was silenced."""
         if self.silent:
             await trio.sleep_forever()
 
@@ -127,19 +127,19 @@
 
 
 class HttpServer:
-    """One listening port and its connections, one task for each.
+    """One listening port and its connections, with one task per connection.
 
     Parameters
     ----------
     handler : callable
-        Answers one request. It is cancelled when the client closes the
-        connection (or its sending half) while it runs.
+        Handles one request. It is cancelled if the client closes the connection
+        (or its sending half) before it returns.
     admit : callable, optional
-        Awaited in turn for each new connection, so that its duration is the
-        cost of an accept; returns False to refuse with a reset.
+        Awaited for each new connection, one at a time, so that its duration is
+        the cost of an accept; returns False to refuse with a reset.
     pause : callable, optional
-        Awaited after each accept and read and before each answer; it holds
-        all of them while the process is to look frozen.
+        Awaited after each accept and read and before each response; it blocks
+        while the server is to appear frozen.
     """
 
     __slots__ = (
@@ -177,19 +177,19 @@
         *,
         task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until cancelled; report the address once it listens.
+        """Serve until cancelled; report the address once listening.
 
         Parameters
         ----------
         host : str
-            The IP number to listen on.
+            The IP address to listen on.
         port : int
-            The port; 0 lets the system pick one.
+            The port; 0 for one picked by the system.
 
         Raises
         ------
         OSError
-            If the port cannot be bound at the start.
+            If the initial bind fails.
         """
         listener = await _listen(host, port)
         bound_port = listener.socket.getsockname()[1]
@@ -199,7 +199,7 @@
             while True:
                 await self._accept_until_closed(listener, nursery)
                 await self._listening.wait()
-                listener = await _listen_again(self.address)
+                listener = await _reopen_listener(self.address)
 
     def close_listener(self) -> None:
         """Stop listening, so that new connections are refused."""
@@ -212,15 +212,16 @@
         self._listening.set()
 
     def reset_connections(self) -> None:
-        """Reset all open connections, dropping what runs for them."""
+        """Reset all open connections and cancel their running requests."""
         for connection in self._connections:
             connection.reset()
 
     def silence_connections(self) -> None:
-        """Make all open connections silent for good; new ones work.
+        """Silence all open connections permanently; new ones work.
 
-        What runs for them runs on, and its answer goes nowhere. They no
-        longer count as open, as a server's idle timeout would end them.
+        Running requests continue, but their responses are not sent. Silent
+        connections no longer count as open, because a real server's idle
+        timeout would close them.
         """
         for connection in self._connections:
             if not connection.silent:
@@ -276,7 +277,7 @@
                     connection.protocol.start_next_cycle()
 
     async def _serve_one(self, connection: _Connection) -> bool:
-        """Serve one request; return whether the connection can go on."""
+        """Serve one request; return whether the connection can be reused."""
         try:
             request = await self._read_request(connection)
         except h11.RemoteProtocolError as error:
@@ -291,7 +292,7 @@
         response = await self._run_handler(connection, request)
         if response is None:
             return False
-        return await self._answer(connection, response)
+        return await self._respond(connection, response)
 
     async def _read_request(self, connection: _Connection) -> Request | None:
         head: h11.Request | None = None
@@ -316,8 +317,10 @@
             if event is not h11.NEED_DATA:
                 return event
             if protocol.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await connection.send(protocol.send(go_on) or b"")
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                await connection.send(protocol.send(continue_response) or b"")
             await connection.receive(self._pause)
 
     async def _run_handler(
@@ -337,7 +340,7 @@
             pass
         scope.cancel()
 
-    async def _answer(self, connection: _Connection, response: Response) -> bool:
+    async def _respond(self, connection: _Connection, response: Response) -> bool:
         await self._pause()
         await connection.stop_if_silent()
         match response.action:
@@ -369,9 +372,9 @@
     return listeners[0]
 
 
-async def _listen_again(address: Address) -> trio.SocketListener:
+async def _reopen_listener(address: Address) -> trio.SocketListener:
     while True:
         try:
             return await _listen(address.host, address.port)
-        except OSError:  # another process holds the port for a moment
+        except OSError:  # another process holds the port temporarily
             await trio.sleep(REBIND_PAUSE_SECONDS)
--- a/ibisfront/testing/large_configuration.py
+++ b/ibisfront/testing/large_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations with many routes, as operators write them."""
+"""Configurations with many routes, in the operators' format."""
 
 from __future__ import annotations
 
@@ -9,33 +9,34 @@
 
 __all__ = ["configuration_spec"]
 
-_GATHERED_ROUTES = 2
-_GATHERED_SERVICES = 90
+_SCATTER_GATHER_ROUTES = 2
+_SCATTER_GATHER_SERVICES = 90
 _NAME_LENGTH = 8
 
 
 def configuration_spec(version: int, routes: int) -> bytes:
-    """Return a configuration with two gathered routes and some more.
+    """Return a configuration with two scatter-gather routes and others.
 
-    The same number of routes gives the same ones, and a larger number those
-    and more. Names are random, so that they compress as little as real ones.
+    The result is deterministic, and a larger number of routes extends the list
+    of a smaller one. Names are random so that they compress as poorly as real
+    ones.
 
     Parameters
     ----------
     version : int
-        Its version.
+        The configuration's version.
     routes : int
-        How many routes there are beside the gathered ones.
+        Number of routes besides the scatter-gather ones.
 
     Returns
     -------
     bytes
-        The document as it stands in the platform's store.
+        The document as stored on the platform.
     """
-    services = [f"s{number:02}" for number in range(_GATHERED_SERVICES)]
+    services = [f"s{number:02}" for number in range(_SCATTER_GATHER_SERVICES)]
     document = {
         "version": version,
-        "routes": _gathered_routes(services) + _plain_routes(routes),
+        "routes": _scatter_gather_routes(services) + _single_service_routes(routes),
         "services": [{"name": name, "maxConns": 56} for name in services],
         "limits": {
             "maxHeaderBytes": 16384,
@@ -47,15 +48,15 @@
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-def _gathered_routes(services: list[str]) -> list[dict[str, Any]]:
-    gathered = {"gather": services, "topK": 20, "minCoverage": 0.95}
+def _scatter_gather_routes(services: list[str]) -> list[dict[str, Any]]:
+    target = {"gather": services, "topK": 20, "minCoverage": 0.95}
     return [
-        _route(f"g{number}", f"/g{number}/", **gathered)
-        for number in range(_GATHERED_ROUTES)
+        _route(f"g{number}", f"/g{number}/", **target)
+        for number in range(_SCATTER_GATHER_ROUTES)
     ]
 
 
-def _plain_routes(count: int) -> list[dict[str, Any]]:
+def _single_service_routes(count: int) -> list[dict[str, Any]]:
     random = Random(1)
     return [
         _route(f"r-{_name(random)}", f"/{_name(random)}/", service="archive")
--- a/ibisfront/testing/modelled_backend.py
+++ b/ibisfront/testing/modelled_backend.py
@@ -1,8 +1,8 @@
-"""The backend servers of one group as a model under mock time.
+"""Model of the backend servers of one group, under mock time.
 
-A fixed number of slots, a queue before them that sheds what does not fit, and
-a log-normal service time. For tests of limits and fairness, where the network
-would only add noise.
+It has a number of slots, a bounded queue that sheds excess requests, and a
+log-normal service time. For tests of limits and fairness, where real network
+latency would only add noise.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 
 class ModelledBackend:
-    """Runs requests on slots.
+    """Runs requests on a limited number of slots.
 
     Parameters
     ----------
     clock : Clock
         The test's clock.
     slots : int
-        How many requests run at once; may be changed at any time.
+        Number of requests that run concurrently; may be changed at any time.
     queue_limit : int
-        How many may wait for a slot before more are shed.
+        Queued requests above which further ones are shed.
     median_ms : float
-        The median of the service time; may be changed at any time.
+        Median of the service time; may be changed at any time.
     sigma : float, optional
-        The spread of its logarithm.
+        Standard deviation of the service time's logarithm.
     seed : int, optional
-        Decides the service times.
+        Seed of the service times.
     """
 
     def __init__(
@@ -50,8 +50,8 @@
     ) -> None:
         self.median_ms = median_ms
         self.queue_limit = queue_limit
-        self.sheds = 0
-        self.finished = 0
+        self.shed_count = 0
+        self.finished_count = 0
         self._clock = clock
         self._sigma = sigma
         self._random = random.Random(seed)
@@ -59,7 +59,7 @@
 
     @property
     def slots(self) -> int:
-        """How many requests run at once."""
+        """Number of requests that run concurrently."""
         return int(self._slots.total_tokens)
 
     @slots.setter
@@ -67,12 +67,12 @@
         self._slots.total_tokens = count
 
     async def run(self) -> bool:
-        """Run one request; return False, at once, if it is shed."""
+        """Run one request; return False immediately if it is shed."""
         if self._slots.statistics().tasks_waiting >= self.queue_limit:
-            self.sheds += 1
+            self.shed_count += 1
             return False
         async with self._slots:
-            spread = math.exp(self._random.gauss(0.0, self._sigma))
-            await self._clock.sleep_ms(self.median_ms * spread)
-        self.finished += 1
+            factor = math.exp(self._random.gauss(0.0, self._sigma))
+            await self._clock.sleep_ms(self.median_ms * factor)
+        self.finished_count += 1
         return True
--- a/ibisfront/testing/network_link.py
+++ b/ibisfront/testing/network_link.py
@@ -1,4 +1,4 @@
-"""A machine's link to the network, in mock time."""
+"""A machine's network link, under mock time."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 __all__ = ["NetworkLink", "transfer"]
 
 _CHUNK_BYTES = 16_384
-"""What a transfer hands to a link at once; others take their turn between."""
+"""Chunk of a transfer; other transfers interleave between chunks."""
 
 
 class NetworkLink:
-    """Carries bytes at a fixed rate, in the order in which they come.
+    """Transmits bytes at a fixed rate, in order of arrival.
 
     Parameters
     ----------
     bytes_per_s : float
-        What it carries.
+        The link's bandwidth.
 
     Attributes
     ----------
-    carried_bytes : int
-        What it has carried.
+    transmitted_bytes : int
+        Number of bytes transmitted.
     """
 
-    __slots__ = ("_bytes_per_s", "_free_at_s", "carried_bytes")
+    __slots__ = ("_bytes_per_s", "_free_at_s", "transmitted_bytes")
 
     def __init__(self, bytes_per_s: float) -> None:
         self._bytes_per_s = bytes_per_s
         self._free_at_s = 0.0
-        self.carried_bytes = 0
+        self.transmitted_bytes = 0
 
-    async def carry(self, size: int) -> None:
-        """Carry some bytes, after those that came before."""
-        begins_at_s = max(trio.current_time(), self._free_at_s)
-        self._free_at_s = begins_at_s + size / self._bytes_per_s
-        self.carried_bytes += size
+    async def transmit(self, size: int) -> None:
+        """Transmit bytes after those already queued."""
+        starts_at_s = max(trio.current_time(), self._free_at_s)
+        self._free_at_s = starts_at_s + size / self._bytes_per_s
+        self.transmitted_bytes += size
         await trio.sleep_until(self._free_at_s)
 
 
 async def transfer(size: int, *links: NetworkLink) -> None:
-    """Carry a message over links, one after the other, in chunks."""
-    left = size
-    while left > 0:
-        chunk = min(left, _CHUNK_BYTES)
+    """Transmit a message in chunks, each over all links in sequence."""
+    remaining = size
+    while remaining > 0:
+        chunk = min(remaining, _CHUNK_BYTES)
         for link in links:
-            await link.carry(chunk)
-        left -= chunk
+            await link.transmit(chunk)
+        remaining -= chunk
--- a/ibisfront/tests/test_demo.py
+++ b/ibisfront/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""A test of the demo, as ``make demo`` runs it."""
+"""Test of the demo, run as by ``make demo``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DemoTest(unittest.TestCase):
-    """A newcomer's first command shows the tier at work."""
+    """The demo passes all its checks and ends its processes."""
 
     def test_demo_keeps_every_promise_and_leaves_no_process(self):
         ended = subprocess.run(
--- a/ibisfront/tests/test_group_queue.py
+++ b/ibisfront/tests/test_group_queue.py
@@ -168,7 +168,7 @@
             nursery.cancel_scope.cancel()
         self.assertGreaterEqual(answered, 0.95 * CAPACITY_PER_S)
         self.assertLessEqual(max(slots), 2 * min(slots))
-        self.assertLessEqual(tier.backend.sheds, 0.02 * len(tier.done))
+        self.assertLessEqual(tier.backend.shed_count, 0.02 * len(tier.done))
         self.assertEqual(tier.refused, refused)
         self.assertLessEqual(after_ms, 3.0 * MEDIAN_MS)
 
