--- a/ibisfront/testing/balanced_load.py
+++ b/ibisfront/testing/balanced_load.py
@@ -39,7 +39,7 @@
     ----------
     sent, whole : int
         Requests sent, and answers that cover every service.
-    others : dict of str to int
+    other_outcomes : dict of str to int
         Number of other outcomes, by error code, or ``partial``.
     lost : int
         Requests whose connection closed without an answer.
@@ -49,7 +49,7 @@
 
     sent: int
     whole: int
-    others: dict[str, int]
+    other_outcomes: dict[str, int]
     lost: int
     p50_ms: float
     p99_ms: float
@@ -107,12 +107,12 @@
         """Stop sending and return the outcomes of the requests sent."""
         self._ending.set()
         await self._ended.wait()
-        others = dict(self._outcomes)
+        other_outcomes = dict(self._outcomes)
         return LoadResult(
             sent=self._outcomes.total(),
-            whole=others.pop("whole", 0),
-            lost=others.pop("lost", 0),
-            others=others,
+            whole=other_outcomes.pop("whole", 0),
+            lost=other_outcomes.pop("lost", 0),
+            other_outcomes=other_outcomes,
             p50_ms=self._latency.percentile_ms(50.0),
             p99_ms=self._latency.percentile_ms(99.0),
         )
--- a/ibisfront/testing/demo.py
+++ b/ibisfront/testing/demo.py
@@ -197,11 +197,11 @@
         f" p50 {result.p50_ms:.0f} ms, p99 {result.p99_ms:.0f} ms"
     )
     report.check(result.lost == 0, f"requests cut off: {result.lost}")
-    partial = result.others.pop("partial", 0)
+    partial = result.other_outcomes.pop("partial", 0)
     report.check(
-        not result.others,
+        not result.other_outcomes,
         f"answers: {result.whole} whole, {partial} partial;"
-        f" refused: {result.others or 'none'}",
+        f" refused: {result.other_outcomes or 'none'}",
     )
 
 
