--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ibisfront.core.lenient_json import made_proper
+from ibisfront.core.lenient_json import repair_json
 from ibisfront.core.logs import LogPart, part_logger
 from ibisfront.gateway.instances.directory import InstanceEntry
 from ibisfront.gateway.state.store import (
@@ -283,7 +283,7 @@
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
         _LOG.warning("An answer of the store is not valid JSON: %s.", error)
-    return _decode(made_proper(raw), kind)
+    return _decode(repair_json(raw), kind)
 
 
 def _stored_object(item: _Object) -> StoredObject:
