--- a/ibisfront/core/perform_sender.py
+++ b/ibisfront/core/perform_sender.py
@@ -108,7 +108,13 @@
         self._quarantine = quarantine
 
     async def send(self, run: ClaimedRun) -> SubReply:
-        """Send a claimed request to one backend server; see ``SendOnce``."""
+        """Send a claimed request to one backend server; see ``SendOnce``.
+
+        Raises
+        ------
+        SubRequestError
+            If there was no usable reply.
+        """
         server = self._choose_server(run)
         run.tried.add(server.name)
         async with self._server_state(server).connection_slots:
@@ -145,7 +151,7 @@
         Raises
         ------
         SubRequestError
-            Not run: the request is quarantined.
+            With ``not_run``, if the request is quarantined.
         """
         if self._quarantine is None:
             yield
@@ -198,7 +204,7 @@
         return min(candidates, key=self._rank)
 
     def _accepts_work(self, server: BackendServer) -> bool:
-        # The platform's register lags and may be unreachable; it may list a server
+        # The platform's registry lags and may be unreachable; it may list a server
         # as live that has reported to another instance that it is draining.
         if self._server_statuses is not None and self._server_statuses.is_draining(
             server
--- a/ibisfront/core/quarantine.py
+++ b/ibisfront/core/quarantine.py
@@ -92,10 +92,10 @@
 
 
 class Quarantine:
-    """Tracks, for a bounded number of requests, the servers lost running them.
+    """Tracks servers lost while running a request, for a bounded number of requests.
 
     A request that crashes servers loses its connection after it was sent, on
-    one server after the other of the same service, with no answer in between.
+    several servers of the same service in sequence, with no answer in between.
     After the second loss it is quarantined for a time; then one copy may run
     as a trial, on one service first. An answer clears the suspicion, so that
     a popular search that ran twice on servers crashed by another request is
@@ -106,7 +106,7 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Counts started, refused and cleared quarantines.
+        Counts quarantines started and cleared, and requests rejected.
     settings : QuerySettings
         The durations of quarantines.
     peers : Peers, optional
@@ -164,7 +164,7 @@
         return max(suspect.losses, key=lambda name: len(suspect.losses[name]))
 
     def end_trial(self, fingerprint: str) -> None:
-        """End a trial without an answer or a loss; another copy may try."""
+        """End a trial without an answer or a loss; another copy may run as a trial."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.trial_running = False
--- a/ibisfront/core/search_part.py
+++ b/ibisfront/core/search_part.py
@@ -16,7 +16,7 @@
 
 
 class Attempt:
-    """One task that queries the servers of a service one after the other."""
+    """One task that queries the servers of a service in sequence."""
 
     __slots__ = ("pool", "scope", "sent_at_ms")
 
@@ -43,9 +43,8 @@
         Number of sub-requests sent.
     hedge_considered : bool
         Whether a hedged request has been sent or ruled out.
-    retried_after_stall : bool
-        Whether a retry was considered because the server or the connection
-        failed.
+    stall_retry_considered : bool
+        Whether a retry of a stalled part has been sent or withheld.
     rows : SearchRows or None
         The answer of the service.
     missing : MissingReason or None
@@ -56,9 +55,9 @@
         "attempts",
         "hedge_considered",
         "missing",
-        "retried_after_stall",
         "rows",
         "service",
+        "stall_retry_considered",
         "state",
         "sub_request_count",
         "tried",
@@ -71,13 +70,13 @@
         self.tried: tuple[BackendPool, ...] = ()
         self.sub_request_count = 0
         self.hedge_considered = False
-        self.retried_after_stall = False
+        self.stall_retry_considered = False
         self.rows: SearchRows | None = None
         self.missing: MissingReason | None = None
 
     @property
     def is_settled(self) -> bool:
-        """Whether the part is answered or finally missing."""
+        """Whether the part is answered or marked as missing."""
         return self.rows is not None or self.missing is not None
 
     @property
@@ -89,7 +88,7 @@
         )
 
     def is_unreachable(self, now_ms: float) -> bool:
-        """Return whether all attempts exceeded the bound at silent servers."""
+        """Return whether all attempts exceed the silence bound at silent servers."""
         if not self.attempts:
             return False
         first_sent_at_ms = min(attempt.sent_at_ms for attempt in self.attempts)
--- a/ibisfront/core/search_run.py
+++ b/ibisfront/core/search_run.py
@@ -50,7 +50,8 @@
     fingerprint : str
         Identical for every copy of the request.
     deadline_at_ms : float
-        When the answer must be complete, before it is sent back.
+        When the answer must be complete, on the tier's clock; earlier than the
+        caller's deadline by the time to send it back.
     trial_service : str or None
         The service that must answer before any other service is queried.
     """
@@ -92,6 +93,13 @@
     should_restart : callable
         Called when no server of a service holds the snapshot; returns whether
         to abandon the run and restart on another snapshot.
+
+    Attributes
+    ----------
+    parts : list of SearchPart
+        One part for each service; empty until the run starts.
+    restart_requested : bool
+        Whether the run was abandoned for a restart on another snapshot.
     """
 
     __slots__ = (
@@ -201,7 +209,7 @@
         await self._attempt(part)
 
     async def _attempt(self, part: SearchPart) -> None:
-        """Send sub-requests for a part until it is answered or given up."""
+        """Send sub-requests for a part until it is answered or marked as missing."""
         attempt = Attempt()
         part.attempts.append(attempt)
         with attempt.scope:
@@ -486,9 +494,9 @@
         attempt continues in parallel, in case its answer still arrives.
         """
         for part in self.parts:
-            if part.is_settled or part.retried_after_stall or not part.is_stalled:
+            if part.is_settled or part.stall_retry_considered or not part.is_stalled:
                 continue
-            part.retried_after_stall = True
+            part.stall_retry_considered = True
             if part.state.retry_budget.try_withdraw():
                 self._counters.add(CounterKind.RETRIES, "silent")
                 self._nursery.start_soon(self._attempt, part)
--- a/ibisfront/core/server_choice.py
+++ b/ibisfront/core/server_choice.py
@@ -27,7 +27,7 @@
     zone : str
         This instance's availability zone.
     now_ms : float
-        The time.
+        The current time.
     snapshot : str or None
         The pinned snapshot, if any.
     tried : tuple of BackendPool
@@ -77,7 +77,7 @@
     cross_zone_ms : float
         Round-trip time to another zone.
     slots_per_server : int
-        How many requests a server runs concurrently.
+        Number of requests that a server runs concurrently.
     seed : int, optional
         Seed for reproducible choices.
     """
