--- a/ibisfront/core/backend_pool.py
+++ b/ibisfront/core/backend_pool.py
@@ -52,13 +52,13 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where connections are counted.
+        Counts connections.
     settings : QuerySettings
         Limits for health checking and silence detection.
     maximum_connections : int
-        How many connections this instance may open to the server.
+        Maximum number of connections of this instance to the server.
     server_statuses : ServerStatuses, optional
-        Notified when the server reports that it drains or serves again.
+        Notified when the server reports that it is draining or serves again.
 
     Attributes
     ----------
@@ -66,8 +66,8 @@
         The server as last registered by operators.
     health : ServerHealth
         Health, as observed by this instance.
-    share : int
-        How many connections this instance may open.
+    maximum_connections : int
+        Maximum number of connections of this instance to the server.
     retired_before_ms : float
         Connections opened before this time are not reused.
     suspected : bool
@@ -84,9 +84,9 @@
         "_settings",
         "_slots",
         "health",
+        "maximum_connections",
         "retired_before_ms",
         "server",
-        "share",
         "suspected",
     )
 
@@ -103,7 +103,7 @@
     ) -> None:
         self.server = server
         self.health = ServerHealth(settings)
-        self.share = maximum_connections
+        self.maximum_connections = maximum_connections
         self._open_connection = open_connection
         self._clock = clock
         self._counters = counters
@@ -133,7 +133,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the server drains, as reported to this or another instance.
+        """Whether the server is draining, as reported to this or another instance.
 
         The statuses are read at each choice. Polling them periodically would
         send the server new work until the next poll.
@@ -194,9 +194,9 @@
             self._slots.release()
             self._update_slot_limit()
 
-    def set_share(self, share: int) -> None:
-        """Change how many connections this instance may open."""
-        self.share = share
+    def set_maximum_connections(self, maximum_connections: int) -> None:
+        """Set the maximum number of connections of this instance to the server."""
+        self.maximum_connections = maximum_connections
         self._update_slot_limit()
 
     def is_suspect(self, bound_ms: float) -> bool:
@@ -257,14 +257,20 @@
             await self._close_connection(pooled, "retired")
 
     async def close_idle(self, *, keep: int) -> None:
-        """Close connections past the idle timeout or the share, but keep a few warm."""
+        """Close idle connections past the idle timeout or over the maximum.
+
+        Parameters
+        ----------
+        keep : int
+            Number of idle connections that stay open, if the maximum allows.
+        """
         now_ms = self._clock.now_ms()
-        keep = min(keep, self.share - len(self._busy))
+        keep = min(keep, self.maximum_connections - len(self._busy))
         surplus = [
             pooled
             for pooled in self._idle[: max(0, len(self._idle) - max(keep, 0))]
             if now_ms - pooled.answered_at_ms >= self._settings.idle_ms
-            or self.open_connections > self.share
+            or self.open_connections > self.maximum_connections
         ]
         for pooled in surplus:
             self._idle.remove(pooled)
@@ -276,7 +282,7 @@
         Hedged requests and retries go to rarely used servers and would arrive
         too late if they had to open a connection first.
         """
-        if self.open_connections >= min(count, self.share):
+        if self.open_connections >= min(count, self.maximum_connections):
             return
         try:
             pooled = await self._open()
@@ -373,11 +379,11 @@
 
     def _update_slot_limit(self) -> None:
         # Slots are whole numbers: a window of 1.7 admits one sub-request.
-        maximum = max(1, math.floor(min(self.share, self.health.window)))
-        self.health.window = min(self.health.window, float(self.share))
+        maximum = max(1, math.floor(min(self.maximum_connections, self.health.window)))
+        self.health.window = min(self.health.window, float(self.maximum_connections))
         if maximum != self._slots.maximum:
             self._slots.maximum = maximum
-            self._slots.grant_free()
+            self._slots.grant_free_slots()
 
 
 async def _close(connection: BackendConnection) -> None:
--- a/ibisfront/core/backend_pools.py
+++ b/ibisfront/core/backend_pools.py
@@ -30,14 +30,14 @@
 
 
 def connection_share(accepted: int, live_instances: int) -> int:
-    """Return how many of a server's connections one instance may open.
+    """Return the maximum number of connections of one instance to a server.
 
     Parameters
     ----------
     accepted : int
-        How many connections the server accepts in total.
+        Number of connections that the server accepts in total.
     live_instances : int
-        How many instances share them.
+        Number of instances that share them.
 
     Examples
     --------
@@ -74,11 +74,11 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Where connections and ejections are counted.
+        Counts connections and ejections.
     backend, query : BackendSettings, QuerySettings
         The settings.
     server_statuses : ServerStatuses, optional
-        Which servers drain, as reported to any instance.
+        The draining servers, as reported to any instance.
     """
 
     __slots__ = (
@@ -86,6 +86,7 @@
         "_by_service",
         "_catalogue",
         "_clock",
+        "_connection_share",
         "_counters",
         "_make_pool",
         "_members",
@@ -93,7 +94,6 @@
         "_probing",
         "_query",
         "_server_connections",
-        "_share",
         "_share_increase_at_ms",
     )
 
@@ -115,7 +115,7 @@
         self._counters = counters
         self._query = query
         self._server_connections = backend.connections_per_server
-        self._share = connection_share(
+        self._connection_share = connection_share(
             self._server_connections, len(self._members.live())
         )
         self._share_increase_at_ms = 0.0
@@ -131,7 +131,7 @@
                 clock=clock,
                 counters=counters,
                 settings=query,
-                maximum_connections=self._share,
+                maximum_connections=self._connection_share,
                 server_statuses=server_statuses,
             )
 
@@ -221,7 +221,7 @@
         return () if service is None else service.backend_servers
 
     def _update_share(self) -> None:
-        """Adjust the share to the number of live instances.
+        """Adjust the connection share to the number of live instances.
 
         The share decreases immediately and increases after a delay, because the
         list of instances lags. If a partition or a restart makes several
@@ -232,14 +232,14 @@
             self._server_connections, len(self._members.live())
         )
         now_ms = self._clock.now_ms()
-        if new_share <= self._share:
+        if new_share <= self._connection_share:
             self._share_increase_at_ms = now_ms + _SHARE_INCREASE_DELAY_MS
         elif now_ms < self._share_increase_at_ms:
             return
-        if new_share != self._share:
-            self._share = new_share
+        if new_share != self._connection_share:
+            self._connection_share = new_share
             for pool in self._by_server.values():
-                pool.set_share(new_share)
+                pool.set_maximum_connections(new_share)
 
     def _is_probe_due(self, pool: BackendPool, now_ms: float) -> bool:
         if pool.health.ejected:
--- a/ibisfront/core/connection_slots.py
+++ b/ibisfront/core/connection_slots.py
@@ -63,21 +63,21 @@
 class ConnectionSlots:
     """The slots for sub-requests at one backend server.
 
-    A slot is the right to use one connection. Urgent waiters have priority;
+    A slot is a permit to use one connection. Urgent waiters have priority;
     within a priority the branches are served round robin, so that neither bulk
     work nor a busy branch delays an interactive request.
 
     Parameters
     ----------
-    maximum : int
-        How many slots there are; may change at any time.
+    maximum : float
+        Number of slots; may change at any time.
 
     Attributes
     ----------
     in_use : int
         Slots in use.
     maximum : float
-        How many slots there are.
+        Number of slots; call :meth:`grant_free_slots` after a change.
     """
 
     __slots__ = ("_bulk", "_urgent", "in_use", "maximum")
@@ -90,7 +90,7 @@
 
     @property
     def waiting(self) -> int:
-        """How many sub-requests wait for a slot."""
+        """Number of sub-requests that wait for a slot."""
         return self._urgent.count + self._bulk.count
 
     async def acquire(self, branch: str, *, urgent: bool) -> None:
@@ -102,7 +102,7 @@
         waiter = _Waiter(branch)
         queues.add(waiter)
         # Slots may be free here if the maximum has been raised.
-        self.grant_free()
+        self.grant_free_slots()
         try:
             await waiter.granted.wait()
         except trio.Cancelled:
@@ -117,10 +117,10 @@
     def release(self) -> None:
         """Release a slot and grant it to the next waiter, if any."""
         self.in_use -= 1
-        self.grant_free()
+        self.grant_free_slots()
 
-    def grant_free(self) -> None:
-        """Grant free slots to waiters; call it after the maximum has changed."""
+    def grant_free_slots(self) -> None:
+        """Grant free slots to waiters."""
         while self.in_use < self.maximum and self.waiting:
             queues = self._urgent if self._urgent.count else self._bulk
             self.in_use += 1
--- a/ibisfront/core/server_health.py
+++ b/ibisfront/core/server_health.py
@@ -51,9 +51,9 @@
     Attributes
     ----------
     latency_ms : float
-        Smoothed latency of its answers; 0 before the first one.
+        Smoothed latency of its answers; 0 before the first answer.
     window : float
-        Concurrency window: how many sub-requests may be in flight to the
+        Concurrency window: maximum number of sub-requests in flight to the
         server. Decreased when it sheds load, increased by each answer while
         the window is the limiting factor.
     not_before_ms : float
@@ -117,9 +117,9 @@
         duration_ms : float
             Its latency.
         in_flight : int
-            How many sub-requests were in flight to the server or queued for it.
+            Number of sub-requests in flight to the server or queued for it.
         now_ms : float
-            The time.
+            The current time.
         """
         self._record_reply(now_ms)
         self._ejections = 0
@@ -147,9 +147,9 @@
             fingerprint count once, so that a request that always makes the
             server fail does not eject a server that is healthy for all others.
         in_flight : int
-            How many sub-requests were in flight to the server.
+            Number of sub-requests in flight to the server.
         now_ms : float
-            The time.
+            The current time.
         """
         if error.not_run and error.complete_reply:
             self._record_reply(now_ms)
--- a/ibisfront/core/server_status.py
+++ b/ibisfront/core/server_status.py
@@ -49,10 +49,11 @@
     address : str
         The server's address; a new server of the same name has another one.
     generation : int
-        Increases with each status; the larger one takes precedence, whatever
-        the order of arrival.
+        Increases with each status; the larger one takes precedence, regardless
+        of the order of arrival.
     draining : bool
-        Whether the server drains; takes precedence within one generation.
+        Whether the server is draining; True takes precedence within one
+        generation.
     """
 
     server: str
@@ -96,7 +97,7 @@
         peers.handle(ServerStatusUpdate, self._update_received)
 
     def is_draining(self, server: BackendServer) -> bool:
-        """Return whether a server drains and must receive no new work."""
+        """Return whether a server is draining and must receive no new work."""
         current = self._statuses.get(server.name)
         if current is None or current.status.address != server.address:
             return False
--- a/ibisfront/tests/test_backend_pools.py
+++ b/ibisfront/tests/test_backend_pools.py
@@ -195,19 +195,19 @@
         async with fixture.maintenance():
             await search_steadily(fixture, searches=2)
             pool = fixture.pool("s0", 0)
-            self.assertEqual(pool.share, 25)
+            self.assertEqual(pool.maximum_connections, 25)
             others = [Member(f"i{n}", "z2", f"a:{n}", f"b:{n}") for n in range(2, 6)]
             for member in others:
                 fixture.members.merge(member)
             await fixture.clock.sleep_ms(1_500.0)
-            self.assertEqual(pool.share, 5)
+            self.assertEqual(pool.maximum_connections, 5)
             for member in others:
                 left = Member(member.name, "z2", "a", "b", 1, MemberState.LEFT)
                 fixture.members.merge(left)
             await fixture.clock.sleep_ms(2_000.0)
-            self.assertEqual(pool.share, 5)
+            self.assertEqual(pool.maximum_connections, 5)
             await fixture.clock.sleep_ms(8_000.0)
-            self.assertEqual(pool.share, 25)
+            self.assertEqual(pool.maximum_connections, 25)
 
     @trio_test
     async def test_idle_connections_are_closed_but_a_few_stay_warm(self):
