--- a/ibisfront/core/admission.py
+++ b/ibisfront/core/admission.py
@@ -27,7 +27,7 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Counts refusals.
+        Counts rejections.
     shares : Shares
         This instance's shares of the table's limits.
     """
--- a/ibisfront/core/concurrency.py
+++ b/ibisfront/core/concurrency.py
@@ -1,6 +1,6 @@
 """An adaptive concurrency limit, derived from latency and shed requests.
 
-The limit on the concurrent requests of one group of services. It increases
+The limit applies to the concurrent requests of one group of services. It increases
 while latency stays near its baseline, and decreases when requests queue at the
 backend servers (their latency rises) or are shed. It is evaluated once per
 window, only on requests that started after the last change took effect, so that
@@ -32,9 +32,9 @@
 
 
 class ConcurrencyLimit:
-    """The number of concurrent requests of one group, counted in slots.
+    """The limit on the concurrent requests of one group, in slots.
 
-    A slot is the right to run one request.
+    A slot is a permit to run one request.
 
     Parameters
     ----------
@@ -45,12 +45,12 @@
     __slots__ = (
         "_baseline_ms",
         "_changed_at_ms",
-        "_mean_before_ms",
+        "_mean_before_decrease_ms",
         "_samples",
         "_saturated",
         "_sheds",
         "_slots",
-        "_slots_before",
+        "_slots_before_decrease",
         "_total_ms",
         "_window_start_ms",
         "duration_ms",
@@ -61,8 +61,8 @@
         self._baseline_ms = math.inf
         self._changed_at_ms = -math.inf
         self._window_start_ms = -math.inf
-        self._mean_before_ms = math.inf
-        self._slots_before = 0.0
+        self._mean_before_decrease_ms = math.inf
+        self._slots_before_decrease = 0.0
         self._samples = 0
         self._sheds = 0
         self._total_ms = 0.0
@@ -72,7 +72,7 @@
 
     @property
     def slots(self) -> int:
-        """How many requests may run concurrently."""
+        """Maximum number of concurrent requests."""
         return int(self._slots)
 
     @property
@@ -92,7 +92,7 @@
         duration_ms : float
             How long it ran.
         running : int
-            How many requests, including this one, were running when it started.
+            Number of requests, including this one, that ran when it started.
         shed : bool
             Whether a backend server shed part of its work.
         """
@@ -118,20 +118,20 @@
     def _evaluate(self, now_ms: float) -> None:
         mean_ms = self._total_ms / self._samples
         self._update_baseline(mean_ms)
-        before = self.slots
+        slots_before = self.slots
         if self._sheds > _SHED_FRACTION * self._samples:
-            self._set(self._slots * _SHED_DECREASE_FACTOR)
+            self._set_slots(self._slots * _SHED_DECREASE_FACTOR)
         elif mean_ms > _QUEUEING_LATENCY_FACTOR * self._baseline_ms:
-            if math.isinf(self._mean_before_ms):
-                self._mean_before_ms = mean_ms
-                self._slots_before = self._slots
+            if math.isinf(self._mean_before_decrease_ms):
+                self._mean_before_decrease_ms = mean_ms
+                self._slots_before_decrease = self._slots
             factor = _QUEUEING_LATENCY_FACTOR * self._baseline_ms / mean_ms
-            self._set(self._slots * max(_MIN_DECREASE_FACTOR, factor))
+            self._set_slots(self._slots * max(_MIN_DECREASE_FACTOR, factor))
         else:
-            self._mean_before_ms = math.inf
+            self._mean_before_decrease_ms = math.inf
             if self._saturated:
-                self._set(max(self._slots * _GROWTH_FACTOR, self._slots + 1.0))
-        if self.slots != before:
+                self._set_slots(max(self._slots * _GROWTH_FACTOR, self._slots + 1.0))
+        if self.slots != slots_before:
             self._changed_at_ms = now_ms
         self._samples = 0
         self._sheds = 0
@@ -144,15 +144,20 @@
         # the limit does not reduce latency, the group has become slower; the
         # baseline then rises fast, or the limit would stay at its minimum.
         if mean_ms < self._baseline_ms:
-            low_ms = mean_ms if math.isinf(self._baseline_ms) else self._baseline_ms
-            self._baseline_ms = low_ms + _BASELINE_FALL_WEIGHT * (mean_ms - low_ms)
+            previous_ms = (
+                mean_ms if math.isinf(self._baseline_ms) else self._baseline_ms
+            )
+            self._baseline_ms = previous_ms + _BASELINE_FALL_WEIGHT * (
+                mean_ms - previous_ms
+            )
             return
-        was_decreased = self._slots <= _DECREASED_FRACTION * self._slots_before
+        was_decreased = self._slots <= _DECREASED_FRACTION * self._slots_before_decrease
         is_ineffective = (
-            was_decreased and mean_ms > _IMPROVEMENT_FACTOR * self._mean_before_ms
+            was_decreased
+            and mean_ms > _IMPROVEMENT_FACTOR * self._mean_before_decrease_ms
         )
         weight = _BASELINE_FAST_RISE_WEIGHT if is_ineffective else _BASELINE_RISE_WEIGHT
         self._baseline_ms += weight * (mean_ms - self._baseline_ms)
 
-    def _set(self, slots: float) -> None:
+    def _set_slots(self, slots: float) -> None:
         self._slots = min(max(slots, MIN_SLOTS), MAX_SLOTS)
--- a/ibisfront/core/fair_queue.py
+++ b/ibisfront/core/fair_queue.py
@@ -37,7 +37,7 @@
     __slots__ = (
         "branch",
         "purpose",
-        "refusal",
+        "rejection",
         "settled",
         "started",
         "urgent",
@@ -52,31 +52,31 @@
         self.weight = weight
         self.urgent = urgent
         self.started = False
-        self.refusal: IbisfrontError | None = None
+        self.rejection: IbisfrontError | None = None
         self.settled = trio.Event()
 
     def start(self) -> None:
-        """Let the request run."""
+        """Settle the request by starting it."""
         self.started = True
         self.settled.set()
 
-    def refuse(self, refusal: IbisfrontError) -> None:
+    def reject(self, rejection: IbisfrontError) -> None:
         """Settle the request with an error instead of starting it."""
-        self.refusal = refusal
+        self.rejection = rejection
         self.settled.set()
 
 
 class _RowFlow:
     """The requests of one row that wait or run."""
 
-    __slots__ = ("running", "start_tag", "urgent", "waiting", "weight")
+    __slots__ = ("running", "start_tag", "urgent", "waiters", "weight")
 
     def __init__(self) -> None:
         self.weight = 1.0
         self.urgent = False
         self.start_tag = 0.0
         self.running = 0
-        self.waiting: dict[Waiter, None] = {}  # an ordered set
+        self.waiters: dict[Waiter, None] = {}  # an ordered set
 
 
 class _BranchFlow:
@@ -103,11 +103,11 @@
     @property
     def urgent_waiting(self) -> int:
         """The number of urgent requests that wait."""
-        return sum(len(row.waiting) for row in self.rows.values() if row.urgent)
+        return sum(len(row.waiters) for row in self.rows.values() if row.urgent)
 
     def next_row(self) -> _RowFlow:
         """Return the row to serve next; at least one must have a waiter."""
-        waiting = (row for row in self.rows.values() if row.waiting)
+        waiting = (row for row in self.rows.values() if row.waiters)
         return min(waiting, key=lambda row: (not row.urgent, row.start_tag))
 
 
@@ -130,16 +130,16 @@
         row.urgent = waiter.urgent
         if not branch.waiting:
             branch.start_tag = max(branch.start_tag, self._virtual_time)
-        if not row.waiting:
+        if not row.waiters:
             row.start_tag = max(row.start_tag, branch.virtual_time)
-        row.waiting[waiter] = None
+        row.waiters[waiter] = None
         branch.waiting += 1
         self.waiting += 1
 
     def remove(self, waiter: Waiter) -> None:
         """Remove a request that still waits."""
         branch = self._branches[waiter.branch]
-        del branch.rows[waiter.purpose].waiting[waiter]
+        del branch.rows[waiter.purpose].waiters[waiter]
         branch.waiting -= 1
         self.waiting -= 1
         self._drop_if_idle(waiter)
@@ -172,12 +172,12 @@
         self._drop_if_idle(waiter)
 
     def is_below_share(self, branch: str, slots: float) -> bool:
-        """Return whether a branch runs less than its weighted share of slots."""
+        """Return whether a branch uses less than its weighted share of slots."""
         flow = self._branches[branch]
         return flow.running < slots * flow.weight / self._total_weight()
 
     def requests_ahead(self, waiter: Waiter) -> float:
-        """Return an estimate of how many requests start before a waiting one."""
+        """Return the estimated number of requests that start before a waiting one."""
         branch = self._branches[waiter.branch]
         ahead = branch.urgent_waiting if waiter.urgent else branch.waiting
         waiting_weight = sum(
@@ -193,7 +193,7 @@
         Parameters
         ----------
         capacity : float
-            How many waiters the queue admits in total.
+            Number of waiters that the queue admits in total.
         """
         total = self._total_weight()
 
@@ -203,8 +203,8 @@
         branch = max(self._branches.values(), key=excess)
         if excess(branch) <= 0:
             return None
-        rows = [row for row in branch.rows.values() if row.waiting]
-        return next(reversed(min(rows, key=lambda row: row.urgent).waiting))
+        rows = [row for row in branch.rows.values() if row.waiters]
+        return next(reversed(min(rows, key=lambda row: row.urgent).waiters))
 
     def _start(self, branch: _BranchFlow) -> Waiter:
         row = branch.next_row()
@@ -212,8 +212,8 @@
         branch.virtual_time = max(branch.virtual_time, row.start_tag)
         branch.start_tag += 1.0 / branch.weight
         row.start_tag += 1.0 / row.weight
-        waiter = next(iter(row.waiting))
-        del row.waiting[waiter]
+        waiter = next(iter(row.waiters))
+        del row.waiters[waiter]
         row.running += 1
         branch.waiting -= 1
         branch.running += 1
--- a/ibisfront/core/group_queue.py
+++ b/ibisfront/core/group_queue.py
@@ -26,7 +26,7 @@
 
 
 class Slot:
-    """Right to run that an admitted request holds; records its outcome.
+    """A permit to run, held by an admitted request; records its outcome.
 
     Attributes
     ----------
@@ -48,11 +48,11 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Counts refusals.
+        Counts rejections.
     maximum_waiters : int, optional
-        How many requests may wait.
+        Maximum number of requests that wait.
     limit : ConcurrencyLimit, optional
-        How many may run at once; an adaptive limit by default.
+        Limit on the requests that run at once; adaptive by default.
     """
 
     __slots__ = ("_clock", "_counters", "_maximum_waiters", "limit", "queue")
@@ -107,7 +107,7 @@
         self.queue.push(waiter)
         self._start_waiters()
         try:
-            self._refuse_if_too_late(waiter, deadline_at_ms)
+            self._reject_if_too_late(waiter, deadline_at_ms)
             self._enforce_queue_limit()
             remaining_ms = self._latest_start_ms(deadline_at_ms) - self._clock.now_ms()
             with self._clock.timeout_ms(remaining_ms):
@@ -117,11 +117,11 @@
             # it is cancelled. Its slot must be returned, or the limit stays reduced.
             self._abandon(waiter)
             raise
-        if waiter.refusal is not None:
-            raise waiter.refusal
+        if waiter.rejection is not None:
+            raise waiter.rejection
         if not waiter.started:
             self._abandon(waiter)
-            raise self._refusal(
+            raise self._rejection(
                 ErrorKind.DEADLINE_TOO_SHORT, "no slot became free in time"
             )
 
@@ -138,13 +138,13 @@
             if queue.pop(lambda branch: queue.is_below_share(branch, slots)) is None:
                 break
 
-    def _refuse_if_too_late(self, waiter: Waiter, deadline_at_ms: float) -> None:
+    def _reject_if_too_late(self, waiter: Waiter, deadline_at_ms: float) -> None:
         if waiter.started:
             return
         latest_ms = self._latest_start_ms(deadline_at_ms)
         wait_ms = self.queue.requests_ahead(waiter) * self.limit.interval_ms
         if self._clock.now_ms() + wait_ms > latest_ms:
-            raise self._refusal(
+            raise self._rejection(
                 ErrorKind.DEADLINE_TOO_SHORT,
                 f"estimated wait is {wait_ms:.0f} ms",
             )
@@ -154,24 +154,24 @@
             return
         # Rejecting the newest request would let one flooding branch lock out all
         # others, so a waiter of the branch that exceeds its share most is rejected.
-        victim = self.queue.eviction_candidate(self._maximum_waiters)
-        if victim is not None:
-            self.queue.remove(victim)
-            victim.refuse(
-                self._refusal(ErrorKind.OVERLOADED, "admission queue is full")
+        evicted = self.queue.eviction_candidate(self._maximum_waiters)
+        if evicted is not None:
+            self.queue.remove(evicted)
+            evicted.reject(
+                self._rejection(ErrorKind.OVERLOADED, "admission queue is full")
             )
 
     def _abandon(self, waiter: Waiter) -> None:
         if waiter.started:
             self.queue.finish(waiter)
             self._start_waiters()
-        elif waiter.refusal is None:
+        elif waiter.rejection is None:
             self.queue.remove(waiter)
 
     def _latest_start_ms(self, deadline_at_ms: float) -> float:
         return deadline_at_ms - self.limit.duration_ms
 
-    def _refusal(self, kind: ErrorKind, detail: str) -> IbisfrontError:
+    def _rejection(self, kind: ErrorKind, detail: str) -> IbisfrontError:
         self._counters.add(CounterKind.REFUSALS, kind.value)
         drain_ms = self.queue.waiting * self.limit.interval_ms
         return IbisfrontError(
--- a/ibisfront/core/rate_limit.py
+++ b/ibisfront/core/rate_limit.py
@@ -42,7 +42,7 @@
         return True
 
     def wait_ms(self, tokens: int = 1) -> float:
-        """Return the time until a number of tokens is available at this rate."""
+        """Return the time until `tokens` are available; infinite at a rate of zero."""
         if self._rate_per_ms <= 0.0:
             return math.inf
         return max(0.0, tokens - self._tokens) / self._rate_per_ms
--- a/ibisfront/core/row_limit.py
+++ b/ibisfront/core/row_limit.py
@@ -92,7 +92,10 @@
         return True
 
     def wait_ms(self, share: Share, *, ahead: int = 0) -> float:
-        """Return the time until a request may start, with others ahead of it."""
+        """Return the time until a request may start, with `ahead` others before it.
+
+        Infinite while all slots of the share are in use.
+        """
         if self.running >= share.in_flight:
             return math.inf
         return self._bucket.wait_ms(ahead + 1)
