--- a/ibisfront/core/share_holder.py
+++ b/ibisfront/core/share_holder.py
@@ -3,7 +3,7 @@
 The usable share of a row is the sum of three parts: the reserved part of the
 static share, which is never lent; the share granted by the owner, while its lease
 is valid; and the lendable part of the static share. While that part is lent, it
-counts as nothing as long as the lease is valid. After the lease has expired, it is
+counts as zero as long as the lease is valid. After the lease has expired, it is
 capped at the last grant until every grant based on it has expired too or the owner
 has released it.
 """
@@ -37,7 +37,7 @@
 
 __all__ = ["ShareHolder"]
 
-_LENT_FOR_LEASES = 2
+_LENDING_PERIOD_LEASES = 2
 """The owner counts a lent share for one lease, and its last grant is valid for
 one more."""
 
@@ -87,7 +87,7 @@
         self.in_flight_lent_until_ms = lent_until_ms
 
     def change_owner(self, owner: str) -> None:
-        """Switch to another owner, with no grants of it yet."""
+        """Switch to another owner, without any grants from it yet."""
         if self.lending:
             self.former = self.current
             self.former_owner = self.owner
@@ -101,7 +101,7 @@
         self.acknowledged = 0
 
     def reclaim(self) -> None:
-        """Take the static shares back from the former owner."""
+        """Reclaim the static shares from the former owner."""
         self.former = _Grants()
         self.former_owner = ""
         self.rate_lent_until_ms = 0.0
@@ -218,7 +218,7 @@
             # acknowledged grants, which is before they arrived here; a report
             # without a reply extends nothing.
             lent_until_ms = (
-                state.answered_at_ms + _LENT_FOR_LEASES * self._times.lease_ms
+                state.answered_at_ms + _LENDING_PERIOD_LEASES * self._times.lease_ms
             )
             state.rate_lent_until_ms = lent_until_ms
             state.in_flight_lent_until_ms = lent_until_ms + self._times.drain_ms
@@ -253,7 +253,7 @@
             if state.process not in (0, grants.process):
                 # The owner was restarted and has lost the record of lent shares.
                 # Its first grants are empty; using them in place of the lent shares
-                # would leave this instance with nothing.
+                # would leave this instance without any share.
                 state.change_owner(owner)
                 state.former_owner = ""
             state.process = grants.process
@@ -291,7 +291,7 @@
         return requests
 
     def reclaim(self, buckets: tuple[int, ...], owner: str) -> None:
-        """Take back the shares that a former owner has released."""
+        """Reclaim the shares that a former owner has released."""
         for bucket in buckets:
             state = self._buckets[bucket]
             if state.former_owner == owner:
--- a/ibisfront/core/share_messages.py
+++ b/ibisfront/core/share_messages.py
@@ -33,7 +33,7 @@
 ]
 
 BUCKETS = 16
-"""Rows are hashed into this many buckets; each bucket has one owner."""
+"""Number of buckets that rows are hashed into; each bucket has one owner."""
 
 _HASH_CACHE_SIZE = 4096
 _RESERVED_FRACTION = 0.05
@@ -67,7 +67,7 @@
     lease_ms : float
         Validity of a grant, counted from when the report that requested it was sent.
     join_ms : float
-        How long a new process uses granted shares only.
+        Period after its start in which a process uses only granted shares.
     drain_ms : float
         How long requests may keep running after the share under which they
         started has expired.
@@ -202,7 +202,7 @@
     """Return the part of a static share that is never lent.
 
     It lets an idle row start a request immediately even while its static share
-    is still lent to an owner that has just died.
+    is still lent to an owner that has just failed.
     """
     min_slots = 1 if static.in_flight >= _MIN_SLOTS_TO_RESERVE else 0
     slots = max(min_slots, int(static.in_flight * _RESERVED_FRACTION))
--- a/ibisfront/core/share_owner.py
+++ b/ibisfront/core/share_owner.py
@@ -46,7 +46,7 @@
 _ROTATION_MS = 2_000.0
 _SURPLUS_FRACTION = 0.5
 """Half of the unclaimed capacity is granted. The other half stays available
-immediately to an instance that had no demand so far."""
+immediately to an instance without demand so far."""
 
 
 class _Grant(msgspec.Struct):
@@ -59,7 +59,7 @@
 
 
 class _InstanceState:
-    """One instance in the view of the owner of one bucket."""
+    """The reports and grants of one instance for one bucket."""
 
     __slots__ = (
         "confirmed_at_ms",
@@ -92,7 +92,7 @@
         self._acknowledge(part.acknowledged)
 
     def max_in_use(self, key: RowKey, now_ms: float, drain_ms: float) -> Share:
-        """Return the most that the instance may use of a row at present."""
+        """Return an upper bound on the instance's current use of a row."""
         rate_per_s, in_flight = 0.0, 0
         for grant in self.grants:
             share = grant.shares.get(key, NO_SHARE)
--- a/ibisfront/core/shares.py
+++ b/ibisfront/core/shares.py
@@ -60,7 +60,7 @@
     clock : Clock
         The tier's clock.
     counters : Counters
-        Counts refusals and unanswered reports.
+        Counts rejections and unanswered reports.
     find_table : callable
         Returns the current table, or None.
     times : ShareTimes, optional
@@ -189,15 +189,17 @@
             return
         # A row that was idle has no share here, or a small one, until its demand is
         # reported. The tier may have capacity for its first requests, so they wait
-        # and trigger an early report instead of being refused.
-        first = self._clock.now_ms() < limit.active_since_ms + _NEW_DEMAND_PERIOD_MS
-        if first:
+        # and trigger an early report instead of being rejected.
+        is_new_demand = (
+            self._clock.now_ms() < limit.active_since_ms + _NEW_DEMAND_PERIOD_MS
+        )
+        if is_new_demand:
             self._early_report.set()
-        max_wait_ms = _FIRST_GRANT_WAIT_MS if first else _MAX_WAIT_MS
+        max_wait_ms = _FIRST_GRANT_WAIT_MS if is_new_demand else _MAX_WAIT_MS
         max_wait_ms = min(max_wait_ms, deadline_at_ms - self._clock.now_ms())
         wait_ms = limit.wait_ms(self.usable(row), ahead=limit.waiting)
-        if wait_ms > max_wait_ms and not first:
-            raise self._refusal(row, limit, wait_ms)
+        if wait_ms > max_wait_ms and not is_new_demand:
+            raise self._rejection(row, limit, wait_ms)
         limit.waiting += 1
         try:
             with self._clock.timeout_ms(max_wait_ms):
@@ -206,7 +208,7 @@
                 return
         finally:
             limit.waiting -= 1
-        raise self._refusal(row, limit, limit.wait_ms(self.usable(row)))
+        raise self._rejection(row, limit, limit.wait_ms(self.usable(row)))
 
     def _try_start(self, row: Row, limit: RowLimit) -> bool:
         return limit.try_start(self.usable(row), now_ms=self._clock.now_ms())
@@ -218,7 +220,7 @@
             with self._clock.timeout_ms(max(_MIN_PAUSE_MS, wait_ms)):
                 await limit.changed.wait()
 
-    def _refusal(self, row: Row, limit: RowLimit, wait_ms: float) -> IbisfrontError:
+    def _rejection(self, row: Row, limit: RowLimit, wait_ms: float) -> IbisfrontError:
         self._counters.add(CounterKind.REFUSALS, ErrorKind.OVER_LIMIT.value)
         if not math.isfinite(wait_ms):
             wait_ms = self._times.report_ms
@@ -308,7 +310,7 @@
 
     def _buckets_by_owner(self) -> dict[str, list[int]]:
         names = [member.name for member in self._members.live()]
-        names = names or [self._members.own_name]  # the last instance leaves
+        names = names or [self._members.own_name]  # the last instance is leaving
         if names != self._assignment_members:
             self._assignment_members = names
             self._assignment = {}
