--- a/ibisfront/core/catalogue.py
+++ b/ibisfront/core/catalogue.py
@@ -49,7 +49,7 @@
     store : ObjectStore
         Holds the objects; the catalogue subscribes to its changes.
     counters : Counters, optional
-        Where changes of the table are counted by outcome.
+        Counts changes of the table by outcome.
     """
 
     __slots__ = ("_counters", "_store", "_valid_values")
--- a/ibisfront/core/latency.py
+++ b/ibisfront/core/latency.py
@@ -22,7 +22,7 @@
 
     @property
     def count(self) -> int:
-        """How many durations were recorded."""
+        """Number of recorded durations."""
         return int(self._histogram.get_total_count())
 
     def record_ms(self, duration_ms: float) -> None:
@@ -31,7 +31,7 @@
         self._histogram.record_value(min(max(duration_us, _LOWEST_US), _HIGHEST_US))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return a percentile of the recorded durations."""
+        """Return a percentile, from 0 to 100, of the recorded durations."""
         value_us = self._histogram.get_value_at_percentile(percentile)
         return float(value_us) / _MICROSECONDS_PER_MILLISECOND
 
--- a/ibisfront/core/service.py
+++ b/ibisfront/core/service.py
@@ -21,7 +21,7 @@
     zone : str
         Its availability zone.
     state : {"live", "draining"}
-        Whether it may be given new work.
+        Whether it may receive new work.
     """
 
     name: str
--- a/ibisfront/core/service_edit.py
+++ b/ibisfront/core/service_edit.py
@@ -49,7 +49,8 @@
     Raises
     ------
     IbisfrontError
-        ``write_unknown`` or ``platform_unavailable``.
+        ``write_unknown`` if the outcome of a write is unknown,
+        ``platform_unavailable`` if the edit was not made in time.
     """
 
     def change(current: Service) -> Service:
@@ -67,8 +68,9 @@
     Raises
     ------
     IbisfrontError
-        ``not_found`` if the service has no such server; ``write_unknown`` or
-        ``platform_unavailable``.
+        ``not_found`` if the service has no such server, ``write_unknown`` if
+        the outcome of a write is unknown, ``platform_unavailable`` if the edit
+        was not made in time.
     """
 
     def change(current: Service) -> Service:
@@ -91,7 +93,8 @@
     Raises
     ------
     IbisfrontError
-        ``write_unknown`` or ``platform_unavailable``.
+        ``write_unknown`` if the outcome of a write is unknown,
+        ``platform_unavailable`` if the edit was not made in time.
     """
     return await _edit(
         platform, service, lambda current: Service(_without(current, name)), clock
@@ -105,7 +108,7 @@
     clock: Clock,
 ) -> ServiceEdited:
     # An edit sets the state of a single server, so it is idempotent. After a
-    # lost answer or a conflict the service is read again: if the wanted state is
+    # lost answer or a conflict the service is read again: if the desired state is
     # there, the edit is done; otherwise it is written conditionally on the
     # version just read. A delayed write of an earlier round then conflicts.
     unknown = False
@@ -113,13 +116,13 @@
         while True:
             try:
                 current = await _read(platform, service)
-                wanted = change(current.service)
-                if _same_servers(wanted, current.service):
+                desired = change(current.service)
+                if _same_servers(desired, current.service):
                     return current
                 version = await platform.put(
                     ObjectKind.SERVICE,
                     service,
-                    msgspec.json.encode(wanted),
+                    msgspec.json.encode(desired),
                     if_version=current.version or None,
                 )
             except WriteConflict:
@@ -130,7 +133,7 @@
                 unknown = unknown or error.kind is ErrorKind.WRITE_UNKNOWN
                 await clock.sleep_ms(_RETRY_MS)
             else:
-                return ServiceEdited(service, version, wanted)
+                return ServiceEdited(service, version, desired)
     if unknown:
         raise IbisfrontError(
             ErrorKind.WRITE_UNKNOWN, f"the edit of service {service!r} may take effect"
--- a/ibisfront/core/service_state.py
+++ b/ibisfront/core/service_state.py
@@ -14,7 +14,7 @@
 __all__ = ["RETRY_BURST", "RecentLatency", "ServiceState"]
 
 RETRY_BURST = 10.0
-"""How many extra sub-requests to a service may be sent at once after idle time."""
+"""Maximum burst of extra sub-requests to one service, after an idle period."""
 
 _REFRESH_INTERVAL_MS = 2_000.0
 _ROTATION_INTERVAL_MS = 20_000.0
