--- a/ibisfront/core/backend_connection.py
+++ b/ibisfront/core/backend_connection.py
@@ -23,7 +23,7 @@
         Raises
         ------
         SubRequestError
-            If the server refused it, failed, or the connection broke.
+            If the server rejected it or failed, or the connection broke.
         """
         ...
 
--- a/ibisfront/core/service_edit.py
+++ b/ibisfront/core/service_edit.py
@@ -50,7 +50,7 @@
     ------
     IbisfrontError
         ``write_unknown`` if the outcome of a write is unknown,
-        ``platform_unavailable`` if the edit was not made in time.
+        ``platform_unavailable`` if the edit did not succeed in time.
     """
 
     def change(current: Service) -> Service:
@@ -70,7 +70,7 @@
     IbisfrontError
         ``not_found`` if the service has no such server, ``write_unknown`` if
         the outcome of a write is unknown, ``platform_unavailable`` if the edit
-        was not made in time.
+        did not succeed in time.
     """
 
     def change(current: Service) -> Service:
@@ -94,7 +94,7 @@
     ------
     IbisfrontError
         ``write_unknown`` if the outcome of a write is unknown,
-        ``platform_unavailable`` if the edit was not made in time.
+        ``platform_unavailable`` if the edit did not succeed in time.
     """
     return await _edit(
         platform, service, lambda current: Service(_without(current, name)), clock
