--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -187,7 +187,7 @@
             senders = self._coordinators.names
         limit.share_per_s = cold_share(
             server.entry.server_id,
-            own=self._coordinators.own_name,
+            own_name=self._coordinators.own_name,
             senders=senders,
             bound_per_s=self._find_bounds().cold_bound_per_s(routed.cold_per_s),
         )
--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -51,10 +51,10 @@
     __slots__ = (
         "_delegation",
         "_initial_state_loaded",
-        "_queries",
         "_reachability",
         "_request_services",
         "_round_robin",
+        "_scatter_gather",
         "_started_ms",
     )
 
@@ -66,7 +66,7 @@
         self._reachability = Reachability(
             registry=request_services.registry, clock=request_services.clock
         )
-        self._queries = ScatterGather(
+        self._scatter_gather = ScatterGather(
             self._request_services, delegation, self._reachability
         )
         self._round_robin = WeightedRoundRobin()
@@ -81,10 +81,10 @@
     @table.setter
     def table(self, table: RouteTable) -> None:
         self._request_services.apply_table(table)
-        self._reachability.retain(table.route_names)
+        self._reachability.keep(table.route_names)
         self._round_robin.keep(table.route_names)
         if self._delegation is not None:
-            self._delegation.retain(table.route_names)
+            self._delegation.keep(table.route_names)
         self.resume_waiting_requests()
 
     @property
@@ -103,7 +103,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        if not self.has_initial_state or self._queries.is_unreachable:
+        if not self.has_initial_state or self._scatter_gather.servers_unreachable:
             return False
         return not self.is_partitioned
 
@@ -117,26 +117,26 @@
     @property
     def is_partitioned(self) -> bool:
         """Whether this instance has found the paths to the servers partitioned."""
-        return self.table is not None and self._reachability.is_isolated(self.table)
+        return self.table is not None and self._reachability.is_partitioned(self.table)
 
     @property
     def is_reported_partitioned(self) -> bool:
         """Whether others have reported the paths to the servers as partitioned."""
-        return self._queries.is_unreachable
+        return self._scatter_gather.servers_unreachable
 
     def record_reported_partition(self, is_partitioned: bool) -> None:
         """Record whether a coordinator of this instance is partitioned."""
         if is_partitioned:
-            self._queries.record_reported_unreachable()
+            self._scatter_gather.record_reported_unreachable()
         else:
-            self._queries.record_reachable()
+            self._scatter_gather.record_reachable()
 
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Return the answer to one request of a caller."""
         request_services = self._request_services
         if not await self._wait_for_initial_state(request) or self.table is None:
             return request_services.refuse(
-                request, request_services.not_run("no_configuration")
+                request, request_services.not_run_reply("no_configuration")
             )
         route = self.table.find(request.host, request.path)
         if route is None:
@@ -145,9 +145,11 @@
             )
         if not self._reachability.can_serve(route):
             self.report_readiness()
-            return request_services.refuse(request, request_services.unreachable())
+            return request_services.refuse(
+                request, request_services.unreachable_reply()
+            )
         if route.gathering is not None:
-            return await self._queries.answer(request, route, route.gathering)
+            return await self._scatter_gather.answer(request, route, route.gathering)
         return await self._forward(request, route)
 
     async def answer_instance(self, request: InboundRequest) -> CallerReply:
@@ -159,9 +161,9 @@
         if query is None:
             return CallerReply(400, [], b"", "not_delegated")
         if not await self._wait_for_initial_state(query.request):
-            reply = self._request_services.not_run("no_configuration")
+            reply = self._request_services.not_run_reply("no_configuration")
             return self._request_services.refuse(request, reply)
-        return await self._queries.answer_delegated(query)
+        return await self._scatter_gather.answer_delegated(query)
 
     async def _wait_for_initial_state(self, request: InboundRequest) -> bool:
         """Wait briefly for the initial state; return whether it is complete.
@@ -210,7 +212,7 @@
             return _pass_through(call.reply, "answered")
         if not call.may_have_run:
             reason = call.last_error or "not_sent"
-            return self._request_services.not_run(reason, call.retry_after_ms)
+            return self._request_services.not_run_reply(reason, call.retry_after_ms)
         if call.failure is not None and _may_pass_through(call.failure):
             return _pass_through(call.failure, "server_failed")
         if call.last_error:
--- a/ibisfront/gateway/load/cold_start_limit.py
+++ b/ibisfront/gateway/load/cold_start_limit.py
@@ -27,7 +27,7 @@
 def cold_share(
     server_id: str,
     *,
-    own: str,
+    own_name: str,
     senders: Collection[str],
     bound_per_s: float,
 ) -> int:
@@ -41,14 +41,14 @@
     ----------
     server_id : str
         Id of the server.
-    own : str
+    own_name : str
         Name of this instance.
     senders : collection of str
         Names of the instances that send to the server; others send nothing.
     bound_per_s : float
         Requests per second that the server may receive from all of them.
     """
-    if own not in senders:
+    if own_name not in senders:
         return 0
     total = int(bound_per_s * _USED_SHARE)
     count = len(senders)
@@ -58,9 +58,9 @@
     def rank(name: str) -> bytes:
         return hashlib.blake2b(f"{server_id} {name}".encode()).digest()
 
-    own_rank = rank(own)
-    before = sum(rank(name) < own_rank for name in senders if name != own)
-    return int(before < total)
+    own_rank = rank(own_name)
+    preceding = sum(rank(name) < own_rank for name in senders if name != own_name)
+    return int(preceding < total)
 
 
 class ColdStartLimit:
--- a/ibisfront/gateway/load/reachability.py
+++ b/ibisfront/gateway/load/reachability.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ibisfront.gateway.route_state import retain_routes
+from ibisfront.gateway.route_state import keep_routes
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -69,11 +69,11 @@
             self._cache[route.name] = cached
         return cached.can_serve
 
-    def retain(self, names: Container[str]) -> None:
+    def keep(self, names: Container[str]) -> None:
         """Drop the cached results of all routes except these."""
-        retain_routes(self._cache, names)
+        keep_routes(self._cache, names)
 
-    def is_isolated(self, table: RouteTable) -> bool:
+    def is_partitioned(self, table: RouteTable) -> bool:
         """Return whether this instance is partitioned and cannot serve the routes.
 
         A service that is down everywhere must not count as a partition: every
--- a/ibisfront/gateway/load/retry_budget.py
+++ b/ibisfront/gateway/load/retry_budget.py
@@ -41,8 +41,8 @@
         "_bounds",
         "_bucket",
         "_bucket_ms",
-        "_extras",
-        "_primaries",
+        "_extras_by_bucket",
+        "_primaries_by_bucket",
         "extras",
         "primaries",
     )
@@ -51,8 +51,8 @@
         self._bounds = bounds
         self._bucket_ms = bounds.extra_window_ms / _BUCKETS
         self._bucket = 0
-        self._primaries = [0] * (_BUCKETS + 1)
-        self._extras = [0] * (_BUCKETS + 1)
+        self._primaries_by_bucket = [0] * (_BUCKETS + 1)
+        self._extras_by_bucket = [0] * (_BUCKETS + 1)
         self.primaries = 0
         self.extras = 0
 
@@ -64,19 +64,19 @@
         a service may get too few extra attempts for one window, never too many.
         """
         if bounds.extra_window_ms != self._bounds.extra_window_ms:
-            size = len(self._primaries)
+            size = len(self._primaries_by_bucket)
             self._bucket_ms = bounds.extra_window_ms / _BUCKETS
             self._bucket = int(now_ms / self._bucket_ms)
-            self._primaries = [0] * size
-            self._extras = [0] * size
-            self._extras[self._bucket % size] = self.extras
+            self._primaries_by_bucket = [0] * size
+            self._extras_by_bucket = [0] * size
+            self._extras_by_bucket[self._bucket % size] = self.extras
             self.primaries = 0
         self._bounds = bounds
 
     def record_primary(self, now_ms: float) -> None:
         """Count the primary sub-request of a request."""
         self._advance(now_ms)
-        self._primaries[self._bucket % len(self._primaries)] += 1
+        self._primaries_by_bucket[self._bucket % len(self._primaries_by_bucket)] += 1
         self.primaries += 1
 
     def try_spend(self, now_ms: float, *, senders: float) -> bool:
@@ -95,7 +95,7 @@
         allowed += self._bounds.extra_allowance / senders
         if self.extras + 1 > allowed * _SAFETY_FACTOR:
             return False
-        self._extras[self._bucket % len(self._extras)] += 1
+        self._extras_by_bucket[self._bucket % len(self._extras_by_bucket)] += 1
         self.extras += 1
         return True
 
@@ -104,13 +104,13 @@
         steps = bucket - self._bucket
         if steps <= 0:
             return
-        size = len(self._primaries)
+        size = len(self._primaries_by_bucket)
         for number in range(1, min(steps, size) + 1):
             index = (self._bucket + number) % size
-            self.primaries -= self._primaries[index]
-            self.extras -= self._extras[index]
-            self._primaries[index] = 0
-            self._extras[index] = 0
+            self.primaries -= self._primaries_by_bucket[index]
+            self.extras -= self._extras_by_bucket[index]
+            self._primaries_by_bucket[index] = 0
+            self._extras_by_bucket[index] = 0
         self._bucket = bucket
 
 
--- a/ibisfront/gateway/load/weighted_round_robin.py
+++ b/ibisfront/gateway/load/weighted_round_robin.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.route_state import retain_routes
+from ibisfront.gateway.route_state import keep_routes
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -45,4 +45,4 @@
 
     def keep(self, names: Container[str]) -> None:
         """Drop the credits of all routes except these."""
-        retain_routes(self._credits, names)
+        keep_routes(self._credits, names)
--- a/ibisfront/gateway/queries/coordinated_query.py
+++ b/ibisfront/gateway/queries/coordinated_query.py
@@ -80,7 +80,7 @@
         "_start_liveness_probe",
         "_start_remote",
         "_tried",
-        "_unreachable",
+        "_unreachable_count",
         "_woken",
         "ended_unresponsive",
         "remote",
@@ -108,7 +108,7 @@
         self._may_retry = may_retry
         self._has_retried = False
         self._may_have_run = False
-        self._unreachable = 0
+        self._unreachable_count = 0
         self._tried: list[Server] = []
         self._woken = trio.Event()
         self.ended_unresponsive = False
@@ -188,17 +188,17 @@
             if self._has_retried or not self._may_retry:
                 return None
             self._has_retried = True
-        self._unreachable += remote.is_unreachable
-        if self._unreachable >= _MAX_UNREACHABLE:
+        self._unreachable_count += remote.servers_unreachable
+        if self._unreachable_count >= _MAX_UNREACHABLE:
             return None
         if len(self._tried) >= _MAX_REFUSALS:
             return None
         plan = self._next_plan(self._tried)
         if plan is not None:
             cause = "refused" if remote.is_refused else "lost"
-            name = plan.peer.entry.server_id
+            peer_id = plan.peer.entry.server_id
             now_ms = self._context.clock.now_ms()
-            self._context.trace.record(now_ms, "gathered_again", "", name, cause)
+            self._context.trace.record(now_ms, "gathered_again", "", peer_id, cause)
         return plan
 
     async def _wait_for(self, remote: RemoteCall) -> bool:
--- a/ibisfront/gateway/queries/delegated_query.py
+++ b/ibisfront/gateway/queries/delegated_query.py
@@ -15,9 +15,9 @@
 __all__ = [
     "DelegatedQuery",
     "format_delegated_query",
-    "is_unreachable",
     "parse_delegated_query",
     "parse_signatures",
+    "reports_servers_unreachable",
     "service_bitmask",
     "signatures_header",
     "unreachable_header",
@@ -92,7 +92,7 @@
         return None
 
 
-def is_unreachable(reply: BackendReply) -> bool:
+def reports_servers_unreachable(reply: BackendReply) -> bool:
     """Return whether an instance refused because it cannot reach the servers."""
     return any(name.lower() == _UNREACHABLE for name, _ in reply.headers)
 
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -10,7 +10,7 @@
 from ibisfront.gateway.load.baseline_latency import BaselineLatency
 from ibisfront.gateway.load.server_choice import choose_server
 from ibisfront.gateway.queries.remote_call import RemotePlan
-from ibisfront.gateway.route_state import retain_routes
+from ibisfront.gateway.route_state import keep_routes
 from ibisfront.gateway.state.configuration import Gathering
 
 if TYPE_CHECKING:
@@ -155,10 +155,10 @@
             and now_ms >= peer.not_before_ms
         ]
 
-    def retain(self, names: Container[str]) -> None:
+    def keep(self, names: Container[str]) -> None:
         """Drop the state of all other routes."""
-        retain_routes(self._baselines, names)
-        retain_routes(self._placements, names)
+        keep_routes(self._baselines, names)
+        keep_routes(self._placements, names)
 
     def _baseline(self, route: Route) -> BaselineLatency:
         baseline = self._baselines.get(route.name)
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -77,7 +77,7 @@
         "_is_falling_back",
         "_is_past_end",
         "_liveness_probe",
-        "_needed",
+        "_needed_parts",
         "_plan",
         "_remote_plan",
         "_remote_started_ms",
@@ -126,7 +126,7 @@
             if name not in delegated
         ]
         self._all_calls = list(self.calls)
-        self._needed = gathering.needed_parts
+        self._needed_parts = gathering.needed_parts
         self._started_ms = context.clock.now_ms()
         self.ended_unresponsive = False
         self.remote: RemoteCall | None = None
@@ -149,7 +149,7 @@
     @property
     def has_enough_parts(self) -> bool:
         """Whether the parts received suffice for an answer."""
-        return self.received_parts >= self._needed
+        return self.received_parts >= self._needed_parts
 
     @property
     def was_sent(self) -> bool:
@@ -192,7 +192,7 @@
         """Query every service until the plan ends the query."""
         if self._remote_plan is not None:
             self._start_remote_call(self._remote_plan)
-        self._start(self.calls)
+        self._start_calls(self.calls)
         while not self._is_done():
             now_ms = self._context.clock.now_ms()
             if now_ms > self._wake_at_ms + LATE_WAKE_UP_MS:
@@ -239,7 +239,7 @@
     def _remote_parts(self) -> int:
         return 0 if self.remote is None else len(self.remote.signatures)
 
-    def _start(self, calls: list[ServiceCall]) -> None:
+    def _start_calls(self, calls: list[ServiceCall]) -> None:
         # One clock reading serves all parts; a reading costs as much as a step of
         # sending a part.
         now_ms = self._context.clock.now_ms()
@@ -318,7 +318,7 @@
         open_parts = sum(call.is_open for call in self._all_calls)
         if self.remote is not None and self.remote.is_open:
             open_parts += len(self.remote.services)
-        shortfall = self._needed - self.received_parts - open_parts
+        shortfall = self._needed_parts - self.received_parts - open_parts
         if shortfall <= 0:
             return math.inf
         latest_ms = self._plan.give_up_at_ms - self._context.baseline.median_ms
@@ -393,7 +393,7 @@
         if not remote.may_have_run:
             # The request may be queued for a connection and must not be sent later.
             remote.end(at_once=True)
-            self._start(self._fallback_calls)
+            self._start_calls(self._fallback_calls)
             return
         for call in self._fallback_calls:
             if call.attempts_cover_all_servers:
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -12,8 +12,8 @@
 from ibisfront.gateway.queries.delegated_query import (
     DelegatedQuery,
     format_delegated_query,
-    is_unreachable,
     parse_signatures,
+    reports_servers_unreachable,
     service_bitmask,
 )
 from ibisfront.gateway.servers.exchange import Exchange
@@ -83,7 +83,7 @@
         The greatest records of these parts.
     is_refused : bool
         Whether the instance has not run the query and will not.
-    is_unreachable : bool
+    servers_unreachable : bool
         Whether it refused because it cannot reach the servers.
     """
 
@@ -93,8 +93,8 @@
         "_on_change",
         "_plan",
         "is_refused",
-        "is_unreachable",
         "records",
+        "servers_unreachable",
         "services",
         "signatures",
     )
@@ -110,7 +110,7 @@
         self.signatures: list[bytes] = []
         self.records = b""
         self.is_refused = False
-        self.is_unreachable = False
+        self.servers_unreachable = False
 
     @property
     def peer(self) -> Server:
@@ -118,7 +118,7 @@
         return self._plan.peer
 
     @property
-    def peer_name(self) -> str:
+    def peer_id(self) -> str:
         """The id of the instance called."""
         return self._plan.peer.entry.server_id
 
@@ -152,8 +152,8 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any server may have run the request on its behalf."""
-        sent = self._exchange is not None and self._exchange.sent_at_ms is not None
-        return sent and not self.is_refused
+        was_sent = self._exchange is not None and self._exchange.sent_at_ms is not None
+        return was_sent and not self.is_refused
 
     def start(
         self,
@@ -207,7 +207,7 @@
                 is_repeat=is_repeat,
             )
             encode_for = wire.encode_request(format_delegated_query(query))
-            return encode_for(self.peer_name, give_up_at_ms - at_ms)
+            return encode_for(self.peer_id, give_up_at_ms - at_ms)
 
         self._exchange = Exchange(
             self._plan.peer,
@@ -256,7 +256,9 @@
 
     def _apply_reply(self, reply: BackendReply) -> None:
         self.is_refused = reply.status == _UNAVAILABLE
-        self.is_unreachable = self.is_refused and is_unreachable(reply)
+        self.servers_unreachable = self.is_refused and reports_servers_unreachable(
+            reply
+        )
         signatures = parse_signatures(reply)
         if reply.status == _OK and signatures:
             self.signatures = signatures
--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -125,7 +125,7 @@
         self._unreachable_until_ms = -math.inf
 
     @property
-    def is_unreachable(self) -> bool:
+    def servers_unreachable(self) -> bool:
         """Whether the coordinators used by this instance cannot reach the servers.
 
         It queries no servers itself and would not detect a partition of its zone.
@@ -167,14 +167,14 @@
         route = None if table is None else table.find(request.host, request.path)
         if route is None or route.gathering is None:
             return request_services.refuse(
-                request, request_services.not_run("no_gathering_route")
+                request, request_services.not_run_reply("no_gathering_route")
             )
         if route.gathering.digest != query.gathering:
             return request_services.refuse(
-                request, request_services.not_run("other_gathering")
+                request, request_services.not_run_reply("other_gathering")
             )
         if query.is_whole and not self._reachability.can_serve(route):
-            reply = request_services.unreachable()
+            reply = request_services.unreachable_reply()
             reply.headers.append(unreachable_header())
             return request_services.refuse(request, reply)
         gathering = _delegated_gathering(query, route.gathering)
@@ -208,7 +208,7 @@
             run = await self._run_coordinated(pending, remote_plan)
         else:
             run = await self._run_locally(pending, remote_plan)
-        if run.remote is not None and run.remote.is_unreachable:
+        if run.remote is not None and run.remote.servers_unreachable:
             self.record_unreachable()
         reply = self._caller_reply(run, gathering)
         request_services.record(request, route, reply, context, parts=_parts_text(run))
@@ -226,7 +226,7 @@
         route = request_services.table.find(request.host, request.path)
         if route is None or route.gathering is None:
             return request_services.refuse(
-                request, request_services.not_run(_NO_COORDINATOR)
+                request, request_services.not_run_reply(_NO_COORDINATOR)
             )
         return await self._gather(request, route, route.gathering)
 
@@ -350,10 +350,10 @@
 
     def _refusal(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         """Return the refusal of a query for which no sub-request was sent."""
-        if run.remote is not None and run.remote.is_unreachable:
-            return self._request_services.unreachable()
+        if run.remote is not None and run.remote.servers_unreachable:
+            return self._request_services.unreachable_reply()
         reason = _NO_COORDINATOR if isinstance(run, CoordinatedQuery) else "no_server"
-        return self._request_services.not_run(reason)
+        return self._request_services.not_run_reply(reason)
 
     def _failure_reply(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         if not run.was_sent:
@@ -374,7 +374,7 @@
         """
         request_services = self._request_services
         table = request_services.table
-        if table is None or not self._reachability.is_isolated(table):
+        if table is None or not self._reachability.is_partitioned(table):
             return CallerReply(status, [], b"", reason, closes=closes)
         now_ms = request_services.clock.now_ms()
         request_services.rotation.record(is_ready=False, now_ms=now_ms)
@@ -384,7 +384,9 @@
         return CallerReply(status, [retry_after], b"", reason, closes=True)
 
 
-def _delegated_gathering(query: DelegatedQuery, whole: Gathering) -> Gathering:
+def _delegated_gathering(
+    query: DelegatedQuery, route_gathering: Gathering
+) -> Gathering:
     """Return the gathering to run for another instance.
 
     Any number of delegated parts is useful there, since it has the others from
@@ -393,11 +395,13 @@
     fail, although the missing ones were about to arrive and a late answer still has
     value: it runs until there are enough.
     """
-    services = query.select(whole.services)
-    coverage = whole.minimum_coverage
+    services = query.select(route_gathering.services)
+    coverage = route_gathering.minimum_coverage
     if not query.is_whole:
         coverage = query.minimum_parts / max(len(services), 1)
-    return msgspec.structs.replace(whole, services=services, minimum_coverage=coverage)
+    return msgspec.structs.replace(
+        route_gathering, services=services, minimum_coverage=coverage
+    )
 
 
 def _parts_text(run: GatherRun | CoordinatedQuery) -> str:
@@ -407,4 +411,4 @@
     if run.remote is None:
         return text
     delegated = len(run.remote.services)
-    return f"{text}; {len(run.remote.signatures)}/{delegated} by {run.remote.peer_name}"
+    return f"{text}; {len(run.remote.signatures)}/{delegated} by {run.remote.peer_id}"
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -202,8 +202,8 @@
             return False
         context.counters.add(CounterKind.RETRIES, cause)
         context.trace.extras += 1
-        name = server.entry.server_id
-        context.trace.record(now_ms, "sent_again", self.service, name, cause)
+        server_id = server.entry.server_id
+        context.trace.record(now_ms, "sent_again", self.service, server_id, cause)
         self._submit(server, now_ms)
         return True
 
@@ -324,9 +324,9 @@
             self._record_error(exchange)
         if self.last_error and not exchange.is_abandoned and not self.is_settled:
             now_ms = self._context.clock.now_ms()
-            name = server.entry.server_id
+            server_id = server.entry.server_id
             self._context.trace.record(
-                now_ms, "failed", self.service, name, self.last_error
+                now_ms, "failed", self.service, server_id, self.last_error
             )
         if not exchange.is_abandoned:
             self._on_change(self)
--- a/ibisfront/gateway/request_services.py
+++ b/ibisfront/gateway/request_services.py
@@ -123,19 +123,21 @@
             is_repeat=is_repeat,
         )
 
-    def not_run(self, reason: str, retry_after_ms: float | None = None) -> CallerReply:
+    def not_run_reply(
+        self, reason: str, retry_after_ms: float | None = None
+    ) -> CallerReply:
         """Return a refusal that promises that the request will not run."""
         wait_ms = _RETRY_AFTER_MS if retry_after_ms is None else retry_after_ms
         return CallerReply(_UNAVAILABLE, [self.wire.retry_after(wait_ms)], b"", reason)
 
-    def unreachable(self) -> CallerReply:
+    def unreachable_reply(self) -> CallerReply:
         """Return the refusal if too few servers of a route are reachable.
 
         An instance in another zone can serve the caller once the balancer
         sends it there.
         """
         wait_ms = self.rotation.wait_ms(self.clock.now_ms())
-        reply = self.not_run("out_of_reach", wait_ms)
+        reply = self.not_run_reply("out_of_reach", wait_ms)
         reply.closes = True
         return reply
 
--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -18,7 +18,7 @@
     "RouteStates",
     "caller_deadline_at_ms",
     "give_up_at_ms",
-    "retain_routes",
+    "keep_routes",
 ]
 
 _T = TypeVar("_T")
@@ -36,7 +36,7 @@
 """Time before its caller's deadline at which a request gets its final answer."""
 
 
-def retain_routes(by_name: dict[str, _T], names: Container[str]) -> None:
+def keep_routes(by_name: dict[str, _T], names: Container[str]) -> None:
     """Delete the entries of all routes except these.
 
     Routes are added and removed with each version; entries of removed routes would
@@ -101,7 +101,7 @@
 
     def keep(self, names: Container[str]) -> None:
         """Drop the states of all routes except these."""
-        retain_routes(self._by_name, names)
+        keep_routes(self._by_name, names)
 
 
 def caller_deadline_at_ms(request: InboundRequest, route: Route) -> float:
--- a/ibisfront/tests/test_gateway_coordinated_query.py
+++ b/ibisfront/tests/test_gateway_coordinated_query.py
@@ -20,9 +20,9 @@
     is_refused = True
     signatures = ()
 
-    def __init__(self, plan, *, is_unreachable):
+    def __init__(self, plan, *, servers_unreachable):
         self.peer = plan.peer
-        self.is_unreachable = is_unreachable
+        self.servers_unreachable = servers_unreachable
 
     def end(self, *, at_once):
         pass
@@ -36,7 +36,7 @@
 class CoordinatedQueryTest(unittest.TestCase):
     """Retries of a query that coordinators refuse."""
 
-    async def count_requests(self, *, is_unreachable):
+    async def count_requests(self, *, servers_unreachable):
         """Return how many coordinators receive a query if all refuse it."""
         route = gather_route(4)
         fixture = GatewayFixture(route)
@@ -47,7 +47,7 @@
 
             def start_remote(plan, is_repeat, on_change):
                 requests.append(is_repeat)
-                return RefusingRemote(plan, is_unreachable=is_unreachable)
+                return RefusingRemote(plan, servers_unreachable=servers_unreachable)
 
             query = CoordinatedQuery(
                 route.gathering,
@@ -67,7 +67,7 @@
     @trio_test
     async def test_query_is_retried_while_coordinators_are_outdated(self):
         """Guards against refusals while both coordinators of a zone are outdated."""
-        self.assertEqual(await self.count_requests(is_unreachable=False), 4)
+        self.assertEqual(await self.count_requests(servers_unreachable=False), 4)
 
     @trio_test
     async def test_partitioned_zone_refuses_at_once(self):
@@ -76,7 +76,7 @@
         Both coordinators of the zone report the servers unreachable. The query must not
         wait for coordinators in other zones, which are behind the partition.
         """
-        self.assertEqual(await self.count_requests(is_unreachable=True), 2)
+        self.assertEqual(await self.count_requests(servers_unreachable=True), 2)
 
 
 class FakeLivenessProbe:
--- a/ibisfront/tests/test_gateway_many_routes.py
+++ b/ibisfront/tests/test_gateway_many_routes.py
@@ -47,7 +47,7 @@
     registry = CountingRegistry(clock=Clock(), make_pool=lambda server: None, zone="z0")
     for service in sorted(table.service_names):
         registry.put(ServerEntry(service, service, "10.0.0.1:80", "z0"))
-    Reachability(registry=registry, clock=Clock()).is_isolated(table)
+    Reachability(registry=registry, clock=Clock()).is_partitioned(table)
     return registry.checks
 
 
--- a/properties/test_cold_start_limit_properties.py
+++ b/properties/test_cold_start_limit_properties.py
@@ -22,7 +22,7 @@
         """Guards against a cold server overloaded by all instances together."""
         senders = [f"i{number}" for number in range(count)]
         shares = [
-            cold_share("s", own=own, senders=senders, bound_per_s=bound_per_s)
+            cold_share("s", own_name=own, senders=senders, bound_per_s=bound_per_s)
             for own in senders
         ]
         self.assertLessEqual(sum(shares), bound_per_s)
@@ -34,5 +34,7 @@
     def test_instance_that_is_no_sender_has_no_share(self, bound_per_s, count):
         """Guards against requests in excess of the shares of the bound."""
         senders = [f"i{number}" for number in range(count)]
-        share = cold_share("s", own="other", senders=senders, bound_per_s=bound_per_s)
+        share = cold_share(
+            "s", own_name="other", senders=senders, bound_per_s=bound_per_s
+        )
         self.assertEqual(share, 0)
