--- a/benchmarks/gather_cost.py
+++ b/benchmarks/gather_cost.py
@@ -21,10 +21,10 @@
 from ibisfront.core.clock import Clock
 from ibisfront.core.logs import LOGGER_NAME
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.gateway_context import GatewayContext
 from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.messages import InboundRequest
 from ibisfront.gateway.observability import Observer
-from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
 from ibisfront.gateway.servers.server_entry import ServerEntry
@@ -112,7 +112,7 @@
     for name in route.service_names:
         registry.put(ServerEntry(name, name, address, "z", 2))
     gateway = Gateway(
-        RequestServices(
+        GatewayContext(
             registry=registry,
             budgets=RetryBudgets(Bounds(extra_allowance=0.0), instances=1),
             wire=WIRE,
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -15,6 +15,7 @@
 from ibisfront.front.connections import Connections
 from ibisfront.front.store_watches import watch_store
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.gateway_context import GatewayContext
 from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import (
     ASSUMED_INSTANCES,
@@ -27,7 +28,6 @@
 from ibisfront.gateway.messages import CallerReply
 from ibisfront.gateway.observability import Observer
 from ibisfront.gateway.queries.delegation import Delegation
-from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.server_event_log import ServerEventLog
 from ibisfront.gateway.servers.server_registry import ServerRegistry
 from ibisfront.gateway.state.configuration import CallerLimits, RouteTable
@@ -200,7 +200,7 @@
             clock=clock,
         )
         self.gateway = Gateway(
-            RequestServices(
+            GatewayContext(
                 registry=self.registry,
                 budgets=self.budgets,
                 wire=WIRE,
--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -6,6 +6,11 @@
 
 import trio
 
+from ibisfront.gateway.gateway_context import (
+    BAD_GATEWAY,
+    GATEWAY_TIMEOUT,
+    GatewayContext,
+)
 from ibisfront.gateway.instances.liveness_probe import answer_liveness_probe
 from ibisfront.gateway.load.reachability import Reachability
 from ibisfront.gateway.load.weighted_round_robin import WeightedRoundRobin
@@ -13,11 +18,6 @@
 from ibisfront.gateway.queries.delegated_query import parse_delegated_query
 from ibisfront.gateway.queries.forwarding import ForwardRun
 from ibisfront.gateway.queries.scatter_gather import ScatterGather
-from ibisfront.gateway.request_services import (
-    BAD_GATEWAY,
-    GATEWAY_TIMEOUT,
-    RequestServices,
-)
 from ibisfront.gateway.route_state import give_up_at_ms
 
 if TYPE_CHECKING:
@@ -32,7 +32,8 @@
 store counts as unavailable."""
 
 _STARTUP_WAIT_SHARE = 0.25
-"""Share of its deadline that a caller waits for that: it can still go elsewhere."""
+"""Share of its deadline that a caller waits for the initial state; there is still
+time to try another instance."""
 
 _NOT_RUN_STATUSES = (408, 421, 429, 503)
 
@@ -42,45 +43,45 @@
 
     Parameters
     ----------
-    request_services : RequestServices
-        The components that all requests share.
+    gateway_context : GatewayContext
+        The context that all requests share.
     delegation : Delegation, optional
         Delegates to other instances the sub-requests to servers in their zones.
     """
 
     __slots__ = (
         "_delegation",
+        "_gateway_context",
         "_initial_state_loaded",
         "_reachability",
-        "_request_services",
         "_round_robin",
         "_scatter_gather",
         "_started_ms",
     )
 
     def __init__(
-        self, request_services: RequestServices, *, delegation: Delegation | None = None
+        self, gateway_context: GatewayContext, *, delegation: Delegation | None = None
     ) -> None:
-        self._request_services = request_services
+        self._gateway_context = gateway_context
         self._delegation = delegation
         self._reachability = Reachability(
-            registry=request_services.registry, clock=request_services.clock
+            registry=gateway_context.registry, clock=gateway_context.clock
         )
         self._scatter_gather = ScatterGather(
-            self._request_services, delegation, self._reachability
+            self._gateway_context, delegation, self._reachability
         )
         self._round_robin = WeightedRoundRobin()
         self._initial_state_loaded = trio.Event()
-        self._started_ms = request_services.clock.now_ms()
+        self._started_ms = gateway_context.clock.now_ms()
 
     @property
     def table(self) -> RouteTable | None:
         """The configuration in force; None until the first is loaded."""
-        return self._request_services.table
+        return self._gateway_context.table
 
     @table.setter
     def table(self, table: RouteTable) -> None:
-        self._request_services.apply_table(table)
+        self._gateway_context.apply_table(table)
         self._reachability.keep(table.route_names)
         self._round_robin.keep(table.route_names)
         if self._delegation is not None:
@@ -91,9 +92,10 @@
     def has_initial_state(self) -> bool:
         """Whether the configuration, the servers and the evacuated zones are loaded.
 
-        Without them, a restarted instance would send to servers that must get nothing.
+        Without them, a restarted instance would send to servers that must get no
+        requests.
         """
-        return self.table is not None and self._request_services.registry.is_initialized
+        return self.table is not None and self._gateway_context.registry.is_initialized
 
     def resume_waiting_requests(self) -> None:
         """Resume the waiting requests, if the initial state is complete."""
@@ -110,8 +112,8 @@
     def report_readiness(self) -> bool:
         """Return whether the balancer should send callers here, and record it."""
         is_ready = self.is_ready
-        now_ms = self._request_services.clock.now_ms()
-        self._request_services.rotation.record(is_ready=is_ready, now_ms=now_ms)
+        now_ms = self._gateway_context.clock.now_ms()
+        self._gateway_context.rotation.record(is_ready=is_ready, now_ms=now_ms)
         return is_ready
 
     @property
@@ -133,36 +135,34 @@
 
     async def answer(self, request: InboundRequest) -> CallerReply:
         """Return the answer to one request of a caller."""
-        request_services = self._request_services
+        gateway_context = self._gateway_context
         if not await self._wait_for_initial_state(request) or self.table is None:
-            return request_services.refuse(
-                request, request_services.not_run_reply("no_configuration")
+            return gateway_context.refuse(
+                request, gateway_context.not_run_reply("no_configuration")
             )
         route = self.table.find(request.host, request.path)
         if route is None:
-            return request_services.refuse(
+            return gateway_context.refuse(
                 request, CallerReply(404, [], b"", "no_route")
             )
         if not self._reachability.can_serve(route):
             self.report_readiness()
-            return request_services.refuse(
-                request, request_services.unreachable_reply()
-            )
+            return gateway_context.refuse(request, gateway_context.unreachable_reply())
         if route.gathering is not None:
             return await self._scatter_gather.answer(request, route, route.gathering)
         return await self._forward(request, route)
 
     async def answer_instance(self, request: InboundRequest) -> CallerReply:
         """Return the answer to another instance: query parts or a liveness reply."""
-        liveness_reply = answer_liveness_probe(request, self._request_services.wire)
+        liveness_reply = answer_liveness_probe(request, self._gateway_context.wire)
         if liveness_reply is not None:
             return liveness_reply
         query = parse_delegated_query(request)
         if query is None:
             return CallerReply(400, [], b"", "not_delegated")
         if not await self._wait_for_initial_state(query.request):
-            reply = self._request_services.not_run_reply("no_configuration")
-            return self._request_services.refuse(request, reply)
+            reply = self._gateway_context.not_run_reply("no_configuration")
+            return self._gateway_context.refuse(request, reply)
         return await self._scatter_gather.answer_delegated(query)
 
     async def _wait_for_initial_state(self, request: InboundRequest) -> bool:
@@ -174,7 +174,7 @@
         """
         if self.has_initial_state:
             return True
-        clock = self._request_services.clock
+        clock = self._gateway_context.clock
         deadline_ms = request.deadline_ms
         wait_ms = self._started_ms + _STARTUP_MS - clock.now_ms()
         if deadline_ms is not None:
@@ -184,24 +184,24 @@
         return self.has_initial_state
 
     async def _forward(self, request: InboundRequest, route: Route) -> CallerReply:
-        request_services = self._request_services
+        gateway_context = self._gateway_context
         service = self._round_robin.next_service(route)
-        context = request_services.context(request, route)
+        context = gateway_context.call_context(request, route)
         run = ForwardRun(
             service,
             context,
-            hedge_at_ms=request_services.clock.now_ms() + context.baseline.late_ms,
+            hedge_at_ms=gateway_context.clock.now_ms() + context.baseline.late_ms,
             give_up_at_ms=give_up_at_ms(request, route),
         )
         try:
             await run.run()
         except trio.Cancelled:
             run.end(at_once=True)
-            request_services.record_cancelled(request, route, context)
+            gateway_context.record_cancelled(request, route, context)
             raise
         run.end(at_once=not route.is_idempotent)
         reply = self._forwarding_reply(run)
-        request_services.record(
+        gateway_context.record(
             request, route, reply, context, parts=run.call.last_error
         )
         return reply
@@ -212,7 +212,7 @@
             return _pass_through(call.reply, "answered")
         if not call.may_have_run:
             reason = call.last_error or "not_sent"
-            return self._request_services.not_run_reply(reason, call.retry_after_ms)
+            return self._gateway_context.not_run_reply(reason, call.retry_after_ms)
         if call.failure is not None and _may_pass_through(call.failure):
             return _pass_through(call.failure, "server_failed")
         if call.last_error:
@@ -227,7 +227,7 @@
 def _may_pass_through(reply: BackendReply) -> bool:
     """Return whether a server's failure may be passed to the caller unchanged.
 
-    Some statuses promise that the request did not run, which a server that ran it
-    does not mean; a body with a content encoding is not from the server itself.
+    Some statuses would promise that the request did not run, although the server ran
+    it; a body with a content encoding is not from the server itself.
     """
     return reply.status not in _NOT_RUN_STATUSES and not reply.is_encoded
--- a/ibisfront/gateway/request_services.py
+++ b/ibisfront/gateway/gateway_context.py
@@ -1,4 +1,4 @@
-"""Shared services for answering requests: contexts, refusals, records."""
+"""Context shared by all requests: components, refusals, records of requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from ibisfront.gateway.state.configuration import Route, RouteTable
     from ibisfront.gateway.wire import WireCodec
 
-__all__ = ["BAD_GATEWAY", "GATEWAY_TIMEOUT", "RequestServices"]
+__all__ = ["BAD_GATEWAY", "GATEWAY_TIMEOUT", "GatewayContext"]
 
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
@@ -31,7 +31,7 @@
 tried again, short compared with a deadline."""
 
 
-class RequestServices:
+class GatewayContext:
     """Components that forwarded requests and scatter-gather queries share.
 
     Parameters
@@ -54,7 +54,7 @@
     table : RouteTable or None
         The configuration in force; None until the first is loaded.
     rotation : Rotation
-        How soon the balancer sends callers elsewhere.
+        How soon the balancer sends callers to other instances.
     """
 
     __slots__ = (
@@ -97,7 +97,7 @@
         self.states.keep(table.route_names)
         self._observer.latencies.keep(table.route_names)
 
-    def context(
+    def call_context(
         self, request: InboundRequest, route: Route, *, is_repeat: bool = False
     ) -> CallContext:
         """Return the context that all sub-requests of a request share."""
@@ -126,12 +126,20 @@
     def not_run_reply(
         self, reason: str, retry_after_ms: float | None = None
     ) -> CallerReply:
-        """Return a refusal that promises that the request will not run."""
+        """Return a refusal that promises that the request will not run.
+
+        Parameters
+        ----------
+        reason : str
+            The cause, for the log and the counters.
+        retry_after_ms : float, optional
+            Time after which the caller should retry.
+        """
         wait_ms = _RETRY_AFTER_MS if retry_after_ms is None else retry_after_ms
         return CallerReply(_UNAVAILABLE, [self.wire.retry_after(wait_ms)], b"", reason)
 
     def unreachable_reply(self) -> CallerReply:
-        """Return the refusal if too few servers of a route are reachable.
+        """Return the refusal for a route with too few reachable servers.
 
         An instance in another zone can serve the caller once the balancer
         sends it there.
--- a/ibisfront/gateway/load/baseline_latency.py
+++ b/ibisfront/gateway/load/baseline_latency.py
@@ -17,7 +17,7 @@
 """Samples between two refreshes; sorting them costs less than a sub-request."""
 
 _LATE_QUANTILE = 0.92
-"""Quantile of the latencies above which a hedged request pays."""
+"""Quantile of the latencies above which a hedged request pays off."""
 
 _MIN_LATE_FACTOR = 1.4
 """Lower bound of the late threshold, in medians: work varies by a third."""
@@ -27,7 +27,7 @@
 
 _UNLOADED_GROWTH = 1.002
 """Growth of the unloaded latency at each refresh. With about ten refreshes a second,
-a lasting rise in the cost of work is adopted after some ten seconds."""
+a lasting rise in the cost of work is adopted after about ten seconds."""
 
 _LOADED_FACTOR = 1.25
 """Ratio of baseline to unloaded latency above which the servers count as loaded. Used
@@ -37,7 +37,7 @@
 """Share of replies reporting queued requests above which the servers are loaded."""
 
 _QUEUED_WEIGHT = 0.02
-"""Smoothing weight of one reply in that share: some fifty replies, half a query."""
+"""Smoothing weight of one reply in that share: about fifty replies, half a query."""
 
 _SIZE_WEIGHT = 0.02
 """Smoothing weight of one reply in the mean body size."""
@@ -47,7 +47,7 @@
     """Recent latencies of one route's sub-requests over all servers.
 
     The servers of a route do the same work, so the twenty replies of one query
-    are enough for an estimate; each server is rated by its ratio to that.
+    are enough for an estimate; each server is rated relative to it.
 
     Parameters
     ----------
@@ -59,11 +59,11 @@
     median_ms : float
         Median of the recent latencies.
     late_ms : float
-        Time after which a hedged request pays.
+        Time after which a hedged request pays off.
     unloaded_ms : float
         Baseline latency without queueing: a slowly rising minimum of the median.
     reply_bytes : float
-        Smoothed size of a reply's body.
+        Smoothed size of a reply's body, in bytes.
     """
 
     __slots__ = (
--- a/ibisfront/gateway/load/gather_plan.py
+++ b/ibisfront/gateway/load/gather_plan.py
@@ -33,7 +33,8 @@
 
 _SILENCE_FACTOR = 2.2
 """Silence, in late thresholds, after which a query without any reply is taken to be
-partitioned from all of its servers; its caller still has time to go elsewhere."""
+partitioned from all of its servers; its caller still has time to try another
+instance."""
 
 _SILENCE_SHARE = 0.2
 """Lower bound of the silence, as a share of the latency objective."""
@@ -61,7 +62,7 @@
     silent_at_ms : float
         When the query is abandoned if no server has replied since its start.
     remote_silent_at_ms : float
-        The same for another instance that is requested to provide parts.
+        The same for the instance to which parts are delegated.
     """
 
     hedge_at_ms: float
@@ -79,7 +80,7 @@
     baseline: BaselineLatency,
     objective_ms: float,
 ) -> GatherPlan:
-    """Return the times at which a query acts that ends at ``end_at_ms``."""
+    """Return the times at which a query started at ``now_ms`` acts."""
     return GatherPlan(
         hedge_at_ms=now_ms + _hedge_after_ms(end_at_ms - now_ms, baseline),
         end_at_ms=end_at_ms,
--- a/ibisfront/gateway/load/reachability.py
+++ b/ibisfront/gateway/load/reachability.py
@@ -1,4 +1,4 @@
-"""Which routes can be served with the servers that are reachable."""
+"""Detection of routes without enough reachable servers, and of partitions."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     """Detects routes that cannot be served and an instance that is partitioned.
 
     An instance in a zone that is partitioned from all servers would keep every
-    caller waiting until its deadline. Refused at once, a caller can go to
+    caller waiting until its deadline. Refused at once, a caller can try
     another instance; and once this one fails the balancer's readiness check,
     callers are sent to other zones.
 
--- a/ibisfront/gateway/load/retry_budget.py
+++ b/ibisfront/gateway/load/retry_budget.py
@@ -28,13 +28,18 @@
 
     Every sub-request to a service after the first one of a request is extra:
     hedged requests and retries, including those that the server rejects. The
-    ratio applies to this instance's own requests, which needs no coordination
-    as the ratios add up; the allowance is split over the instances.
+    ratio applies to this instance's own requests: if each instance keeps it,
+    all together do. The allowance is split over the instances.
 
     Parameters
     ----------
     bounds : Bounds
         The deployment's bounds.
+
+    Attributes
+    ----------
+    primaries, extras : int
+        Primary and extra sub-requests in the window.
     """
 
     __slots__ = (
--- a/ibisfront/gateway/load/server_choice.py
+++ b/ibisfront/gateway/load/server_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the server of a service that gets a request.
+"""Choice of a server of a service for a request.
 
 Load pattern: the servers of a service differ. Some are slow for seconds, some pause,
 some share their machine with others, some are cold, some fail; and one is in the same
@@ -52,7 +52,7 @@
 one baseline request that completes first."""
 
 _MAX_REPORTED_DELAY = 5.0
-"""Upper bound of the delay by a reported work factor; more is not trusted."""
+"""Upper bound of the delay due to a reported work factor; more is not trusted."""
 
 
 def server_cost(server: Server, now_ms: float, baseline_ms: float) -> float:
@@ -84,7 +84,7 @@
 
 
 def _reported_delay(server: Server, now_ms: float) -> float:
-    """Return the delay by load on the server's machine, in baseline latencies.
+    """Return the delay due to load on the server's machine, in baseline latencies.
 
     Load pattern: other processes on its machine slow its work fourfold for half a
     second. The first reply of that period reports it, before the next is slow.
@@ -99,7 +99,7 @@
 def choose_server(
     servers: list[Server], tried: list[Server], *, now_ms: float, baseline_ms: float
 ) -> Server | None:
-    """Return the server of least expected cost that has not been tried yet.
+    """Return the cheapest server that may be used and was not tried, or None.
 
     Parameters
     ----------
--- a/ibisfront/gateway/messages.py
+++ b/ibisfront/gateway/messages.py
@@ -44,8 +44,8 @@
     arrived_at_ms : float
         When its last byte was read, by the tier's clock.
     network_ms : float
-        What the network adds to the caller's wait: the connect, if there was
-        one, and the round trip.
+        Time that the network adds to the caller's wait: the round trip, and the
+        connect if there was one.
     closes : bool
         Whether the caller closes the connection after the answer.
     """
@@ -85,7 +85,7 @@
     not_run : bool
         Whether the server states that it did not run the request.
     is_other_server : bool
-        Whether it did not because it is not the intended server.
+        Whether it did not run it because it is not the intended server.
     is_encoded : bool
         Whether the body has a content encoding that was not requested.
     closes : bool
@@ -93,7 +93,7 @@
     idle_timeout_ms : float or None
         How long the server keeps an idle connection open.
     retry_after_ms : float or None
-        Time after which the server asks for a retry.
+        Time after which the server allows a retry.
     load : ServerLoad or None
         The server's load, if reported.
     has_unreadable_load : bool
@@ -157,7 +157,7 @@
     status : int
         The HTTP status.
     headers : list of Header
-        Headers other than those of length and connection.
+        Headers other than those for length and connection.
     body : bytes
         The complete body.
     reason : str
--- a/ibisfront/gateway/queries/delegated_query.py
+++ b/ibisfront/gateway/queries/delegated_query.py
@@ -43,8 +43,8 @@
     gathering : str
         The digest of the sender's gathering.
     services : int
-        Bit mask of the requested services: bit ``n`` is the ``n``-th of the
-        route's list.
+        Bit mask of the requested services: bit ``n``, counted from 0, stands for
+        ``services[n]`` of the route's gathering.
     objective_remaining_ms : float
         Time after which to answer with the parts received.
     is_whole : bool
@@ -108,7 +108,7 @@
 
 
 def format_delegated_query(query: DelegatedQuery) -> InboundRequest:
-    """Return the request to send for a delegated query; the inverse of parsing."""
+    """Return the request that :func:`parse_delegated_query` parses to this query."""
     headers: list[Header] = [
         *query.request.headers,
         (_GATHERING, query.gathering.encode("ascii")),
--- a/ibisfront/gateway/queries/delegation.py
+++ b/ibisfront/gateway/queries/delegation.py
@@ -171,7 +171,7 @@
     def _services_by_zone(
         self, route: Route, gathering: Gathering, now_ms: float
     ) -> dict[str, tuple[str, ...]]:
-        """Return the services in other zones only, by the zones with most of them."""
+        """Return services of other zones only, for the zones with the most of them."""
         placement = self._placements.get(route.name)
         # A new version may list other services for the same route; a placement used
         # beyond its version would mix parts of both in one answer.
--- a/ibisfront/gateway/queries/gather_run.py
+++ b/ibisfront/gateway/queries/gather_run.py
@@ -27,7 +27,7 @@
 __all__ = ["GatherRun"]
 
 _MIN_HEDGE_BASELINES = 1.15
-"""Least time before the end of a query at which it is hedged, in baseline latencies;
+"""Minimum time left in a query for it to be hedged, in baseline latencies;
 replies to later hedged requests would arrive too late."""
 
 _READ_PAUSE_MS = 1.0
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -32,8 +32,8 @@
 zones, at most 1.4 ms each way, and the processing of its answer."""
 
 _RETURN_MARGIN_PER_PART_MS = 0.06
-"""The same for each part: the last parts arrive together, and to read, merge and sign
-one takes this long on half a core."""
+"""The same for each part: the last parts arrive together, and reading, merging
+and signing one takes this long on half a core."""
 
 _UNAVAILABLE = 503
 _OK = 200
@@ -222,9 +222,9 @@
         self._plan.peer.pool.submit(self._exchange)
 
     def _minimum_parts(self, gathering: Gathering) -> int:
-        """Return the number of its parts without which the query must fail.
+        """Return how many of the delegated parts the query needs.
 
-        The other instance waits for at least these. If it ended at the latency
+        The other instance waits for at least this many. If it ended at the latency
         objective with one part too few, the whole query would fail with most of its
         deadline left.
         """
--- a/ibisfront/gateway/queries/scatter_gather.py
+++ b/ibisfront/gateway/queries/scatter_gather.py
@@ -10,6 +10,7 @@
 import msgspec
 import trio
 
+from ibisfront.gateway.gateway_context import BAD_GATEWAY, GATEWAY_TIMEOUT
 from ibisfront.gateway.instances.liveness_probe import liveness_prober
 from ibisfront.gateway.load.gather_plan import gather_plan
 from ibisfront.gateway.messages import CallerReply
@@ -21,10 +22,10 @@
 from ibisfront.gateway.queries.gather_run import GatherRun
 from ibisfront.gateway.queries.records import top_records
 from ibisfront.gateway.queries.remote_call import RemoteCall
-from ibisfront.gateway.request_services import BAD_GATEWAY, GATEWAY_TIMEOUT
 from ibisfront.gateway.route_state import give_up_at_ms
 
 if TYPE_CHECKING:
+    from ibisfront.gateway.gateway_context import GatewayContext
     from ibisfront.gateway.load.reachability import Reachability
     from ibisfront.gateway.messages import InboundRequest
     from ibisfront.gateway.queries.coordinated_query import StartRemoteCall
@@ -32,7 +33,6 @@
     from ibisfront.gateway.queries.delegation import Delegation
     from ibisfront.gateway.queries.remote_call import RemotePlan
     from ibisfront.gateway.queries.service_call import CallContext
-    from ibisfront.gateway.request_services import RequestServices
     from ibisfront.gateway.state.configuration import Gathering, Route
 
 __all__ = ["ScatterGather"]
@@ -94,8 +94,8 @@
 
     Parameters
     ----------
-    request_services : RequestServices
-        Shared objects and helpers for answering requests.
+    gateway_context : GatewayContext
+        The context that all requests share.
     delegation : Delegation or None
         Selects parts to delegate to other instances.
     reachability : Reachability
@@ -104,21 +104,21 @@
 
     __slots__ = (
         "_delegation",
+        "_gateway_context",
         "_reachability",
-        "_request_services",
         "_start_liveness_probe",
         "_unreachable_until_ms",
     )
 
     def __init__(
         self,
-        request_services: RequestServices,
+        gateway_context: GatewayContext,
         delegation: Delegation | None,
         reachability: Reachability,
     ) -> None:
-        self._request_services = request_services
+        self._gateway_context = gateway_context
         self._start_liveness_probe = liveness_prober(
-            request_services.wire, request_services.clock
+            gateway_context.wire, gateway_context.clock
         )
         self._delegation = delegation
         self._reachability = reachability
@@ -130,7 +130,7 @@
 
         It queries no servers itself and would not detect a partition of its zone.
         """
-        return self._request_services.clock.now_ms() < self._unreachable_until_ms
+        return self._gateway_context.clock.now_ms() < self._unreachable_until_ms
 
     def record_unreachable(self) -> None:
         """Record that a coordinator refused because it cannot reach the servers."""
@@ -141,10 +141,10 @@
         self._mark_unreachable(_REPORTED_UNREACHABLE_MS)
 
     def _mark_unreachable(self, duration_ms: float) -> None:
-        now_ms = self._request_services.clock.now_ms()
+        now_ms = self._gateway_context.clock.now_ms()
         until_ms = max(self._unreachable_until_ms, now_ms + duration_ms)
         self._unreachable_until_ms = until_ms
-        self._request_services.rotation.record(is_ready=False, now_ms=now_ms)
+        self._gateway_context.rotation.record(is_ready=False, now_ms=now_ms)
 
     def record_reachable(self) -> None:
         """Record that the coordinators can reach the servers."""
@@ -161,44 +161,46 @@
 
     async def answer_delegated(self, query: DelegatedQuery) -> CallerReply:
         """Return the parts of a query that another instance delegates."""
-        request_services = self._request_services
+        gateway_context = self._gateway_context
         request = query.request
-        table = request_services.table
+        table = gateway_context.table
         route = None if table is None else table.find(request.host, request.path)
         if route is None or route.gathering is None:
-            return request_services.refuse(
-                request, request_services.not_run_reply("no_gathering_route")
+            return gateway_context.refuse(
+                request, gateway_context.not_run_reply("no_gathering_route")
             )
         if route.gathering.digest != query.gathering:
-            return request_services.refuse(
-                request, request_services.not_run_reply("other_gathering")
+            return gateway_context.refuse(
+                request, gateway_context.not_run_reply("other_gathering")
             )
         if query.is_whole and not self._reachability.can_serve(route):
-            reply = request_services.unreachable_reply()
+            reply = gateway_context.unreachable_reply()
             reply.headers.append(unreachable_header())
-            return request_services.refuse(request, reply)
+            return gateway_context.refuse(request, reply)
         gathering = _delegated_gathering(query, route.gathering)
         end_at_ms = request.arrived_at_ms + query.objective_remaining_ms
-        context = request_services.context(request, route, is_repeat=query.is_repeat)
+        context = gateway_context.call_context(
+            request, route, is_repeat=query.is_repeat
+        )
         pending = _PendingQuery(request, route, gathering, context, end_at_ms)
         remote_plan = None
         if query.is_whole and self._delegation is not None:
             remote_plan = self._delegation.plan_remote_zone(route, gathering)
         run = await self._run_locally(pending, remote_plan)
         reply = self._delegated_reply(run, gathering)
-        request_services.record(request, route, reply, context, parts=_parts_text(run))
+        gateway_context.record(request, route, reply, context, parts=_parts_text(run))
         # The other instance matches the reply to its query by this header.
-        reply.headers.append(request_services.wire.request_id(request.request_id))
+        reply.headers.append(gateway_context.wire.request_id(request.request_id))
         return reply
 
     async def _gather(
         self, request: InboundRequest, route: Route, gathering: Gathering
     ) -> CallerReply:
-        request_services = self._request_services
-        end_at_ms = request_services.states.for_route(route).objective_at_ms(
+        gateway_context = self._gateway_context
+        end_at_ms = gateway_context.states.for_route(route).objective_at_ms(
             request, route
         )
-        context = request_services.context(request, route)
+        context = gateway_context.call_context(request, route)
         pending = _PendingQuery(request, route, gathering, context, end_at_ms)
         remote_plan = None
         if self._delegation is not None:
@@ -211,7 +213,7 @@
         if run.remote is not None and run.remote.servers_unreachable:
             self.record_unreachable()
         reply = self._caller_reply(run, gathering)
-        request_services.record(request, route, reply, context, parts=_parts_text(run))
+        gateway_context.record(request, route, reply, context, parts=_parts_text(run))
         return reply
 
     async def _retry_gather(self, request: InboundRequest) -> CallerReply:
@@ -220,13 +222,13 @@
         Coordinators accept only queries with a gathering equal to their own. All
         instances receive a new version at nearly the same time.
         """
-        request_services = self._request_services
-        await request_services.clock.sleep_ms(_VERSION_SKEW_MS)
-        assert request_services.table is not None
-        route = request_services.table.find(request.host, request.path)
+        gateway_context = self._gateway_context
+        await gateway_context.clock.sleep_ms(_VERSION_SKEW_MS)
+        assert gateway_context.table is not None
+        route = gateway_context.table.find(request.host, request.path)
         if route is None or route.gathering is None:
-            return request_services.refuse(
-                request, request_services.not_run_reply(_NO_COORDINATOR)
+            return gateway_context.refuse(
+                request, gateway_context.not_run_reply(_NO_COORDINATOR)
             )
         return await self._gather(request, route, route.gathering)
 
@@ -236,7 +238,7 @@
         """Run a query on this instance."""
         context = pending.context
         plan = gather_plan(
-            self._request_services.clock.now_ms(),
+            self._gateway_context.clock.now_ms(),
             end_at_ms=pending.effective_end_at_ms,
             give_up_at_ms=pending.give_up_at_ms,
             baseline=context.baseline,
@@ -264,7 +266,7 @@
         """Run a query on a coordinator.
 
         This instance sends no sub-requests: there are too few connections for every
-        instance, and it would take them from the coordinators.
+        instance, and the coordinators need them.
         """
         assert self._delegation is not None
         run = CoordinatedQuery(
@@ -291,24 +293,24 @@
             await run.run()
         except trio.Cancelled:
             run.end(at_once=True)
-            self._request_services.record_cancelled(
+            self._gateway_context.record_cancelled(
                 pending.request, pending.route, pending.context
             )
             raise
 
     def _remote_starter(self, pending: _PendingQuery) -> StartRemoteCall:
         """Return a function that delegates parts of a query to another instance."""
-        request_services = self._request_services
+        gateway_context = self._gateway_context
 
         def start(
             remote_plan: RemotePlan, is_repeat: bool, on_change: Callable[[], None]
         ) -> RemoteCall:
             remote = RemoteCall(
-                remote_plan, clock=request_services.clock, on_change=on_change
+                remote_plan, clock=gateway_context.clock, on_change=on_change
             )
             remote.start(
                 pending.request,
-                wire=request_services.wire,
+                wire=gateway_context.wire,
                 gathering=pending.gathering,
                 rank=pending.route.rank,
                 end_at_ms=pending.effective_end_at_ms,
@@ -324,7 +326,7 @@
     def _uses_coordinators(self) -> bool:
         """Whether only some instances run scatter-gather.
 
-        They have little capacity for duplicate work, so that delegated parts are
+        They have little capacity for duplicate work, so delegated parts are
         requested directly only if the other instance is lost.
         """
         return self._delegation is not None and self._delegation.uses_coordinators
@@ -337,7 +339,7 @@
         signatures, bodies = run.answer()
         missing = run.total_parts - len(signatures)
         body = top_records(bodies, gathering.top_count)
-        headers = self._request_services.wire.gathered_headers(signatures, missing)
+        headers = self._gateway_context.wire.gathered_headers(signatures, missing)
         return CallerReply(200, headers, body, "partial" if missing else "whole")
 
     def _delegated_reply(self, run: GatherRun, gathering: Gathering) -> CallerReply:
@@ -351,9 +353,9 @@
     def _refusal(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         """Return the refusal of a query for which no sub-request was sent."""
         if run.remote is not None and run.remote.servers_unreachable:
-            return self._request_services.unreachable_reply()
+            return self._gateway_context.unreachable_reply()
         reason = _NO_COORDINATOR if isinstance(run, CoordinatedQuery) else "no_server"
-        return self._request_services.not_run_reply(reason)
+        return self._gateway_context.not_run_reply(reason)
 
     def _failure_reply(self, run: GatherRun | CoordinatedQuery) -> CallerReply:
         if not run.was_sent:
@@ -372,14 +374,14 @@
         If this instance is partitioned, the caller's retry can succeed only after
         the load balancer has switched to another zone.
         """
-        request_services = self._request_services
-        table = request_services.table
+        gateway_context = self._gateway_context
+        table = gateway_context.table
         if table is None or not self._reachability.is_partitioned(table):
             return CallerReply(status, [], b"", reason, closes=closes)
-        now_ms = request_services.clock.now_ms()
-        request_services.rotation.record(is_ready=False, now_ms=now_ms)
-        retry_after = request_services.wire.retry_after(
-            request_services.rotation.wait_ms(now_ms)
+        now_ms = gateway_context.clock.now_ms()
+        gateway_context.rotation.record(is_ready=False, now_ms=now_ms)
+        retry_after = gateway_context.wire.retry_after(
+            gateway_context.rotation.wait_ms(now_ms)
         )
         return CallerReply(status, [retry_after], b"", reason, closes=True)
 
@@ -389,8 +391,8 @@
 ) -> Gathering:
     """Return the gathering to run for another instance.
 
-    Any number of delegated parts is useful there, since it has the others from
-    elsewhere; only those without which the query fails are awaited past the latency
+    Any number of delegated parts is useful there, since the others come from other
+    servers; only those without which the query fails are awaited past the latency
     objective. A whole query that ended at the objective with too few parts would
     fail, although the missing ones were about to arrive and a late answer still has
     value: it runs until there are enough.
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -35,7 +35,6 @@
 _CANCEL_SLOWNESS = 2.0
 """Slowness of a server above which abandoned requests are cancelled."""
 
-
 _RECONNECT_BYTES = 400.0
 """Traffic between zones of closing a connection and opening another, in bytes."""
 
@@ -48,7 +47,7 @@
     request_id : bytes
         The caller's id of this attempt.
     payload : callable
-        Returns the bytes to send, given the server and the time.
+        Returns the bytes to send, given the server and the time in milliseconds.
     is_idempotent : bool
         Whether the request may run more than once.
     attempts : int
@@ -107,6 +106,10 @@
         The reply that settled it.
     failure : BackendReply or None
         The last failure from a server that had run the request.
+    last_error : str
+        Cause of the last failed attempt; empty if none failed.
+    retry_after_ms : float or None
+        The retry-after time of the last "not run" reply, if it states one.
     attempts_sent : int
         Number of exchanges started.
     """
@@ -208,10 +211,10 @@
         return True
 
     def next_retry_at_ms(self, now_ms: float) -> float:
-        """Return when a retry is possible; infinite for never.
+        """Return when a retry is possible; infinite if it never is.
 
-        It is never after the budget was spent: the budget recovers over seconds, and
-        the caller gets an error at once instead of waiting for that.
+        None is possible once the budget is spent: the budget recovers over seconds,
+        and the caller gets an error at once instead of waiting for that.
         """
         if self._is_out_of_budget:
             return math.inf
--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -67,7 +67,7 @@
         self._longest_deadline_ms = 0.0
 
     def objective_at_ms(self, request: InboundRequest, route: Route) -> float:
-        """Return until when an answer meets the latency objective.
+        """Return the latest time at which an answer meets the latency objective.
 
         A caller's retry shows only in a shorter deadline: the difference from the
         longest one seen was spent on earlier attempts. If the objective can no
--- a/ibisfront/gateway/settings.py
+++ b/ibisfront/gateway/settings.py
@@ -14,7 +14,7 @@
 
 _SUBSCRIBER_RESERVE_MS = 1_500.0
 """Reserve for the subscribers of an instance that the store no longer serves: 0.6 s
-until its watch is overdue, then 0.8 s for other instances, which are requested in
+until its watch is overdue, then 0.8 s for other instances, which are queried in
 parallel and may wait for the store themselves, and the network latency to the store."""
 
 _CHANGE_SHARE = 0.8
@@ -42,15 +42,15 @@
     extra_window_ms : float
         Sliding window over which they are counted.
     extra_allowance : float
-        Additional extra sub-requests allowed in a window, from all instances
-        together.
+        Extra sub-requests allowed in a window besides the ratio, from all
+        instances together.
     evacuation_ms : float or None
         Time after which the servers of an evacuated zone must get no requests;
         None where zones are never evacuated.
     cold_excess : float
         Multiple of its warm-up rate that a cold server may get in a second.
     cold_slack : float
-        Requests that it may get in addition.
+        Requests that it may get in a second in addition.
     """
 
     stop_grace_ms: float = 6_000.0
@@ -73,7 +73,7 @@
 
         A silent connection is detected only after this wait. It must end early
         enough to reconnect and list again before the bounds hold again; each call
-        has a cost, so it is no shorter than that.
+        has a cost, so the wait is no shorter than necessary.
         """
         return max(self.contact_ms - _RECONNECT_RESERVE_MS, _RECONNECT_RESERVE_MS)
 
--- a/ibisfront/gateway/wire.py
+++ b/ibisfront/gateway/wire.py
@@ -28,8 +28,8 @@
     Attributes
     ----------
     decode_request : callable
-        Decodes a request, given the current time and the network's share of the
-        caller's wait, both in milliseconds.
+        Decodes a request, given the current time and the time that the network adds
+        to the caller's wait, both in milliseconds.
     encode_request : callable
         Returns the encoder of a request for a server.
     decode_reply : callable
--- a/ibisfront/lab/deployment.py
+++ b/ibisfront/lab/deployment.py
@@ -10,9 +10,9 @@
 
 from ibisfront.core.logs import LOGGER_NAME
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.gateway_context import GatewayContext
 from ibisfront.gateway.load.retry_budget import RetryBudgets
 from ibisfront.gateway.observability import Observer
-from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server_entry import ServerEntry
 from ibisfront.gateway.servers.server_registry import ServerRegistry
@@ -139,7 +139,7 @@
             extra_ratio=pattern.extra_ratio, extra_allowance=pattern.extra_allowance
         )
         gateway = Gateway(
-            RequestServices(
+            GatewayContext(
                 registry=registry,
                 budgets=RetryBudgets(bounds, instances=pattern.gatherers),
                 wire=LAB_WIRE,
--- a/ibisfront/testing/gateway_fixture.py
+++ b/ibisfront/testing/gateway_fixture.py
@@ -12,6 +12,7 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.gateway_context import GatewayContext
 from ibisfront.gateway.instances.zone_path_monitor import ZonePathMonitor
 from ibisfront.gateway.instances.zone_paths import ZonePaths
 from ibisfront.gateway.load.retry_budget import RetryBudgets
@@ -22,7 +23,6 @@
     InboundRequest,
 )
 from ibisfront.gateway.observability import Observer
-from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
 from ibisfront.gateway.servers.server_entry import ServerEntry
@@ -312,14 +312,14 @@
             for servers in self.servers.values():
                 for server in servers:
                     self.registry.put(server.entry)
-            self.request_services = RequestServices(
+            self.gateway_context = GatewayContext(
                 registry=self.registry,
                 budgets=self.budgets,
                 wire=WIRE,
                 clock=self.clock,
                 observer=self.observer,
             )
-            self.gateway = Gateway(self.request_services)
+            self.gateway = Gateway(self.gateway_context)
             limits = CallerLimits()
             configuration = Configuration(1, self.routes, self._services, limits)
             self.gateway.table = RouteTable(configuration)
--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -13,6 +13,7 @@
 
 from ibisfront.core.clock import Clock
 from ibisfront.gateway.gateway import Gateway
+from ibisfront.gateway.gateway_context import GatewayContext
 from ibisfront.gateway.instances.coordinators import Coordinators
 from ibisfront.gateway.instances.directory import InstanceEntry
 from ibisfront.gateway.load.retry_budget import RetryBudgets
@@ -20,7 +21,6 @@
 from ibisfront.gateway.observability import Observer
 from ibisfront.gateway.queries.delegated_query import parse_delegated_query
 from ibisfront.gateway.queries.delegation import Delegation
-from ibisfront.gateway.request_services import RequestServices
 from ibisfront.gateway.servers.pool import ServerPool
 from ibisfront.gateway.servers.server import Server
 from ibisfront.gateway.servers.server_entry import ServerEntry
@@ -242,7 +242,7 @@
             if other != zone:
                 peers.put(ServerEntry(f"instance-{other}", other, other, other))
         return Gateway(
-            RequestServices(
+            GatewayContext(
                 registry=registry,
                 budgets=RetryBudgets(Bounds(extra_allowance=1000.0), instances=1),
                 wire=WIRE,
--- a/ibisfront/tests/test_gateway_coordinated_query.py
+++ b/ibisfront/tests/test_gateway_coordinated_query.py
@@ -42,7 +42,7 @@
         fixture = GatewayFixture(route)
         async with fixture.running():
             request = InboundRequest(b"GET", b"/", "h", "r", 900.0, [], b"", 0.0)
-            context = fixture.request_services.context(request, route)
+            context = fixture.gateway_context.call_context(request, route)
             requests = []
 
             def start_remote(plan, is_repeat, on_change):
