--- a/ibisfront/gateway/load/retry_budget.py
+++ b/ibisfront/gateway/load/retry_budget.py
@@ -28,8 +28,8 @@
 
     Every sub-request to a service after the first one of a request is extra:
     hedged requests and retries, including those that the server rejects. The
-    ratio applies to this instance's own requests: if each instance keeps it,
-    all together do. The allowance is split over the instances.
+    ratio applies to this instance's own requests, which needs no coordination:
+    if each instance keeps it, all do. The allowance is split over the instances.
 
     Parameters
     ----------
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -213,8 +213,8 @@
     def next_retry_at_ms(self, now_ms: float) -> float:
         """Return when a retry is possible; infinite if it never is.
 
-        None is possible once the budget is spent: the budget recovers over seconds,
-        and the caller gets an error at once instead of waiting for that.
+        No retry is possible once the budget is spent: it recovers over seconds, and the
+        caller gets an error at once instead of waiting for that.
         """
         if self._is_out_of_budget:
             return math.inf
