--- a/ibisfront/gateway/gateway.py
+++ b/ibisfront/gateway/gateway.py
@@ -82,10 +82,10 @@
     @table.setter
     def table(self, table: RouteTable) -> None:
         self._gateway_context.apply_table(table)
-        self._reachability.keep(table.route_names)
-        self._round_robin.keep(table.route_names)
+        self._reachability.retain(table.route_names)
+        self._round_robin.retain(table.route_names)
         if self._delegation is not None:
-            self._delegation.keep(table.route_names)
+            self._delegation.retain(table.route_names)
         self.resume_waiting_requests()
 
     @property
--- a/ibisfront/gateway/load/reachability.py
+++ b/ibisfront/gateway/load/reachability.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ibisfront.gateway.route_state import keep_routes
+from ibisfront.gateway.route_state import retain_routes
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -69,9 +69,9 @@
             self._cache[route.name] = cached
         return cached.can_serve
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Drop the cached results of all routes except these."""
-        keep_routes(self._cache, names)
+        retain_routes(self._cache, names)
 
     def is_partitioned(self, table: RouteTable) -> bool:
         """Return whether this instance is partitioned and cannot serve the routes.
--- a/ibisfront/gateway/load/weighted_round_robin.py
+++ b/ibisfront/gateway/load/weighted_round_robin.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.route_state import keep_routes
+from ibisfront.gateway.route_state import retain_routes
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -43,6 +43,6 @@
         credits[chosen] -= total
         return chosen
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Drop the credits of all routes except these."""
-        keep_routes(self._credits, names)
+        retain_routes(self._credits, names)
--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -18,7 +18,7 @@
     "RouteStates",
     "caller_deadline_at_ms",
     "give_up_at_ms",
-    "keep_routes",
+    "retain_routes",
 ]
 
 _T = TypeVar("_T")
@@ -36,7 +36,7 @@
 """Time before its caller's deadline at which a request gets its final answer."""
 
 
-def keep_routes(by_name: dict[str, _T], names: Container[str]) -> None:
+def retain_routes(by_name: dict[str, _T], names: Container[str]) -> None:
     """Delete the entries of all routes except these.
 
     Routes are added and removed with each version; entries of removed routes would
@@ -99,9 +99,9 @@
             state = self._by_name[route.name] = RouteState(route)
         return state
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Drop the states of all routes except these."""
-        keep_routes(self._by_name, names)
+        retain_routes(self._by_name, names)
 
 
 def caller_deadline_at_ms(request: InboundRequest, route: Route) -> float:
