--- a/ibisfront/front/daemon.py
+++ b/ibisfront/front/daemon.py
@@ -84,7 +84,7 @@
             listen(settings.peers_address, process.answer_peer, process.peer_limits)
             _join_instances(settings, process, nursery, stack, clock)
         else:
-            process.state_sync.record_listed()
+            process.state_sync.record_first_poll()
         nursery.start_soon(process.state_sync.run)
         nursery.start_soon(process.run_maintenance)
         nursery.start_soon(process.zone_path_monitor.run)
@@ -134,7 +134,7 @@
             directory,
             process.own,
             on_list=process.apply_instances,
-            on_first_attempt=process.state_sync.record_listed,
+            on_first_poll=process.state_sync.record_first_poll,
             is_needed=lambda: process.state_sync.watches_store,
             is_first_start=settings.is_first_start,
             clock=clock,
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -183,7 +183,7 @@
             connect=HttpStateClient,
             watch=partial(watch_store, self, clock=clock),
             apply=self.apply_state,
-            on_partitioned=self._record_partition,
+            on_partition_report=self._record_partition_report,
             on_unreachable=self._record_peer_unreachable,
             known_version=lambda: (
                 self._version if self.gateway.has_initial_state else 0
@@ -301,7 +301,7 @@
             self.connections.warm_up(self.registry)
         self.source.record_change()
 
-    def _record_partition(self, name: str, is_cut_off: bool) -> None:
+    def _record_partition_report(self, name: str, is_cut_off: bool) -> None:
         """Record whether another instance of the zone reports a partition.
 
         An instance that coordinates nothing sends no requests to servers and cannot
@@ -412,7 +412,7 @@
         counters.add(CounterKind.MEMBER_CHANGES, "evacuations")
         now_ms = self._clock.now_ms()
         for server in released:
-            server.return_cold(now_ms, warm_up_share=random.random())
+            server.resume_after_evacuation(now_ms, warm_up_share=random.random())
         self.connections.warm_up(self.registry)
         self.gateway.resume_waiting_requests()
 
--- a/ibisfront/gateway/instances/coordinators.py
+++ b/ibisfront/gateway/instances/coordinators.py
@@ -12,7 +12,7 @@
     from ibisfront.gateway.instances.directory import InstanceEntry
     from ibisfront.gateway.state.configuration import RouteTable
 
-__all__ = ["CONNECTIONS_SHARE", "Coordinators", "strongest_first"]
+__all__ = ["CONNECTIONS_SHARE", "Coordinators", "descending_capacity"]
 
 _MIN_CONNECTIONS = 2
 """Connections to each server that an instance needs to run scatter-gather itself: one
@@ -134,7 +134,7 @@
         """Return a zone's coordinators, at most as many as the connections allow."""
         listed = [item for item in self.instances if item.zone == zone]
         wanted = max(math.ceil(len(listed) / _INSTANCES_PER_COORDINATOR), _MIN_PER_ZONE)
-        chosen = sorted(listed, key=strongest_first)[: min(wanted, share)]
+        chosen = sorted(listed, key=descending_capacity)[: min(wanted, share)]
         return tuple(item.name for item in chosen)
 
 
@@ -151,6 +151,6 @@
     )
 
 
-def strongest_first(entry: InstanceEntry) -> tuple[float, bytes]:
+def descending_capacity(entry: InstanceEntry) -> tuple[float, bytes]:
     """Return a sort key: highest capacity first, ties by a hash of the name."""
     return -entry.capacity, hashlib.blake2b(entry.name.encode()).digest()
--- a/ibisfront/gateway/instances/directory.py
+++ b/ibisfront/gateway/instances/directory.py
@@ -86,7 +86,7 @@
     own: InstanceEntry,
     *,
     on_list: Callable[[Sequence[InstanceEntry]], None],
-    on_first_attempt: Callable[[], None],
+    on_first_poll: Callable[[], None],
     is_needed: Callable[[], bool],
     is_first_start: bool,
     clock: Clock,
@@ -102,7 +102,7 @@
     on_list : callable
         Called with all instances, this one included. Entries of instances that
         are gone make shares smaller, never too large.
-    on_first_attempt : callable
+    on_first_poll : callable
         Called once after the first read of the list, even if it failed.
     is_needed : callable
         Returns whether the list must be read here: a subscriber of another
@@ -127,7 +127,7 @@
                 is_registered = is_registered or own in listed
                 on_list(listed)
         if polls == 0:
-            on_first_attempt()
+            on_first_poll()
         is_registered = is_registered or await _register(directory, own)
         polls += 1
         wait_ms = (
--- a/ibisfront/gateway/load/reachability.py
+++ b/ibisfront/gateway/load/reachability.py
@@ -91,7 +91,7 @@
         for server in self._registry.servers():
             if server.is_near or not server.is_usable:
                 continue
-            if now_ms - server.last_seen_ms < _RECENT_MS:
+            if now_ms - server.last_seen_at_ms < _RECENT_MS:
                 return False
             unreachable += not server.is_reachable(now_ms)
         return unreachable >= _MIN_UNREACHABLE_SERVERS
--- a/ibisfront/gateway/queries/remote_call.py
+++ b/ibisfront/gateway/queries/remote_call.py
@@ -243,7 +243,7 @@
             peer.pool.record_ended(exchange)
         if exchange.reply is not None:
             baseline = self._plan.baseline
-            took_ms = now_ms - exchange.waits_since_ms
+            took_ms = now_ms - exchange.waiting_since_ms
             peer.record_reply(now_ms, took_ms=took_ms, baseline_ms=baseline.median_ms)
             baseline.record_ms(took_ms)
             self._apply_reply(exchange.reply)
--- a/ibisfront/gateway/queries/service_call.py
+++ b/ibisfront/gateway/queries/service_call.py
@@ -352,7 +352,7 @@
             return
         self._has_run = True
         if reply.is_success:
-            took_ms = now_ms - exchange.waits_since_ms
+            took_ms = now_ms - exchange.waiting_since_ms
             baseline = self._context.baseline
             server.record_reply(now_ms, took_ms=took_ms, baseline_ms=baseline.median_ms)
             baseline.record_ms(took_ms)
@@ -380,7 +380,7 @@
         elif exchange.is_cancelled:
             exchange.server.record_cancelled(
                 now_ms,
-                waited_ms=now_ms - exchange.waits_since_ms,
+                waited_ms=now_ms - exchange.waiting_since_ms,
                 baseline_ms=self._context.baseline.median_ms,
             )
         elif error.may_have_run:
--- a/ibisfront/gateway/servers/exchange.py
+++ b/ibisfront/gateway/servers/exchange.py
@@ -115,7 +115,7 @@
         return self.reply is not None or self.error is not None
 
     @property
-    def waits_since_ms(self) -> float:
+    def waiting_since_ms(self) -> float:
         """When it was sent, or created if it still waits for a connection."""
         return self.created_at_ms if self.sent_at_ms is None else self.sent_at_ms
 
--- a/ibisfront/gateway/servers/pool.py
+++ b/ibisfront/gateway/servers/pool.py
@@ -246,8 +246,8 @@
         self._server.record_connected(self._clock.now_ms())
         self._connections.add(connection)
         try:
-            self._offer(connection)
-            await connection.run(self._offer)
+            self._on_idle(connection)
+            await connection.run(self._on_idle)
         finally:
             self._connections.discard(connection)
             if connection in self._idle:
@@ -270,7 +270,7 @@
         for exchange in waiting:
             exchange.fail(kind)
 
-    def _offer(self, connection: ServerConnection) -> None:
+    def _on_idle(self, connection: ServerConnection) -> None:
         """Send the next exchange on a free connection, or keep it idle."""
         now_ms = self._clock.now_ms()
         while self._waiting and connection.is_idle:
@@ -299,12 +299,12 @@
                 connection.close()
                 self._replace(connection)
             else:
-                self._nursery.start_soon(self._close_late, connection, exchange)
+                self._nursery.start_soon(self._close_if_late, connection, exchange)
 
         exchange.on_abandon = on_abandon
         return True
 
-    async def _close_late(
+    async def _close_if_late(
         self, connection: ServerConnection, exchange: Exchange
     ) -> None:
         """Close a connection if an abandoned reply does not arrive in time."""
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -20,7 +20,7 @@
 """Weight of one reply in the smoothed slowness: a single pause does not make a server
 cost more than one in another zone; two slow replies do."""
 
-_LARGEST_RATIO = 5.0
+_MAX_LATENCY_RATIO = 5.0
 """Upper limit on the ratio of one reply to the route's baseline latency, so that a
 single pause does not look like a slow server."""
 
@@ -55,7 +55,7 @@
 """Silence of this many baseline latencies counts as a pause: twice the shortest time
 after which a healthy reply would be hedged."""
 
-_OVERDUE_FLOOR_MS = 8.0
+_OVERDUE_MARGIN_MS = 8.0
 """Added to that silence: the time that a busy process takes to read a reply."""
 
 
@@ -183,7 +183,7 @@
             self.cold_start_limit.record_sent(now_ms)
 
     @property
-    def last_seen_ms(self) -> float:
+    def last_seen_at_ms(self) -> float:
         """When it last sent a reply or accepted a connection."""
         return max(self.last_reply_at_ms, self.connected_at_ms)
 
@@ -203,7 +203,7 @@
         if not self.in_flight:
             return 0.0
         oldest = next(iter(self.in_flight))
-        return now_ms - max(oldest.waits_since_ms, self.last_reply_at_ms)
+        return now_ms - max(oldest.waiting_since_ms, self.last_reply_at_ms)
 
     def is_reachable(self, now_ms: float) -> bool:
         """Return whether it seems reachable, even if slow."""
@@ -212,7 +212,7 @@
         if not self.in_flight:
             return True
         oldest = next(iter(self.in_flight))
-        silent_ms = now_ms - max(oldest.waits_since_ms, self.last_seen_ms)
+        silent_ms = now_ms - max(oldest.waiting_since_ms, self.last_seen_at_ms)
         return silent_ms <= _silence_limit_ms(oldest)
 
     def is_overdue(self, now_ms: float, baseline_ms: float) -> bool:
@@ -221,7 +221,7 @@
         A paused server and a crashed one both show first as an overdue reply.
         Until it arrives, the other servers of the service are the better choice.
         """
-        limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_FLOOR_MS
+        limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_MARGIN_MS
         return self.silent_ms(now_ms) > limit_ms
 
     def update_entry(self, entry: ServerEntry, now_ms: float) -> None:
@@ -240,7 +240,7 @@
         if self.pool is not None:
             self.pool.release_waiting()
 
-    def return_cold(self, now_ms: float, *, warm_up_share: float) -> None:
+    def resume_after_evacuation(self, now_ms: float, *, warm_up_share: float) -> None:
         """Use it again after an evacuation, once a share of its warm-up has passed.
 
         Load pattern: all servers of a zone are cold and become usable at the same time.
@@ -285,8 +285,8 @@
         self.record_alive(now_ms)
         self._consecutive_losses = 0
         self.not_before_ms = -math.inf
-        ratio = min(took_ms / baseline_ms, _LARGEST_RATIO)
-        self._record_ratio(now_ms, ratio)
+        ratio = min(took_ms / baseline_ms, _MAX_LATENCY_RATIO)
+        self._record_latency_ratio(now_ms, ratio)
         self._failure_rate = self.failure_rate(now_ms) * (1.0 - _FAILURE_WEIGHT)
         self._failure_rate_at_ms = now_ms
 
@@ -299,9 +299,9 @@
         measured, would seem healthy again within seconds, and would get the next
         primary attempt.
         """
-        ratio = min(waited_ms / baseline_ms, _LARGEST_RATIO)
+        ratio = min(waited_ms / baseline_ms, _MAX_LATENCY_RATIO)
         if ratio > self.slowness(now_ms):
-            self._record_ratio(now_ms, ratio)
+            self._record_latency_ratio(now_ms, ratio)
 
     def record_refused(self, now_ms: float, retry_after_ms: float | None) -> None:
         """Record a reply which states that the request did not run."""
@@ -343,7 +343,7 @@
 
     def record_silent(self, now_ms: float, exchange: Exchange) -> None:
         """Record that a reply did not arrive while it was of use."""
-        if now_ms - self.last_seen_ms > _silence_limit_ms(exchange):
+        if now_ms - self.last_seen_at_ms > _silence_limit_ms(exchange):
             self._is_unreachable = True
         self.record_lost(now_ms)
 
@@ -367,7 +367,7 @@
             self.path.record_liveness()
         self._is_unreachable = False
 
-    def _record_ratio(self, now_ms: float, ratio: float) -> None:
+    def _record_latency_ratio(self, now_ms: float, ratio: float) -> None:
         """Record the latency of a reply in baseline latencies."""
         slowness = self.slowness(now_ms)
         self._slowness = slowness + _SLOWNESS_WEIGHT * (ratio - slowness)
--- a/ibisfront/gateway/state/configuration.py
+++ b/ibisfront/gateway/state/configuration.py
@@ -45,7 +45,7 @@
 
 @functools.lru_cache(maxsize=64)
 def _digest(services: tuple[str, ...], top_count: int) -> str:
-    """Return a digest; cached because hashing takes longer than a lookup."""
+    """Return their digest; cached because hashing takes longer than a lookup."""
     data = msgspec.json.encode((services, top_count))
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
@@ -74,8 +74,8 @@
         The tolerance absorbs rounding error: 0.89 * 100 is slightly greater than 89
         in floating point.
         """
-        share = self.minimum_coverage * len(self.services)
-        return max(math.ceil(share - 1e-9), 1)
+        parts = self.minimum_coverage * len(self.services)
+        return max(math.ceil(parts - 1e-9), 1)
 
     @property
     def digest(self) -> str:
@@ -99,7 +99,7 @@
     kind : RequestKind
         Whether its requests are idempotent.
     timeout_ms : float
-        Maximum time until a caller gets a reply.
+        Maximum time until a caller receives a reply.
     objective_ms : float
         Latency objective: a reply within this time has its full value.
     attempts : int
--- a/ibisfront/gateway/state/kind_watch.py
+++ b/ibisfront/gateway/state/kind_watch.py
@@ -40,14 +40,14 @@
 and for a new configuration are ten times longer."""
 
 _SHARED_RETRY_TIMEOUT_MS = 3_000.0
-"""Maximum time that the other watches wait for the one that retries, which the store
-may reject for reasons that do not apply to them."""
+"""Maximum time that the other watches wait for the one that retries: the store may
+reject that one for reasons that do not apply to them."""
 
 
 class StoreOutage:
     """Lets only one of several watches retry an unavailable store.
 
-    Each call has a cost, even a refused one, and a store that answers one watch of an
+    Each call has a cost, even a rejected one, and a store that answers one watch of an
     instance answers the others too.
 
     Parameters
@@ -102,7 +102,7 @@
         Maximum backoff while the store is unavailable.
     resume_delay_ms : float
         Pause after an outage before all kinds are listed. An instance that is not a
-        source usually finds one meanwhile and needs no listing.
+        source usually finds one during the pause and needs no listing.
     """
 
     was_unavailable: bool = False
--- a/ibisfront/gateway/state/relay_topology.py
+++ b/ibisfront/gateway/state/relay_topology.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ibisfront.gateway.instances.coordinators import strongest_first
+from ibisfront.gateway.instances.coordinators import descending_capacity
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -25,7 +25,7 @@
 class RelayTopology:
     """State sources that relay the store's state to other instances.
 
-    Each call of the store has a cost, and the permitted call rate grows more slowly
+    Each call to the store has a cost, and the permitted call rate grows more slowly
     than the number of instances. The first instance of each zone watches the store;
     the next ones are its standbys, in order. Each instance computes the order on its
     own from the same list. An outdated list costs extra calls but is harmless, since
@@ -76,11 +76,11 @@
             ]
             return
         by_zone: dict[str, list[InstanceEntry]] = {}
-        for item in sorted(instances, key=strongest_first):
+        for item in sorted(instances, key=descending_capacity):
             by_zone.setdefault(item.zone, []).append(item)
         local = by_zone.pop(self._own.zone, [])[:_SOURCES_PER_ZONE]
         self.neighbours = [
-            item for others in by_zone.values() for item in others[:_SOURCES_PER_ZONE]
+            item for remote in by_zone.values() for item in remote[:_SOURCES_PER_ZONE]
         ]
         names = [item.name for item in local]
         self.is_source = self._own.name in names
--- a/ibisfront/gateway/state/state_relay.py
+++ b/ibisfront/gateway/state/state_relay.py
@@ -54,8 +54,8 @@
 """Time allowed for the response beyond the long-poll time."""
 
 FRESH_WAIT_MS = 700.0
-"""How long a request waits while this instance has no answer of the store yet: listing
-two kinds takes some ten milliseconds, a start half a second."""
+"""How long a request waits while the store has not answered this instance yet: listing
+two kinds takes about ten milliseconds, a start half a second."""
 
 _FRESH_CHECK_INTERVAL_MS = 50.0
 """Interval between checks for that answer."""
@@ -130,8 +130,8 @@
         Last revision that the subscriber received from the source; 0 for none.
     known_version : int
         Configuration version active at the subscriber; 0 for none. Only with 0 does
-        a source that is not fresh send its state: sent at each source discovery
-        while the store is unavailable, it would saturate the links.
+        a source that is not fresh send its state, which would saturate the links if
+        sent at each source discovery while the store is unavailable.
     """
 
     known_revision: int
@@ -170,7 +170,7 @@
     """Serves the store's state to subscribers.
 
     A subscriber gets the changes since its revision. Complete lists at each change
-    would saturate a small link for seconds while a set of some hundred servers
+    would saturate a small link for seconds while a set of about a hundred servers
     starts, and delay queries on it.
 
     Parameters
@@ -243,11 +243,11 @@
     def notify_subscribers(self) -> None:
         """Answer all waiting requests at once.
 
-        To be called when the store stops serving this instance, so that subscribers
+        Must be called when the store stops serving this instance, so that subscribers
         choose another source, and when a partition from other zones begins or ends.
-        Otherwise an instance that is no coordinator would keep accepting callers for
-        the second that its request may wait, and the load balancer sends callers to
-        a zone as long as any of its instances is ready.
+        Otherwise an instance that is not a coordinator would accept callers for up to
+        the long-poll time of one second, and the load balancer sends callers to a
+        zone as long as any of its instances is ready.
         """
         self._changed.set()
         self._changed = trio.Event()
@@ -323,7 +323,8 @@
         """Return whether there is no change for a subscriber.
 
         If the subscriber's version changed while a request was pending, the change
-        sent may not apply; its next request then shows a version older than ours.
+        sent may not apply; its next request then states a version older than the
+        active one.
         """
         has_version = request.known_version >= self._version
         return has_version and request.known_revision == self._revision
@@ -348,7 +349,7 @@
         return self._encoded[key]
 
     async def _wait_until_fresh(self) -> None:
-        """Wait briefly for the store, which the subscriber would call otherwise."""
+        """Wait briefly for the store; the subscriber would otherwise call it itself."""
         until_ms = self._clock.now_ms() + FRESH_WAIT_MS
         while self._may_become_fresh() and self._clock.now_ms() < until_ms:
             await self._clock.sleep_ms(_FRESH_CHECK_INTERVAL_MS)
--- a/ibisfront/gateway/state/state_sync.py
+++ b/ibisfront/gateway/state/state_sync.py
@@ -44,10 +44,10 @@
 """The same while the store is unavailable: it may serve other instances already."""
 
 _SUBSCRIBER_MAXIMUM_BACKOFF_MS = 3_000.0
-"""Maximum backoff at the store for instances that are not sources. Nearly all
-instances are such, each refused call has a cost, and they learn of the recovery from
-the sources, which retry more often. It is below the contact time limit in case all
-sources are lost."""
+"""Maximum backoff at the store for instances that are not sources. They are nearly all
+instances, each rejected call has a cost, and the recovery is relayed by the sources,
+which retry more often. It is below the bound ``contact_ms`` in case all sources are
+lost."""
 
 _STARTUP_DISCOVERY_MS = 1_000.0
 """How long a starting instance searches for a source: after a power failure all
@@ -58,7 +58,7 @@
 
 _STANDBY_DISCOVERY_MS = 150.0
 """How long a starting standby searches, per source preferred to it: all other
-instances wait for it meanwhile."""
+instances wait for it during this time."""
 
 _NEXT_SOURCE_DELAY_MS = 60.0
 """Time without a response after which the next source is requested too: several
@@ -69,15 +69,15 @@
 instances, one in eighty such searches finds no fresh one."""
 
 _UNSERVED_THRESHOLD = 4
-"""Number of responding instances without an answer of the store, and none with one,
-that indicates a complete outage: three of the own zone may be rejected together."""
+"""Number of responding instances, none of which the store answers, that indicates a
+complete outage: three instances of one zone may be rejected together."""
 
 _OUTAGE_WAIT_MS = 6_000.0
-"""How long an instance that is no source does not call the store in such an outage."""
+"""How long an instance that is not a source avoids the store in a complete outage."""
 
 _NEIGHBOUR_SUBSCRIPTION_MS = 5_000.0
 """How long an instance subscribes to a neighbour before it retries the store. Outages
-that affect single instances last seconds, and each refused call has a cost."""
+that affect single instances last seconds, and each rejected call has a cost."""
 
 
 class _Source(msgspec.Struct):
@@ -131,7 +131,7 @@
         Watches the store for as long as the nursery runs, with these options.
     apply : callable
         Applies a state relayed by another instance.
-    on_partitioned : callable
+    on_partition_report : callable
         Called with each response of an instance of the zone: its name, and whether
         it is partitioned from the servers.
     on_unreachable : callable
@@ -155,14 +155,14 @@
         "_apply",
         "_clock",
         "_connect",
-        "_instances_listed",
+        "_first_poll_done",
         "_is_first_start",
         "_is_reported_partitioned",
         "_kind_count",
         "_known_version",
         "_mode",
         "_next_discovery_ms",
-        "_on_partitioned",
+        "_on_partition_report",
         "_on_unreachable",
         "_seeds",
         "_store_was_unavailable",
@@ -180,7 +180,7 @@
         connect: Callable[[Address], StateClient],
         watch: Callable[[trio.Nursery, WatchOptions], None],
         apply: Callable[[RelayedState], None],
-        on_partitioned: Callable[[str, bool], None],
+        on_partition_report: Callable[[str, bool], None],
         on_unreachable: Callable[[str], None],
         known_version: Callable[[], int],
         seeds: Sequence[Address],
@@ -193,17 +193,17 @@
         self._connect = connect
         self._watch = watch
         self._apply = apply
-        self._on_partitioned = on_partitioned
+        self._on_partition_report = on_partition_report
         self._on_unreachable = on_unreachable
         self._known_version = known_version
         self._seeds = seeds
         self._clock = clock
         self._mode = _Mode.SEEKING
-        self._instances_listed = trio.Event()
+        self._first_poll_done = trio.Event()
         self._watch_started_ms = -math.inf
         self._kind_count = 0
         self._is_reported_partitioned = False
-        # Instances that responded to the last search without an answer of the store.
+        # Instances that responded to the last search but get no answer from the store.
         self._unserved: set[str] = set()
         self.unavailable: set[str] = set()
         # Entries expire while the store is unavailable: servers missing from the
@@ -223,9 +223,9 @@
     def may_become_fresh(self) -> bool:
         """Whether requests should wait for this instance to become fresh.
 
-        An instance that the store rejects, or that has waited a while for the first
+        An instance that the store rejects, or that has waited too long for the first
         answer, must not delay its subscribers: they need changes that it does not
-        get.
+        receive.
         """
         if self._mode is _Mode.WATCHING:
             age_ms = self._clock.now_ms() - self._watch_started_ms
@@ -249,13 +249,13 @@
         )
         return not has_listed and not self._known_version()
 
-    def record_listed(self) -> None:
-        """Record that the list of instances was read, or that reading it failed."""
-        self._instances_listed.set()
+    def record_first_poll(self) -> None:
+        """Record the first poll of the list of instances, even if it failed."""
+        self._first_poll_done.set()
 
     async def run(self) -> None:
         """Keep the state up to date until cancelled."""
-        await self._instances_listed.wait()
+        await self._first_poll_done.wait()
         async with trio.open_nursery() as nursery:
             if not self._topology.is_loaded:
                 nursery.start_soon(self._request_seeds)
@@ -420,7 +420,7 @@
     async def _request(
         self, name: str, address: Address, *, is_same_zone: bool
     ) -> _Source | None:
-        """Request the state of an instance; return it as source if fresh."""
+        """Request the state of an instance; return it as a source if fresh."""
         client = self._connect(address)
         with ExitStack() as stack:
             stack.callback(client.close)
@@ -435,12 +435,12 @@
     def _record_response(
         self, name: str, state: RelayedState | None, *, is_same_zone: bool
     ) -> None:
-        """Record what a response, or a missing one, says of the instance itself."""
+        """Record what a response, or its absence, shows about the instance."""
         if state is None:
             self._on_unreachable(name)
             return
         if is_same_zone:
-            self._on_partitioned(name, state.is_cut_off)
+            self._on_partition_report(name, state.is_cut_off)
             self._is_reported_partitioned = (
                 state.is_cut_off or self._is_reported_partitioned
             )
--- a/ibisfront/gateway/state/store.py
+++ b/ibisfront/gateway/state/store.py
@@ -67,7 +67,7 @@
 
 
 class StoreErrorKind(StrEnum):
-    """Reason why a call of the store failed."""
+    """Reason why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
@@ -76,7 +76,7 @@
 
 
 class StoreError(Exception):
-    """Raised when a call of the store fails.
+    """Raised when a call to the store fails.
 
     Parameters
     ----------
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -251,7 +251,7 @@
         listed = [item.process.own for item in self.fronts]
         for front in self.fronts:
             front.process.apply_instances(listed)
-            front.process.state_sync.record_listed()
+            front.process.state_sync.record_first_poll()
             nursery.start_soon(front.process.state_sync.run)
             nursery.start_soon(front.remove_stale_servers)
 
--- a/ibisfront/tests/test_gateway_evacuations.py
+++ b/ibisfront/tests/test_gateway_evacuations.py
@@ -82,7 +82,7 @@
         draws = Random(1)
         for server in released:
             server.cold_start_limit.warm_up_ms = _WARM_UP_MS
-            server.return_cold(now_ms, warm_up_share=draws.random())
+            server.resume_after_evacuation(now_ms, warm_up_share=draws.random())
         in_use = [
             sum(
                 server.not_before_ms <= now_ms + share * _WARM_UP_MS
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -52,7 +52,7 @@
             directory,
             OWN,
             on_list=self.listed.append,
-            on_first_attempt=self.record_first_attempt,
+            on_first_poll=self.record_first_attempt,
             is_needed=lambda: self.is_needed,
             is_first_start=is_first_start,
             clock=Clock(),
--- a/ibisfront/tests/test_gateway_state_relay.py
+++ b/ibisfront/tests/test_gateway_state_relay.py
@@ -78,13 +78,13 @@
             connect=lambda address: DirectClient(self),
             watch=self.watch,
             apply=self.applied.append,
-            on_partitioned=lambda name, is_cut_off: None,
+            on_partition_report=lambda name, is_cut_off: None,
             on_unreachable=lambda name: None,
             known_version=lambda: int(bool(self.applied)),
             seeds=(),
             clock=clock,
         )
-        state_sync.record_listed()
+        state_sync.record_first_poll()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(state_sync.run)
             await trio.sleep(0.1)
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -155,13 +155,13 @@
             connect=lambda address: Seed(),
             watch=watch,
             apply=applied.append,
-            on_partitioned=lambda name, is_cut_off: None,
+            on_partition_report=lambda name, is_cut_off: None,
             on_unreachable=lambda name: None,
             known_version=lambda: 0,
             seeds=("i1",),
             clock=clock,
         )
-        state_sync.record_listed()
+        state_sync.record_first_poll()
         with trio.move_on_after(0.2):
             await state_sync.run()
         self.assertEqual(applied, [])
@@ -441,7 +441,7 @@
         zone.start(nursery, is_listed=False, exclude=restarted)
         await trio.sleep(3.0)
         restarted.is_rejected = True
-        restarted.state_sync.record_listed()
+        restarted.state_sync.record_first_poll()
         nursery.start_soon(restarted.state_sync.run)
         await trio.sleep(0.1)
         self.assertEqual(restarted.version, 1)
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -47,7 +47,7 @@
             connect=self.zone.client,
             watch=self.watch,
             apply=self.apply,
-            on_partitioned=self.record_partition,
+            on_partition_report=self.record_partition,
             on_unreachable=lambda name: None,
             known_version=lambda: self.version,
             seeds=("i1",),
@@ -193,7 +193,7 @@
                 continue
             if is_listed:
                 instance.topology.update([item.entry for item in self.instances])
-            instance.state_sync.record_listed()
+            instance.state_sync.record_first_poll()
             nursery.start_soon(instance.state_sync.run)
 
     def put(self, version):
