--- a/ibisfront/front/__main__.py
+++ b/ibisfront/front/__main__.py
@@ -6,7 +6,7 @@
 
 
 def _run() -> None:
-    """Start in the order that keeps callers waiting least."""
+    """Start in the order that minimizes the wait of callers."""
     # Imports produce no garbage, and callers are not served while they run. Without
     # collections, with the options of deploy/system.toml and without OpenSSL, they
     # take 155 ms of processor time instead of 188 ms.
--- a/ibisfront/front/connections.py
+++ b/ibisfront/front/connections.py
@@ -30,8 +30,8 @@
 100 queries/s of 0.1 s each, ten are in flight."""
 
 _INSTANCE_LIST_TIMEOUT_MS = 3_000.0
-"""Time without a list of instances after which this one acts as if alone; the
-list is read within 0.1 s if the store answers."""
+"""Time without a list of instances after which this instance assumes that it is the
+only one; the list is read within 0.1 s if the store answers."""
 
 
 class Connections:
@@ -40,17 +40,17 @@
     Parameters
     ----------
     coordinators : Coordinators
-        The instances that coordinate queries.
+        Which instances coordinate queries for the others.
     budgets : RetryBudgets
         Holds the number of instances.
     find_table : callable
-        Returns the configuration in force, or None.
+        Returns the active configuration; None if none is loaded.
     find_bounds : callable
         Returns the bounds of the deployment.
     nursery : trio.Nursery
         Runs the connections.
     clock : Clock
-        The tier's clock.
+        The clock.
     event_log : ServerEventLog
         Logs servers that cannot be reached.
     """
@@ -136,8 +136,8 @@
     def _has_instance_list(self) -> bool:
         """Whether the list of instances was read, or its timeout has passed.
 
-        Without the list, each of many instances would open connections to all
-        servers at its start, more than they accept.
+        Without the list, many instances starting together would open more
+        connections to each server than it accepts.
         """
         if len(self._coordinators.instances) > 1:
             return True
--- a/ibisfront/front/early_start.py
+++ b/ibisfront/front/early_start.py
@@ -26,7 +26,7 @@
 _EXIT_BAD_SETTINGS = 2
 
 _CONNECT_TIMEOUT_MS = 10
-"""How long another instance has to accept a connection: five round trips between
+"""Time in which another instance must accept a connection: five round trips between
 zones."""
 
 
@@ -51,8 +51,8 @@
 def start_early() -> EarlyStart:
     """Read the settings, and listen for callers if no other instance does.
 
-    While others serve, a refused connection is better for a caller: its next one
-    is accepted by one of them at once.
+    While other instances serve, a refused connection is better for a caller: one
+    of them accepts its next connection at once.
     """
     try:
         path = settings_path()
@@ -81,15 +81,15 @@
     """Wait until a connection is accepted, all have failed, or the timeout passes."""
     pending = {sock.fileno(): sock for sock in sockets}
     poll = select.poll()
-    for number in pending:
-        poll.register(number, select.POLLOUT)
+    for descriptor in pending:
+        poll.register(descriptor, select.POLLOUT)
     while pending:
         events = poll.poll(_CONNECT_TIMEOUT_MS)
         if not events:
             return False
-        for number, _ in events:
-            sock = pending.pop(number)
-            poll.unregister(number)
+        for descriptor, _ in events:
+            sock = pending.pop(descriptor)
+            poll.unregister(descriptor)
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 return True
     return False
--- a/ibisfront/front/garbage_collection.py
+++ b/ibisfront/front/garbage_collection.py
@@ -1,7 +1,7 @@
 """Collection of reference cycles at fixed intervals, independent of requests.
 
 Load pattern: a query over a hundred services allocates some thousand objects at once,
-which live until its answer. The interpreter would collect every few hundred
+which live until its reply. The interpreter would collect every few hundred
 allocations, during queries, and free nothing. The cycles that a query leaves can be
 collected a moment later, when few objects are live.
 """
@@ -21,25 +21,25 @@
 cycles take 1 to 2 MB in that time."""
 
 _MIN_NEW_OBJECTS = 2_000
-"""Live objects allocated since the last collection below which none is run: most
+"""Minimum number of objects allocated and still live for a collection to run: most
 instances of a large deployment coordinate no queries."""
 
 _YOUNG_GENERATION = 1
 _FULL_COLLECTION_EVERY = 20
-"""Number of collections of which one covers all generations."""
+"""One in this many collections covers all generations."""
 
 
 async def collect_garbage(clock: Clock) -> None:
     """Collect cycles at a fixed interval until cancelled; replaces automatic ones."""
     gc.disable()
     try:
-        rounds = 0
+        collections = 0
         while True:
             await clock.sleep_ms(_COLLECTION_INTERVAL_MS)
             if gc.get_count()[0] < _MIN_NEW_OBJECTS:
                 continue
-            rounds += 1
-            if rounds % _FULL_COLLECTION_EVERY:
+            collections += 1
+            if collections % _FULL_COLLECTION_EVERY:
                 gc.collect(_YOUNG_GENERATION)
             else:
                 gc.collect()
--- a/ibisfront/front/process.py
+++ b/ibisfront/front/process.py
@@ -56,11 +56,11 @@
 _BALANCER_LOG = part_logger(LogPart.INSTANCE)
 
 _PEER_HEADER_BYTES = 1_024
-"""Size of what an instance adds to a caller's headers: four short ones, and one
-bit per service."""
+"""Maximum size of the headers that an instance adds to those of a caller: four short
+ones, and one bit per service."""
 
 _MAINTENANCE_INTERVAL_MS = 100.0
-"""Interval at which stale entries and unreachable servers are processed."""
+"""Interval at which stale entries are removed and unreachable servers probed."""
 
 
 class FrontProcess:
@@ -69,9 +69,9 @@
     Parameters
     ----------
     settings : GatewaySettings
-        The settings at the start.
+        The settings at startup.
     clock : Clock
-        The tier's clock.
+        The clock.
     nursery : trio.Nursery
         Runs the connections.
 
@@ -84,7 +84,7 @@
     budgets : RetryBudgets
         The budgets of extra attempts.
     connections : Connections
-        Connection limits of servers and instances.
+        Creates connection pools and limits their sizes.
     observer : Observer
         Counters and latencies.
     own : InstanceEntry
@@ -224,7 +224,7 @@
         return self.gateway.is_ready and not self.is_stopping
 
     def report_readiness(self) -> bool:
-        """Return what is reported to the balancer, and log changes of it."""
+        """Return the readiness reported to the balancer; log its changes."""
         is_ready = self.gateway.report_readiness() and not self.is_stopping
         if is_ready is not self._reported_ready:
             self._reported_ready = is_ready
@@ -246,7 +246,7 @@
     def peer_limits(self) -> CallerLimits:
         """Return the limits of other instances' requests, with room for extra headers.
 
-        Otherwise a caller's request just within its limit would be refused by
+        Otherwise a caller's request just within its limit would be rejected by
         the other instance because of the headers added to it.
         """
         limits = self.limits()
@@ -301,17 +301,17 @@
             self.connections.warm_up(self.registry)
         self.source.record_change()
 
-    def _record_partition_report(self, name: str, is_cut_off: bool) -> None:
+    def _record_partition_report(self, name: str, is_partitioned: bool) -> None:
         """Record whether another instance of the zone reports a partition.
 
         An instance that coordinates nothing sends no requests to servers and cannot
-        detect that a partition lasts. If its report counted, this instance would be
-        ready again, and the balancer uses a whole zone while any of it is ready.
+        detect that a partition lasts. If its report counted, this instance would
+        become ready, and the balancer uses a whole zone while any instance is ready.
         """
         if self.coordinators.is_coordinator:
             return
-        if is_cut_off or name in self.coordinators.of_zone(self.own.zone):
-            self.gateway.record_reported_partition(is_cut_off)
+        if is_partitioned or name in self.coordinators.of_zone(self.own.zone):
+            self.gateway.record_reported_partition(is_partitioned)
 
     def _record_peer_unreachable(self, name: str) -> None:
         """Record that another instance no longer answers."""
@@ -340,10 +340,10 @@
         self.source.record_change()
 
     def _apply_configuration_change(self, change: ConfigurationChange) -> None:
-        """Apply a configuration change if it starts from the version in force.
+        """Apply a configuration change if it applies to the active version.
 
         The store may have delivered another version since the change was
-        requested; the next request states which.
+        requested; the next request states the active one.
         """
         table = self.gateway.table
         if table is None or table.configuration.version != change.before:
@@ -353,16 +353,16 @@
 
     @property
     def _version(self) -> int:
-        """The configuration version in force; 0 for none."""
+        """The active configuration version; 0 for none."""
         table = self.gateway.table
         return 0 if table is None else table.configuration.version
 
     def _state(self) -> LocalState:
         """Return the state that may be relayed to other instances.
 
-        A server kept although its entry is missing is only assumed to exist. If it
-        were relayed as listed, instances that have seen its removal would use it
-        again, for as long as it is kept here.
+        A server with a stale entry is only assumed to exist. If it were relayed as
+        listed, instances that have applied its removal would use it again, for as
+        long as it is kept here.
         """
         table = self.gateway.table
         stale = self.registry.stale()
@@ -404,7 +404,7 @@
         self.gateway.resume_waiting_requests()
 
     def apply_evacuations(self, zones: frozenset[str]) -> None:
-        """Stop sending to the servers of these zones, and only these."""
+        """Stop sending requests to the servers of exactly these zones."""
         if zones == self.registry.evacuated:
             return
         counters = self.observer.counters
@@ -417,7 +417,7 @@
         self.gateway.resume_waiting_requests()
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Apply a configuration if it is newer than the one in force."""
+        """Apply a configuration if it is newer than the active one."""
         counters = self.observer.counters
         known = self.gateway.table
         version = configuration.version
--- a/ibisfront/front/stopping.py
+++ b/ibisfront/front/stopping.py
@@ -18,7 +18,7 @@
 
 _OUT_OF_ROTATION_MS = BALANCER_DETECTION_MS + 600.0
 """How long the balancer may still send new callers; a connection may be in flight
-when it notices."""
+when it detects the stop."""
 
 _GRACE_MARGIN_MS = 500.0
 """How long before the end of the grace period the process exits by itself."""
@@ -32,8 +32,8 @@
 ) -> None:
     """Stop serving without interrupting a request.
 
-    The process reports not ready at once, and each answer asks its caller to
-    close the connection. Once the balancer must have noticed, idle connections
+    The process reports not ready at once, and each reply requests its caller to
+    close the connection. Once the balancer must have detected it, idle connections
     are closed. The process exits with the last connection, or shortly before
     the platform kills it.
     """
--- a/ibisfront/front/store_watches.py
+++ b/ibisfront/front/store_watches.py
@@ -48,7 +48,7 @@
         (SERVERS_KIND, servers_target(process), wait_ms),
     ]
     if bounds.evacuation_ms is not None:
-        # The other watches detect that the store no longer serves this instance.
+        # The other watches suffice to detect that the store stops serving.
         target = evacuations_target(process)
         watched.append((EVACUATIONS_KIND, target, bounds.watch_wait_ms))
     outage = StoreOutage(options.resume_delay_ms)
--- a/ibisfront/front/targets.py
+++ b/ibisfront/front/targets.py
@@ -1,4 +1,4 @@
-"""Applies what the platform's store lists: configuration, servers, evacuations."""
+"""Watch targets that apply the configuration, the servers and the evacuations."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
         for item in listing.objects:
             apply(item)
 
-    def change(changes: Sequence[ObjectChange]) -> None:
+    def apply_changes(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
             if not item.is_removed:
                 apply(item.object)
 
-    return _target(process, "configuration", replace, change)
+    return _target(process, "configuration", replace, apply_changes)
 
 
 def servers_target(process: FrontProcess) -> WatchTarget:
@@ -82,7 +82,7 @@
             unreadable={name for name, entry in entries.items() if entry is None},
         )
 
-    def change(changes: Sequence[ObjectChange]) -> None:
+    def apply_changes(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
             entry = None if item.is_removed else decode_entry(item.object)
             if entry is not None:
@@ -91,13 +91,13 @@
                 process.registry.remove(item.object.name)
         process.connections.warm_up(process.registry)
 
-    return _target(process, "servers", replace, change)
+    return _target(process, "servers", replace, apply_changes)
 
 
 def evacuations_target(process: FrontProcess) -> WatchTarget:
     """Return the target that applies which zones are evacuated.
 
-    An object's name is the zone; its content has no meaning.
+    An object's name is the zone; its content is ignored.
     """
     zones: set[str] = set()
 
@@ -113,7 +113,7 @@
             add(item)
         process.apply_evacuations(frozenset(zones))
 
-    def change(changes: Sequence[ObjectChange]) -> None:
+    def apply_changes(changes: Sequence[ObjectChange]) -> None:
         for item in changes:
             if item.is_removed:
                 zones.discard(item.object.name)
@@ -121,7 +121,7 @@
                 add(item.object)
         process.apply_evacuations(frozenset(zones))
 
-    return _target(process, "evacuations", replace, change)
+    return _target(process, "evacuations", replace, apply_changes)
 
 
 def _record_reported(reported: dict[str, int], item: StoredObject) -> None:
@@ -136,7 +136,7 @@
     process: FrontProcess,
     name: str,
     replace: Callable[[Listing, bool], None],
-    change: Callable[[Sequence[ObjectChange]], None],
+    apply_changes: Callable[[Sequence[ObjectChange]], None],
 ) -> WatchTarget:
     """Return a target that also notifies other instances of changes."""
     process.state_sync.unavailable.add(name)
@@ -146,15 +146,17 @@
         replace(listing, after_outage)
         process.source.record_change()
 
-    def change_and_notify(changes: Sequence[ObjectChange]) -> None:
-        change(changes)
+    def apply_changes_and_notify(changes: Sequence[ObjectChange]) -> None:
+        apply_changes(changes)
         process.source.record_change()
 
     def mark_unavailable() -> None:
         process.state_sync.unavailable.add(name)
         process.source.notify_subscribers()
 
-    return WatchTarget(name, replace_and_notify, change_and_notify, mark_unavailable)
+    return WatchTarget(
+        name, replace_and_notify, apply_changes_and_notify, mark_unavailable
+    )
 
 
 def _put_configuration(process: FrontProcess, cache: RouteCache, spec: bytes) -> None:
--- a/ibisfront/gateway/instances/coordinators.py
+++ b/ibisfront/gateway/instances/coordinators.py
@@ -43,10 +43,10 @@
 
     A server accepts a bounded number of connections from all instances together.
     With many instances there is less than one connection for each, and connections
-    are continually reset and reopened; well before that, each is used too rarely to
-    stay open. A few instances of each zone then run scatter-gather for the others
-    and keep their connections warm. Each instance computes them from the same list;
-    a list that is some seconds old shifts load but is otherwise harmless.
+    are continually reset and reopened; with far fewer, each is already used too
+    rarely to stay open. A few instances of each zone then run scatter-gather for the
+    others and keep their connections warm. Each instance computes them from the same
+    list; a list that is a few seconds old shifts load but is otherwise harmless.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
 
     @property
     def uses_coordinators(self) -> bool:
-        """Whether only some instances run scatter-gather."""
+        """Whether only the coordinators run scatter-gather."""
         return bool(self._by_zone)
 
     @property
@@ -113,8 +113,8 @@
         instances : sequence of InstanceEntry
             All listed instances.
         table : RouteTable or None
-            The configuration in force, which contains the connection limits of
-            the gathered services.
+            The active configuration, which contains the connection limits of the
+            gathered services.
         """
         self.instances = instances
         if table is not None:
@@ -127,14 +127,14 @@
             self._by_zone = {}
             return
         zones = sorted({item.zone for item in instances})
-        share = max(int(usable / (len(zones) * _COORDINATOR_CONNECTIONS)), 1)
-        self._by_zone = {zone: self._select(zone, share) for zone in zones}
+        maximum = max(int(usable / (len(zones) * _COORDINATOR_CONNECTIONS)), 1)
+        self._by_zone = {zone: self._select(zone, maximum) for zone in zones}
 
-    def _select(self, zone: str, share: int) -> tuple[str, ...]:
-        """Return a zone's coordinators, at most as many as the connections allow."""
+    def _select(self, zone: str, maximum: int) -> tuple[str, ...]:
+        """Return a zone's coordinators, at most ``maximum``."""
         listed = [item for item in self.instances if item.zone == zone]
         wanted = max(math.ceil(len(listed) / _INSTANCES_PER_COORDINATOR), _MIN_PER_ZONE)
-        chosen = sorted(listed, key=descending_capacity)[: min(wanted, share)]
+        chosen = sorted(listed, key=descending_capacity)[: min(wanted, maximum)]
         return tuple(item.name for item in chosen)
 
 
--- a/ibisfront/gateway/instances/directory.py
+++ b/ibisfront/gateway/instances/directory.py
@@ -32,14 +32,15 @@
 """Poll interval of the list at startup, while the other instances register too."""
 
 _STARTUP_POLLS = 4
-"""Reads of the list at the startup interval."""
+"""Number of polls at the startup interval."""
 
 _POLL_INTERVAL_MS = 5_000.0
 """Poll interval of the list. Failed instances are detected by their silence, and new
-ones are not needed for a few seconds; a stale read costs a tenth of a call."""
+ones are not needed for a few seconds; a read that may be stale costs a tenth of a
+call."""
 
 _RETRY_MS = 700.0
-"""Mean delay before another attempt to register."""
+"""Mean delay before registration is retried."""
 
 _SETTLE_MS = 700.0
 """Delay of the first read when all instances start for the first time: they start
@@ -78,7 +79,7 @@
         """Write an instance's entry; raises ``StoreError``."""
 
     async def instances(self) -> Sequence[InstanceEntry]:
-        """Return all entries, possibly some seconds old; raises ``StoreError``."""
+        """Return all entries, possibly a few seconds old; raises ``StoreError``."""
 
 
 async def sync_instances(
@@ -108,8 +109,8 @@
         Returns whether the list must be read here: a subscriber of another
         instance gets it from there.
     is_first_start : bool
-        Whether all instances start for the first time, so that the list is
-        not complete yet.
+        Whether all instances start for the first time, and the list is not
+        complete yet.
     clock : Clock
         The clock.
     """
--- a/ibisfront/gateway/instances/liveness_probe.py
+++ b/ibisfront/gateway/instances/liveness_probe.py
@@ -67,15 +67,16 @@
     """Probes an instance while its reply is overdue.
 
     A coordinator replies to a query once, at the end. If it gets few requests, no
-    other reply shows whether it is working on the query or has failed: a working one
-    was abandoned seconds before its reply, and a failed one was waited for.
+    other reply shows whether it is working on the query or has failed: without
+    probes a working one would be abandoned seconds before its reply, and a failed
+    one would be waited for.
 
     Parameters
     ----------
     peer : Server
         The instance.
     wire : WireCodec
-        The codec.
+        Encodes the probe.
     clock : Clock
         The clock.
     first_at_ms : float
--- a/ibisfront/gateway/instances/rotation.py
+++ b/ibisfront/gateway/instances/rotation.py
@@ -1,4 +1,4 @@
-"""Load balancer rotation, and when refused callers should retry."""
+"""Load balancer rotation, and when rejected callers should retry."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Rotation:
-    """Computes when a refused caller's new connection will reach another zone.
+    """Computes when a rejected caller's new connection will reach another zone.
 
     Load pattern: a zone is partitioned, and its instances cannot serve. Callers that
     retry immediately reach the same zone, since the balancer has not reacted yet, and
@@ -48,7 +48,7 @@
             self._unready_since_ms = min(self._unready_since_ms, now_ms)
 
     def wait_ms(self, now_ms: float) -> float:
-        """Return the delay after which a refused caller should retry."""
+        """Return the delay after which a rejected caller should retry."""
         if math.isinf(self._unready_since_ms):
             return _READY_WAIT_MS
         left_ms = self._unready_since_ms + _REROUTED_AFTER_MS - now_ms
--- a/ibisfront/gateway/instances/zone_paths.py
+++ b/ibisfront/gateway/instances/zone_paths.py
@@ -33,7 +33,7 @@
 
 
 class PathAction(Enum):
-    """What the monitor has to do about a zone."""
+    """What the monitor must do for a zone."""
 
     PROBE = "probe"
     PARTITIONED = "cut"
@@ -50,9 +50,9 @@
 class ZonePath:
     """The state of the network path to one other zone.
 
-    Load pattern: a zone is partitioned. If each server is detected on its own, every
-    one of them delays another query, and the zone's own callers wait for seconds; once
-    all are detected nothing is sent, so none appears silent any longer, and refusals
+    Load pattern: a zone is partitioned. If each server is detected separately, each
+    delays another query, and the zone's own callers wait for seconds; once all are
+    detected nothing is sent, so none appears silent any longer, and rejections
     alternate with failures. The state therefore covers the whole zone. Any sign of
     life of a server or instance there updates it. It becomes partitioned only when
     probes have failed too, so that a few crashes or a pause do not change it, and
@@ -113,7 +113,7 @@
             self._state = _State.SUSPECT
 
     def record_probes(self, probes: int, now_ms: float) -> None:
-        """Record that connections to endpoints of the zone are being opened."""
+        """Record how many connections to endpoints of the zone are being opened."""
         if self._state is _State.SUSPECT and probes:
             self._state = _State.PROBED
             self._decide_at_ms = now_ms + _PROBE_WAIT_MS
@@ -126,7 +126,7 @@
         }
 
     def evaluate(self, now_ms: float) -> PathAction | None:
-        """Return the action due now; to be called every few milliseconds."""
+        """Return the action due now; must be called periodically."""
         match self._state:
             case _State.OPEN:
                 return self._evaluate_open(now_ms)
--- a/ibisfront/gateway/servers/exchange.py
+++ b/ibisfront/gateway/servers/exchange.py
@@ -15,18 +15,18 @@
 
 
 class Exchange:
-    """One request sent, or to be sent, to one backend server.
+    """One request to one backend server.
 
-    It ends exactly once: with a reply or with an error. The end is reported by a
-    plain call, so that the twenty parts of a query do not cost a task switch
-    each.
+    It ends exactly once, with a reply or with an error. The end is reported by a
+    direct call of ``on_end``, so that the twenty parts of a query do not cost a
+    task switch each.
 
     Parameters
     ----------
     server : Server
         The destination.
     request_id : bytes
-        The id that a reply to it must carry.
+        The request id that its reply must contain.
     payload : callable
         Returns the bytes to send, given the time; called at the moment of
         sending, since they contain the remaining time.
@@ -37,12 +37,12 @@
     created_at_ms : float
         The time of creation.
     expected_ms : float
-        Latency beyond which a reply to such a request counts as late.
+        Latency beyond which its reply counts as late.
     has_reply_body : bool
         Whether its reply may have a body; the reply to a HEAD request has none.
     may_fail_fast : bool
         Whether it may end early when the path to its server is partitioned: the
-        request may be sent again, so this reply is not needed.
+        request may be sent again, so the reply to this one is not needed.
 
     Attributes
     ----------
@@ -53,13 +53,13 @@
     error : ExchangeError or None
         Why there is no reply.
     is_abandoned : bool
-        Whether nothing waits for it any longer.
+        Whether its reply is no longer needed.
     is_cancelled : bool
         Whether this instance closes its connection to stop the work; its end
         then says nothing about the server.
     on_abandon : callable or None
-        Set by the pool once it is sent; closes its connection at once, or
-        later if no reply comes.
+        Set by the pool once it is sent. Closes its connection at once if called
+        with true, otherwise later if no reply arrives.
     """
 
     __slots__ = (
@@ -116,7 +116,7 @@
 
     @property
     def waiting_since_ms(self) -> float:
-        """When it was sent, or created if it still waits for a connection."""
+        """When it was sent, or created if it is still waiting for a connection."""
         return self.created_at_ms if self.sent_at_ms is None else self.sent_at_ms
 
     def finish(self, reply: BackendReply) -> None:
@@ -132,7 +132,7 @@
             self._on_end(self)
 
     def fail_fast(self) -> None:
-        """End it as lost at once; no reply can arrive over a partitioned path."""
+        """End it without a reply; none can arrive over a partitioned path."""
         if self.sent_at_ms is None:
             self.fail(ExchangeErrorKind.CONNECT_FAILED)
         elif self.on_abandon is not None:
--- a/ibisfront/gateway/servers/pool.py
+++ b/ibisfront/gateway/servers/pool.py
@@ -27,7 +27,6 @@
 and a multiple of the latency beyond which it is late. Longer than a pause or a slow
 reply, after which the connection can be reused."""
 
-
 _PREOPENED_CONNECTIONS = 3
 """Connections to a server that are opened before they are needed: enough for two
 concurrent queries and a hedged request."""
@@ -83,7 +82,7 @@
     Attributes
     ----------
     keeps_idle : bool
-        Whether an idle connection is kept for the next exchange.
+        Whether an idle connection is kept open for the next exchange.
     """
 
     __slots__ = (
@@ -135,7 +134,7 @@
         return bool(self._idle) or self.size < self.maximum
 
     def submit(self, exchange: Exchange) -> None:
-        """Send an exchange, now or as soon as a connection is available."""
+        """Send an exchange as soon as a connection is available."""
         now_ms = exchange.created_at_ms
         self._server.record_submitted(exchange, now_ms)
         if self._is_closed:
@@ -271,7 +270,7 @@
             exchange.fail(kind)
 
     def _on_idle(self, connection: ServerConnection) -> None:
-        """Send the next exchange on a free connection, or keep it idle."""
+        """Reuse an idle connection for the next exchange; keep or close it if none."""
         now_ms = self._clock.now_ms()
         while self._waiting and connection.is_idle:
             exchange = self._waiting.popleft()
@@ -307,7 +306,7 @@
     async def _close_if_late(
         self, connection: ServerConnection, exchange: Exchange
     ) -> None:
-        """Close a connection if an abandoned reply does not arrive in time."""
+        """Close a connection unless an abandoned reply arrives in time."""
         wait_ms = max(_MIN_ABANDONED_MS, _ABANDONED_FACTOR * exchange.expected_ms)
         await self._clock.sleep_ms(wait_ms)
         if not exchange.has_ended:
--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -25,8 +25,8 @@
 single pause does not look like a slow server."""
 
 _SLOWNESS_HALF_LIFE_MS = 2_500.0
-"""Half-life of the slowness: a server that is avoided is no longer measured and has
-to be tried again."""
+"""Half-life of the slowness: a server that is avoided is no longer measured and
+must be tried again."""
 
 _FAILURE_WEIGHT = 0.25
 """Weight of one exchange in the smoothed failure rate: four consecutive failures make
@@ -36,7 +36,7 @@
 """Half-life of the failure rate: a little longer than the longest backoff."""
 
 _INITIAL_BACKOFF_MS = 250.0
-"""Initial backoff; doubled with each further loss."""
+"""Initial backoff; doubled with each further lost connection."""
 
 _MAX_BACKOFF_MS = 1_000.0
 """Longest backoff, so that a recovered server is used within a second."""
@@ -188,10 +188,10 @@
         return max(self.last_reply_at_ms, self.connected_at_ms)
 
     def slowness(self, now_ms: float) -> float:
-        """Return its smoothed reply time in baseline latencies."""
+        """Return its smoothed latency, as a multiple of the baseline latency."""
         age_ms = now_ms - self._slowness_at_ms
-        left = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
-        return 1.0 + (self._slowness - 1.0) * left
+        decay = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
+        return 1.0 + (self._slowness - 1.0) * decay
 
     def failure_rate(self, now_ms: float) -> float:
         """Return the smoothed share of its exchanges that failed, from 0 to 1."""
@@ -199,7 +199,7 @@
         return self._failure_rate * math.exp2(-age_ms / _FAILURE_HALF_LIFE_MS)
 
     def silent_ms(self, now_ms: float) -> float:
-        """Return for how long it has owed a reply without sending any."""
+        """Return how long a reply has been pending without it sending any."""
         if not self.in_flight:
             return 0.0
         oldest = next(iter(self.in_flight))
@@ -235,7 +235,7 @@
         self.entry = entry
 
     def evacuate(self) -> None:
-        """Stop sending it requests; those waiting for a connection go elsewhere."""
+        """Stop sending it requests; fail those that wait for a connection."""
         self.is_evacuated = True
         if self.pool is not None:
             self.pool.release_waiting()
@@ -249,8 +249,8 @@
         """
         warm_up_ms = self.cold_start_limit.warm_up_ms
         self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
-        begins_ms = now_ms + warm_up_share * warm_up_ms
-        self.not_before_ms = max(self.not_before_ms, begins_ms)
+        start_at_ms = now_ms + warm_up_share * warm_up_ms
+        self.not_before_ms = max(self.not_before_ms, start_at_ms)
 
     def record_submitted(self, exchange: Exchange, now_ms: float) -> None:
         """Record an exchange that is sent or waits for a connection."""
@@ -267,7 +267,7 @@
         return len(exchanges)
 
     def clear_failures(self) -> None:
-        """Treat it as healthy again: its failures were due to a partitioned path."""
+        """Clear its failures, which were due to a partitioned path."""
         self._consecutive_losses = 0
         self._is_unreachable = False
         self._failure_rate = 0.0
@@ -342,7 +342,7 @@
             self.path.mark_suspect()
 
     def record_silent(self, now_ms: float, exchange: Exchange) -> None:
-        """Record that a reply did not arrive while it was of use."""
+        """Record that a reply did not arrive while it was needed."""
         if now_ms - self.last_seen_at_ms > _silence_limit_ms(exchange):
             self._is_unreachable = True
         self.record_lost(now_ms)
@@ -350,8 +350,8 @@
     def record_lost(self, now_ms: float) -> None:
         """Record a lost connection.
 
-        A server that resets connections may only have too many of them; it
-        backs off and still counts as reachable.
+        A server that resets connections may only have too many of them. It is
+        avoided during a backoff and still counts as reachable.
         """
         self._record_failure(now_ms)
         self._consecutive_losses += 1
@@ -368,7 +368,7 @@
         self._is_unreachable = False
 
     def _record_latency_ratio(self, now_ms: float, ratio: float) -> None:
-        """Record the latency of a reply in baseline latencies."""
+        """Record a latency, as a multiple of the baseline latency."""
         slowness = self.slowness(now_ms)
         self._slowness = slowness + _SLOWNESS_WEIGHT * (ratio - slowness)
         self._slowness_at_ms = now_ms
@@ -380,5 +380,5 @@
 
 
 def _silence_limit_ms(exchange: Exchange) -> float:
-    """Return the silence after which an open exchange shows the server unreachable."""
+    """Return the silence after which an exchange's server counts as unreachable."""
     return max(_UNREACHABLE_MS, _UNREACHABLE_FACTOR * exchange.expected_ms)
--- a/ibisfront/gateway/servers/server_event_log.py
+++ b/ibisfront/gateway/servers/server_event_log.py
@@ -14,7 +14,7 @@
 _LOG = part_logger(LogPart.BACKEND)
 
 _MAX_NAMED_SERVERS = 12
-"""Servers named in one line: as many as a release replaces in one zone at a time."""
+"""Servers named in one line: the number that a release replaces in a zone at a time."""
 
 
 class ServerEventLog:
--- a/ibisfront/gateway/servers/server_registry.py
+++ b/ibisfront/gateway/servers/server_registry.py
@@ -28,8 +28,8 @@
 whose entry is still missing then is gone."""
 
 MAX_REMOVED_STARTS = 1_000
-"""Removed servers whose start time is kept, to tell a late entry from that of a new
-incarnation: entries are late by seconds, and a thousand servers leave in hours."""
+"""Removed servers whose start time is kept, to distinguish a late entry from one of a
+new incarnation: entries are late by seconds, and a thousand removals take hours."""
 
 
 class ServerRegistry:
@@ -52,7 +52,7 @@
     event_log : ServerEventLog, optional
         Logs events of servers; without it they are not logged.
     evacuated : frozenset of str or None, optional
-        The evacuated zones, whose servers get no requests; None if not yet known.
+        The evacuated zones, whose servers get no requests; None if not loaded yet.
     """
 
     __slots__ = (
@@ -95,12 +95,12 @@
 
     @property
     def is_initialized(self) -> bool:
-        """Whether the servers and the evacuated zones are known."""
+        """Whether the servers and the evacuated zones have been loaded."""
         return self._is_listed and self._evacuated is not None
 
     @property
     def evacuated(self) -> frozenset[str] | None:
-        """The evacuated zones; None until they are known."""
+        """The evacuated zones; None until they are loaded."""
         return self._evacuated
 
     def evacuate(self, zones: frozenset[str]) -> list[Server]:
@@ -165,7 +165,7 @@
 
     @property
     def may_lack_servers(self) -> bool:
-        """Whether running servers may not have renewed their entries yet."""
+        """Whether servers may be missing that have not renewed their entries yet."""
         return self._complete_at_ms > -math.inf
 
     def put(self, entry: ServerEntry) -> None:
@@ -173,7 +173,7 @@
         self._is_listed = True
         server_id = entry.server_id
         if entry.born_ms < self._newest_start_ms(server_id):
-            # A stale read, or an instance that lags behind, may still list the
+            # An outdated read, or an instance that lags behind, may still list the
             # previous incarnation. Applying it would drop the running server and
             # send requests to a dead one.
             _LOG.info("Ignoring an entry of an earlier start of %s.", server_id)
--- a/ibisfront/gateway/state/state_relay.py
+++ b/ibisfront/gateway/state/state_relay.py
@@ -170,7 +170,7 @@
     """Serves the store's state to subscribers.
 
     A subscriber gets the changes since its revision. Complete lists at each change
-    would saturate a small link for seconds while a set of about a hundred servers
+    would saturate a small link for seconds while a set of hundreds of servers
     starts, and delay queries on it.
 
     Parameters
