--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -199,7 +199,7 @@
         return self._failure_rate * math.exp2(-age_ms / _FAILURE_HALF_LIFE_MS)
 
     def silent_ms(self, now_ms: float) -> float:
-        """Return how long a reply has been pending without it sending any."""
+        """Return how long it has sent no reply while one was pending."""
         if not self.in_flight:
             return 0.0
         oldest = next(iter(self.in_flight))
--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -46,7 +46,7 @@
     def __init__(self, zone, number, nursery):
         self.zone = zone
         self.has_fast_link = number < FAST_INSTANCES
-        self.is_cut_off = False
+        self.is_partitioned = False
         self.link = NetworkLink(
             FAST_LINK_BYTES_PER_S if self.has_fast_link else SLOW_LINK_BYTES_PER_S
         )
@@ -102,10 +102,10 @@
 
     async def request(self, request, *, timeout_ms):
         with trio.move_on_after(timeout_ms / 1000.0):
-            if self.source_front.is_cut_off or self.client_front.is_cut_off:
+            if self.source_front.is_partitioned or self.client_front.is_partitioned:
                 await trio.sleep_forever()
             data = await self.source_front.process.source.answer(request)
-            if self.source_front.is_cut_off or self.client_front.is_cut_off:
+            if self.source_front.is_partitioned or self.client_front.is_partitioned:
                 await trio.sleep_forever()
             self.client_front.received_bytes += len(data)
             await transfer(len(data), self.source_front.link, self.client_front.link)
@@ -145,7 +145,7 @@
     async def _receive(self, objects, timeout_s):
         size = sum(len(item.spec) for item in objects)
         with trio.move_on_after(timeout_s):
-            if self.front.is_cut_off:
+            if self.front.is_partitioned:
                 await trio.sleep_forever()
             await transfer(size, self.front.link)
             return
@@ -256,7 +256,7 @@
             nursery.start_soon(front.remove_stale_servers)
 
     def add_routes(self, count):
-        """Put a version with more routes in force."""
+        """Write a version with more routes to the store."""
         self.version += 1
         self.routes += count
         self.spec = configuration_spec(self.version, self.routes)
@@ -267,8 +267,8 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    async def in_force_after_s(self, *, at_most_s):
-        """Wait until all have the newest version; return the time that took."""
+    async def converged_after_s(self, *, at_most_s):
+        """Wait until all have the newest version; return the time taken."""
         started_s = trio.current_time()
         while any(item.version != self.version for item in self.fronts):
             await trio.sleep(0.01)
--- a/ibisfront/tests/test_front_evacuations.py
+++ b/ibisfront/tests/test_front_evacuations.py
@@ -28,7 +28,7 @@
 
 
 async def _until(condition, *, at_most_s):
-    """Wait until a condition holds; return the time that took."""
+    """Wait until a condition holds; return the time taken."""
     started_s = trio.current_time()
     for _ in range(int(at_most_s / _POLL_INTERVAL_S)):
         if condition():
@@ -83,11 +83,11 @@
             zone.evacuate("z1")
             await trio.sleep(_EVACUATION_BOUND_S)
             for front in zone.fronts:
-                front.is_cut_off = True
+                front.is_partitioned = True
             await trio.sleep(10.0)
             self.assertEqual([_zones_in_use(f) for f in zone.fronts], [{"z0"}] * 3)
             for front in zone.fronts:
-                front.is_cut_off = False
+                front.is_partitioned = False
             await trio.sleep(5.0)
             self.assertEqual([_zones_in_use(f) for f in zone.fronts], [{"z0"}] * 3)
             nursery.cancel_scope.cancel()
--- a/ibisfront/tests/test_front_large_configuration.py
+++ b/ibisfront/tests/test_front_large_configuration.py
@@ -11,7 +11,7 @@
 from ibisfront.tests.front_zone import FrontZone
 
 MAX_PROPAGATION_S = 4.0
-"""Objective for the time until a change of a full-size configuration is in force."""
+"""Objective for the time until all instances apply a full-size configuration."""
 
 MAX_CONTROL_BYTES_PER_S = 15_000
 """Objective for the control traffic that an instance receives in a second."""
@@ -52,7 +52,7 @@
         for _ in range(3):
             for added in (ROUTES, 1):
                 zone.add_routes(added)
-                took_s.append(await zone.in_force_after_s(at_most_s=30.0))
+                took_s.append(await zone.converged_after_s(at_most_s=30.0))
             await trio.sleep(20.0)
         self.assertLess(max(took_s), MAX_PROPAGATION_S, took_s)
 
@@ -64,9 +64,9 @@
         queue behind it on the links: every third is late for two seconds.
         """
         zone.add_routes(3 * ROUTES)
-        await zone.in_force_after_s(at_most_s=30.0)
+        await zone.converged_after_s(at_most_s=30.0)
         await trio.sleep(20.0)
         zone.pop_received_bytes()
         zone.add_routes(1)
-        await zone.in_force_after_s(at_most_s=30.0)
+        await zone.converged_after_s(at_most_s=30.0)
         self.assertLess(max(zone.pop_received_bytes()), MAX_CONTROL_BYTES_PER_S)
--- a/ibisfront/tests/test_front_removed_servers.py
+++ b/ibisfront/tests/test_front_removed_servers.py
@@ -33,13 +33,13 @@
             await trio.sleep(5.0)
             state_source = next(f for f in zone.fronts if f.process.state_sync.is_fresh)
             number = zone.fronts.index(state_source)
-            state_source.is_cut_off = True
+            state_source.is_partitioned = True
             await trio.sleep(_PARTITION_S - _REMOVED_BEFORE_END_S)
             name = zone.remove_server()
             removed_at_s = trio.current_time()
             await trio.sleep(_REMOVED_BEFORE_END_S)
             self.assertEqual(zone.instances_using(name), [number])
-            state_source.is_cut_off = False
+            state_source.is_partitioned = False
             while trio.current_time() < removed_at_s + 2 * BOUNDS.change_ms / 1000.0:
                 await trio.sleep(0.1)
                 late_users = set(zone.instances_using(name)) - {number}
--- a/ibisfront/tests/test_gateway_coordinators.py
+++ b/ibisfront/tests/test_gateway_coordinators.py
@@ -33,14 +33,14 @@
 class CoordinatorsTest(unittest.TestCase):
     """Which instances coordinate, given the connection limits of servers."""
 
-    def test_no_coordinators_while_servers_accept_enough(self):
+    def test_no_coordinators_while_servers_accept_enough_connections(self):
         listed = instances(9, zones=3)
         coordinators = Coordinators(listed[0])
         coordinators.update(listed, table(25))
         self.assertFalse(coordinators.uses_coordinators)
         self.assertTrue(coordinators.is_coordinator)
 
-    def test_strongest_of_each_zone_coordinate_beyond_that(self):
+    def test_largest_of_each_zone_coordinate_beyond_the_limit(self):
         listed = instances(68)
         coordinators = Coordinators(listed[0])
         coordinators.update(listed, table(56))
@@ -49,7 +49,7 @@
         self.assertLessEqual(coordinators.count * 4, 56 * 0.9)
 
     def test_few_coordinators_even_if_connections_suffice(self):
-        """Guards against failing searches in a medium deployment with a high limit.
+        """Guards against failing queries in a medium deployment with a high limit.
 
         Servers accept two connections from each of thirty instances. Each instance
         sends to a server once in several seconds; its idle connections are closed,
--- a/ibisfront/tests/test_gateway_evacuations.py
+++ b/ibisfront/tests/test_gateway_evacuations.py
@@ -29,7 +29,7 @@
 
     @trio_test
     async def test_nothing_is_sent_if_all_servers_are_evacuated(self):
-        """Guards against requests to an evacuated zone for lack of another one."""
+        """Guards against requests to an evacuated zone if there is no other."""
         for route, path in (
             (forward_route(), "/fetch/a"),
             (gather_route(2), "/search"),
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -44,7 +44,7 @@
 
     def setUp(self):
         self.listed = []
-        self.first_attempt_at_s = None
+        self.first_poll_at_s = None
         self.is_needed = True
 
     async def sync(self, directory, *, is_first_start=False):
@@ -52,14 +52,14 @@
             directory,
             OWN,
             on_list=self.listed.append,
-            on_first_poll=self.record_first_attempt,
+            on_first_poll=self.record_first_poll,
             is_needed=lambda: self.is_needed,
             is_first_start=is_first_start,
             clock=Clock(),
         )
 
-    def record_first_attempt(self):
-        self.first_attempt_at_s = trio.current_time() - self.started_s
+    def record_first_poll(self):
+        self.first_poll_at_s = trio.current_time() - self.started_s
 
     async def run_for(self, seconds, directory, **options):
         self.started_s = trio.current_time()
@@ -78,7 +78,7 @@
         directory = FakeDirectory(OTHER, OWN)
         await self.run_for(20.0, directory)
         self.assertEqual(directory.writes, 0)
-        self.assertLess(self.first_attempt_at_s, 0.01)
+        self.assertLess(self.first_poll_at_s, 0.01)
 
     @trio_test
     async def test_new_instance_registers_after_its_first_read(self):
@@ -97,13 +97,13 @@
         directory = FakeDirectory(OTHER)
         directory.is_unavailable = True
         await self.run_for(5.0, directory, is_first_start=True)
-        self.assertLess(self.first_attempt_at_s, 1.0)
+        self.assertLess(self.first_poll_at_s, 1.0)
         directory.is_unavailable = False
         await self.run_for(2.0, directory)
         self.assertEqual(directory.writes, 1)
 
     @trio_test
-    async def test_list_is_read_once_if_another_instance_forwards_it(self):
+    async def test_list_is_read_once_if_another_instance_relays_it(self):
         self.is_needed = False
         directory = FakeDirectory(OTHER, OWN)
         await self.run_for(30.0, directory)
--- a/ibisfront/tests/test_gateway_kind_watch.py
+++ b/ibisfront/tests/test_gateway_kind_watch.py
@@ -44,10 +44,10 @@
     async def _outage(self, kinds, *, for_s=6.0):
         """Return the calls in an outage, and the time until all kinds are listed."""
         store = Store()
-        listed_s = []
+        listed_at_s = []
 
         def replace(listing, after_outage):
-            listed_s.append(trio.current_time())
+            listed_at_s.append(trio.current_time())
 
         clock, outage = Clock(), StoreOutage()
         async with trio.open_nursery() as nursery:
@@ -60,19 +60,19 @@
                 nursery.start_soon(run)
             await trio.sleep(for_s)
             calls, store.is_unavailable = store.calls, False
-            back_s = trio.current_time()
+            recovered_at_s = trio.current_time()
             await trio.sleep(4.0)
             nursery.cancel_scope.cancel()
-        self.assertEqual(len(listed_s), len(kinds))
-        return calls, max(listed_s) - back_s
+        self.assertEqual(len(listed_at_s), len(kinds))
+        return calls, max(listed_at_s) - recovered_at_s
 
     @trio_test
     async def test_only_one_watch_retries_an_unavailable_store(self):
         """Guards against calls in an outage that multiply with the number of kinds."""
         shared, alone = 0, 0
         for _ in range(_OUTAGES):
-            calls, back_s = await self._outage(_KINDS)
-            self.assertLess(back_s, 1.0)
+            calls, recovery_s = await self._outage(_KINDS)
+            self.assertLess(recovery_s, 1.0)
             shared += calls
             calls, _ = await self._outage(_KINDS[:1])
             alone += calls
--- a/ibisfront/tests/test_gateway_pool.py
+++ b/ibisfront/tests/test_gateway_pool.py
@@ -16,7 +16,7 @@
 
     @trio_test
     async def test_second_query_does_not_wait_for_connections(self):
-        """Guards against a query that has to open a connection for each part."""
+        """Guards against a query that must open a connection for each part."""
         fixture = GatewayFixture(gather_route(6), servers=1, latency_ms=20.0)
         async with fixture.running(), trio.open_nursery() as nursery:
             await fixture.send_request()
@@ -43,9 +43,9 @@
     """Abandoned replies in transit from another zone."""
 
     async def _hedge(self, size_bytes):
-        """Hedge a request in another zone; return what the losing server saw.
+        """Hedge a request in another zone; return the losing server's counts.
 
-        That is the number of cancelled requests and of opened connections.
+        These are its cancelled requests and its opened connections.
         """
         fixture = GatewayFixture(gather_route(1), latency_ms=10.0)
         near, far = fixture.servers["part-0"]
--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -34,7 +34,7 @@
     return registry
 
 
-def listed(registry):
+def usable_ids(registry):
     """Return the ids of the usable servers of ``s``."""
     return {
         server.entry.server_id
@@ -51,11 +51,11 @@
         registry = registry_of("a", "b", "c")
         registry.put(entry("a", is_draining=True))
         registry.remove("b")
-        self.assertEqual(listed(registry), {"c"})
+        self.assertEqual(usable_ids(registry), {"c"})
 
     @trio_test
     async def test_stale_servers_are_kept_for_a_grace_period_after_an_outage(self):
-        """Guards against searches that all fail for seconds after a store outage.
+        """Guards against queries that all fail for seconds after a store outage.
 
         Servers could not renew their entries during the outage, and the first list
         contains only some of them. Those renewed within two seconds must be kept;
@@ -63,14 +63,14 @@
         """
         registry = registry_of("a", "b", "c")
         registry.replace([entry("a")], after_outage=True)
-        self.assertEqual(listed(registry), {"a", "b", "c"})
+        self.assertEqual(usable_ids(registry), {"a", "b", "c"})
         await trio.sleep(1.9)
         registry.put(entry("b"))
         registry.remove_stale()
-        self.assertEqual(listed(registry), {"a", "b", "c"})
+        self.assertEqual(usable_ids(registry), {"a", "b", "c"})
         await trio.sleep((STALE_ENTRY_GRACE_MS - 1899.0) / 1000.0)
         self.assertTrue(registry.remove_stale())
-        self.assertEqual(listed(registry), {"a", "b"})
+        self.assertEqual(usable_ids(registry), {"a", "b"})
 
     @trio_test
     async def test_stale_server_is_used_only_if_there_is_no_other(self):
@@ -98,7 +98,7 @@
     async def test_list_of_an_available_store_is_applied_immediately(self):
         registry = registry_of("a", "b")
         registry.replace([entry("b")], after_outage=False)
-        self.assertEqual(listed(registry), {"b"})
+        self.assertEqual(usable_ids(registry), {"b"})
 
     @trio_test
     async def test_entry_with_another_address_is_a_new_server(self):
@@ -138,7 +138,7 @@
 
     @trio_test
     async def test_requests_of_the_previous_incarnation_end_as_possibly_run(self):
-        """Guards against searches that wait in vain for a restarted server.
+        """Guards against queries that wait until their deadline for a restarted server.
 
         It crashed behind a partition, so that no reset arrived; the connections to the
         dead process stay open and silent.
@@ -160,7 +160,7 @@
     async def test_older_incarnation_never_replaces_a_newer_one(self):
         """Guards against requests to a dead incarnation instead of the running one.
 
-        An entry from before the restart arrives late: by a stale read, or from an
+        An entry from before the restart arrives late: by an outdated read, or from an
         instance that lags behind. It must be ignored after the newer one has left, too.
         """
         registry = registry_of()
@@ -170,14 +170,14 @@
             entry("a", born_ms=1_000, address="elsewhere:80", is_draining=True)
         )
         self.assertIs(registry.of_service("s")[0], server)
-        self.assertEqual(listed(registry), {"a"})
+        self.assertEqual(usable_ids(registry), {"a"})
         registry.replace([entry("a", born_ms=1_000)], after_outage=False)
         self.assertIs(registry.of_service("s")[0], server)
         registry.remove("a")
         registry.put(entry("a", born_ms=1_000))
-        self.assertEqual(listed(registry), set())
+        self.assertEqual(usable_ids(registry), set())
         registry.put(entry("a", born_ms=2_000))
-        self.assertEqual(listed(registry), {"a"})
+        self.assertEqual(usable_ids(registry), {"a"})
 
     @trio_test
     async def test_start_of_a_listed_server_is_always_kept(self):
@@ -192,25 +192,25 @@
             registry.put(entry(f"b{number}", born_ms=1))
             registry.remove(f"b{number}")
         registry.put(entry("a", born_ms=1_000, is_draining=True))
-        self.assertEqual(listed(registry), {"a"})
+        self.assertEqual(usable_ids(registry), {"a"})
 
     @trio_test
     async def test_server_replaced_at_its_address_may_restart(self):
         registry = registry_of("a")
         registry.of_service("s")[0].is_removed = True
         registry.put(entry("a", born_ms=2_000))
-        self.assertEqual(listed(registry), {"a"})
+        self.assertEqual(usable_ids(registry), {"a"})
 
     @trio_test
     async def test_id_that_moves_to_another_service_leaves_the_previous_one(self):
-        """Guards against searches over one service that get parts of another.
+        """Guards against queries over one service that get parts of another.
 
         An id is written again with another service; it must not stay listed under the
         previous one.
         """
         registry = registry_of("a")
         registry.put(entry("a", service="t"))
-        self.assertEqual(listed(registry), set())
+        self.assertEqual(usable_ids(registry), set())
         self.assertEqual(len(registry.of_service("t")), 1)
 
     @trio_test
@@ -222,7 +222,7 @@
         """
         registry = registry_of("a", "b")
         registry.replace([], after_outage=True, unreadable=["b"])
-        self.assertEqual(listed(registry), {"a"})
+        self.assertEqual(usable_ids(registry), {"a"})
 
 
 class FakePool:
@@ -254,7 +254,7 @@
         self.assertLess(later, 1.1)
 
     def test_server_whose_work_is_always_cancelled_stays_slow(self):
-        """Guards against searches that are late every few seconds.
+        """Guards against queries that are late every few seconds.
 
         Another server answers in place of the slow one each time, and the slow one's
         work is cancelled. None of its replies is measured again; it must not seem
@@ -282,7 +282,7 @@
         self.assertLess(server.slowness(10.0), 2.0)
 
     def test_reset_connections_do_not_make_a_server_unreachable(self):
-        """Guards against refusing every search although all servers are reachable.
+        """Guards against rejecting every query although all servers are reachable.
 
         Servers reset connections beyond their limit. That does not show that they are
         unreachable; a connection that cannot be opened does.
@@ -331,7 +331,7 @@
             baseline.record_load(ServerLoad(1, 0, 2))
         self.assertFalse(baseline.is_loaded)
 
-    def test_queueing_raises_the_latency_above_the_calm_latency(self):
+    def test_queueing_raises_the_latency_above_the_unloaded_latency(self):
         baseline = BaselineLatency(10.0)
         for _ in range(256):
             baseline.record_ms(10.0)
--- a/ibisfront/tests/test_gateway_state_relay.py
+++ b/ibisfront/tests/test_gateway_state_relay.py
@@ -78,7 +78,7 @@
             connect=lambda address: DirectClient(self),
             watch=self.watch,
             apply=self.applied.append,
-            on_partition_report=lambda name, is_cut_off: None,
+            on_partition_report=lambda name, is_partitioned: None,
             on_unreachable=lambda name: None,
             known_version=lambda: int(bool(self.applied)),
             seeds=(),
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -83,7 +83,7 @@
         for instance in zone.instances:
             instance.is_rejected = True
         await trio.sleep(8.0)
-        self.assertFalse(zone.instances[0].is_reported_cut_off)
+        self.assertFalse(zone.instances[0].is_reported_partitioned)
 
     @in_small_zone
     async def test_watch_resumes_when_the_store_recovers(self, zone, nursery):
@@ -155,7 +155,7 @@
             connect=lambda address: Seed(),
             watch=watch,
             apply=applied.append,
-            on_partition_report=lambda name, is_cut_off: None,
+            on_partition_report=lambda name, is_partitioned: None,
             on_unreachable=lambda name: None,
             known_version=lambda: 0,
             seeds=("i1",),
@@ -168,7 +168,7 @@
 
 
 class StateSyncTest(unittest.TestCase):
-    """Instances that watch the store, and subscribers of them."""
+    """Instances that watch the store, and their subscribers."""
 
     @in_zone
     async def test_one_instance_of_a_zone_watches(self, zone, nursery):
@@ -289,20 +289,20 @@
         zone.start(nursery)
         await trio.sleep(8.0)
         subscribers = zone.instances[3:]
-        for is_cut_off in (True, False):
+        for is_partitioned in (True, False):
             for instance in zone.instances[:3]:
-                instance.is_rejected = is_cut_off
+                instance.is_rejected = is_partitioned
                 instance.source.notify_subscribers()
             await trio.sleep(0.1)
-            reports = {item.is_reported_cut_off for item in subscribers}
-            self.assertEqual(reports, {is_cut_off})
+            reports = {item.is_reported_partitioned for item in subscribers}
+            self.assertEqual(reports, {is_partitioned})
 
     @in_zone
     async def test_outage_does_not_multiply_store_calls(self, zone, nursery):
         """Guards against an outage that costs more calls than a day without one.
 
         While the store is unavailable there is no fresh source, and each of many
-        instances would retry the store repeatedly. Refused calls have a cost too.
+        instances would retry the store repeatedly. Rejected calls have a cost too.
         Only the few sources may retry more often.
         """
         zone.start(nursery)
@@ -365,7 +365,7 @@
 
     @in_zone
     async def test_listing_after_an_outage_is_marked(self, zone, nursery):
-        """Guards against searches that all fail for seconds when the store recovers.
+        """Guards against queries that all fail for seconds when the store recovers.
 
         Server entries expire while the store is unavailable. The first listing must
         be marked as one after an outage, or live servers are dropped.
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -173,7 +173,7 @@
 
 
 class RotationTest(unittest.TestCase):
-    """When refused callers should retry."""
+    """When rejected callers should retry."""
 
     def test_wait_lasts_until_the_balancer_has_reacted(self):
         rotation = Rotation()
@@ -256,10 +256,10 @@
     async def test_partitioned_instance_leaves_rotation_until_the_path_recovers(self):
         """Guards against readiness that alternates during a partition.
 
-        If each server is detected on its own, none has a request in flight once all
-        are, and all seem reachable again: callers are refused, delayed and failed in
-        turn. With state for the whole zone, the instance left rotation after 175 ms
-        and no query took over 130 ms; without, after 525 ms and 1,985 ms.
+        If each server is detected separately, none has a request in flight once all
+        are, and all seem reachable again: requests are rejected, delayed and failed
+        alternately. With state for the whole zone, the instance left rotation after
+        175 ms and no query took over 130 ms; without, after 525 ms and 1,985 ms.
         """
         readiness, during, is_ready_again, after = await self._run_partition(
             PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
@@ -281,7 +281,7 @@
         self.assertEqual(fixture.zone_changes, 2)
 
     @trio_test
-    async def test_refused_callers_get_a_retry_time(self):
+    async def test_rejected_callers_get_a_retry_time(self):
         """Guards against callers that retry at once, in the same partitioned zone.
 
         They have a single retry. The balancer takes two seconds to send them to
@@ -291,9 +291,9 @@
         readiness, during, _, _ = await self._run_partition(fixture)
         # It left rotation after the last poll at which it was ready.
         last_ready_ms = max(at_ms for at_ms, is_ready in readiness if is_ready)
-        refused = [item for item in during if item[0] > last_ready_ms + 25.0]
-        self.assertGreater(len(refused), 50)
-        for sent_ms, _, reply in refused:
+        rejected = [item for item in during if item[0] > last_ready_ms + 25.0]
+        self.assertGreater(len(rejected), 50)
+        for sent_ms, _, reply in rejected:
             wait_ms = 1000.0 * float(dict(reply.headers)[b"Retry-After"])
             self.assertGreaterEqual(sent_ms + wait_ms, last_ready_ms + 2_199.9)
 
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -36,18 +36,18 @@
         self.version = 0
         self.calls = 0
         self.is_rejected = False
-        # If set, only the store rejects it; otherwise it is partitioned from all.
+        # If set, a rejected instance still reaches servers; otherwise none of them.
         self.reaches_servers = False
         self.is_down = False
         self.partitioned_at_s = -1e9
-        self.is_reported_cut_off = False
+        self.is_reported_partitioned = False
         self.lists_after_outage = []
         self.state_sync = StateSync(
             topology=self.topology,
             connect=self.zone.client,
             watch=self.watch,
             apply=self.apply,
-            on_partition_report=self.record_partition,
+            on_partition_report=self.record_partition_report,
             on_unreachable=lambda name: None,
             known_version=lambda: self.version,
             seeds=("i1",),
@@ -78,8 +78,8 @@
             if configuration is not None:
                 self.version = max(self.version, configuration.version)
 
-    def record_partition(self, name, is_partitioned):
-        self.is_reported_cut_off = is_partitioned
+    def record_partition_report(self, name, is_partitioned):
+        self.is_reported_partitioned = is_partitioned
         if is_partitioned:
             self.partitioned_at_s = trio.current_time()
 
@@ -91,7 +91,7 @@
             outage=StoreOutage(options.resume_delay_ms),
         )
         for kind in sorted(KINDS):
-            nursery.start_soon(run, Feed(self), self.target(kind))
+            nursery.start_soon(run, FakeKindClient(self), self.target(kind))
 
     def target(self, kind):
         """Return the watch target of a kind, as in the front process."""
@@ -100,21 +100,21 @@
         def replace(listing, after_outage):
             self.state_sync.unavailable.discard(kind)
             self.lists_after_outage.append(after_outage)
-            self.change(())
+            self.apply_changes(())
 
         def on_unavailable():
             self.state_sync.unavailable.add(kind)
             self.source.notify_subscribers()
 
-        return WatchTarget(kind, replace, self.change, on_unavailable)
+        return WatchTarget(kind, replace, self.apply_changes, on_unavailable)
 
-    def change(self, changes):
+    def apply_changes(self, changes):
         self.version = self.zone.version
         self.source.record_change()
 
 
-class Feed:
-    """One kind in a store that may ignore the instance's requests."""
+class FakeKindClient:
+    """One kind in a store that may not answer the instance."""
 
     def __init__(self, instance):
         self.instance = instance
@@ -151,7 +151,7 @@
         pass
 
 
-class Client:
+class FakeStateClient:
     """A client of an instance that uses no network."""
 
     def __init__(self, instance):
@@ -185,7 +185,9 @@
         self.instances = [Instance(self, number) for number in range(instances)]
 
     def client(self, address):
-        return Client(next(i for i in self.instances if i.entry.address == address))
+        return FakeStateClient(
+            next(i for i in self.instances if i.entry.address == address)
+        )
 
     def start(self, nursery, *, is_listed=True, exclude=None):
         for instance in self.instances:
