--- a/ibisfront/gateway/route_state.py
+++ b/ibisfront/gateway/route_state.py
@@ -67,7 +67,7 @@
         self._longest_deadline_ms = 0.0
 
     def objective_at_ms(self, request: InboundRequest, route: Route) -> float:
-        """Return until when an answer meets the latency objective.
+        """Return the latest time at which an answer meets the latency objective.
 
         A caller's retry shows only in a shorter deadline: the difference from the
         longest one seen was spent on earlier attempts. If the objective can no
@@ -99,7 +99,7 @@
             state = self._by_name[route.name] = RouteState(route)
         return state
 
-    def keep(self, names: Container[str]) -> None:
+    def retain(self, names: Container[str]) -> None:
         """Drop the states of all routes except these."""
         retain_routes(self._by_name, names)
 
