--- a/ibisfront/gateway/servers/server.py
+++ b/ibisfront/gateway/servers/server.py
@@ -20,13 +20,13 @@
 """Weight of one reply in the smoothed slowness: a single pause does not make a server
 cost more than one in another zone; two slow replies do."""
 
-_LARGEST_RATIO = 5.0
+_MAX_LATENCY_RATIO = 5.0
 """Upper limit on the ratio of one reply to the route's baseline latency, so that a
 single pause does not look like a slow server."""
 
 _SLOWNESS_HALF_LIFE_MS = 2_500.0
-"""Half-life of the slowness: a server that is avoided is no longer measured and has
-to be tried again."""
+"""Half-life of the slowness: a server that is avoided is no longer measured and
+must be tried again."""
 
 _FAILURE_WEIGHT = 0.25
 """Weight of one exchange in the smoothed failure rate: four consecutive failures make
@@ -36,7 +36,7 @@
 """Half-life of the failure rate: a little longer than the longest backoff."""
 
 _INITIAL_BACKOFF_MS = 250.0
-"""Initial backoff; doubled with each further loss."""
+"""Initial backoff; doubled with each further lost connection."""
 
 _MAX_BACKOFF_MS = 1_000.0
 """Longest backoff, so that a recovered server is used within a second."""
@@ -55,7 +55,7 @@
 """Silence of this many baseline latencies counts as a pause: twice the shortest time
 after which a healthy reply would be hedged."""
 
-_OVERDUE_FLOOR_MS = 8.0
+_OVERDUE_MARGIN_MS = 8.0
 """Added to that silence: the time that a busy process takes to read a reply."""
 
 
@@ -183,15 +183,15 @@
             self.cold_start_limit.record_sent(now_ms)
 
     @property
-    def last_seen_ms(self) -> float:
+    def last_seen_at_ms(self) -> float:
         """When it last sent a reply or accepted a connection."""
         return max(self.last_reply_at_ms, self.connected_at_ms)
 
     def slowness(self, now_ms: float) -> float:
-        """Return its smoothed reply time in baseline latencies."""
+        """Return its smoothed latency, as a multiple of the baseline latency."""
         age_ms = now_ms - self._slowness_at_ms
-        left = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
-        return 1.0 + (self._slowness - 1.0) * left
+        decay = math.exp2(-age_ms / _SLOWNESS_HALF_LIFE_MS)
+        return 1.0 + (self._slowness - 1.0) * decay
 
     def failure_rate(self, now_ms: float) -> float:
         """Return the smoothed share of its exchanges that failed, from 0 to 1."""
@@ -199,11 +199,11 @@
         return self._failure_rate * math.exp2(-age_ms / _FAILURE_HALF_LIFE_MS)
 
     def silent_ms(self, now_ms: float) -> float:
-        """Return for how long it has owed a reply without sending any."""
+        """Return how long it has sent no reply while one was pending."""
         if not self.in_flight:
             return 0.0
         oldest = next(iter(self.in_flight))
-        return now_ms - max(oldest.waits_since_ms, self.last_reply_at_ms)
+        return now_ms - max(oldest.waiting_since_ms, self.last_reply_at_ms)
 
     def is_reachable(self, now_ms: float) -> bool:
         """Return whether it seems reachable, even if slow."""
@@ -212,7 +212,7 @@
         if not self.in_flight:
             return True
         oldest = next(iter(self.in_flight))
-        silent_ms = now_ms - max(oldest.waits_since_ms, self.last_seen_ms)
+        silent_ms = now_ms - max(oldest.waiting_since_ms, self.last_seen_at_ms)
         return silent_ms <= _silence_limit_ms(oldest)
 
     def is_overdue(self, now_ms: float, baseline_ms: float) -> bool:
@@ -221,7 +221,7 @@
         A paused server and a crashed one both show first as an overdue reply.
         Until it arrives, the other servers of the service are the better choice.
         """
-        limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_FLOOR_MS
+        limit_ms = _OVERDUE_FACTOR * baseline_ms + _OVERDUE_MARGIN_MS
         return self.silent_ms(now_ms) > limit_ms
 
     def update_entry(self, entry: ServerEntry, now_ms: float) -> None:
@@ -235,12 +235,12 @@
         self.entry = entry
 
     def evacuate(self) -> None:
-        """Stop sending it requests; those waiting for a connection go elsewhere."""
+        """Stop sending it requests; fail those that wait for a connection."""
         self.is_evacuated = True
         if self.pool is not None:
             self.pool.release_waiting()
 
-    def return_cold(self, now_ms: float, *, warm_up_share: float) -> None:
+    def resume_after_evacuation(self, now_ms: float, *, warm_up_share: float) -> None:
         """Use it again after an evacuation, once a share of its warm-up has passed.
 
         Load pattern: all servers of a zone are cold and become usable at the same time.
@@ -249,8 +249,8 @@
         """
         warm_up_ms = self.cold_start_limit.warm_up_ms
         self.warm_at_ms = max(self.warm_at_ms, now_ms + warm_up_ms)
-        begins_ms = now_ms + warm_up_share * warm_up_ms
-        self.not_before_ms = max(self.not_before_ms, begins_ms)
+        start_at_ms = now_ms + warm_up_share * warm_up_ms
+        self.not_before_ms = max(self.not_before_ms, start_at_ms)
 
     def record_submitted(self, exchange: Exchange, now_ms: float) -> None:
         """Record an exchange that is sent or waits for a connection."""
@@ -267,7 +267,7 @@
         return len(exchanges)
 
     def clear_failures(self) -> None:
-        """Treat it as healthy again: its failures were due to a partitioned path."""
+        """Clear its failures, which were due to a partitioned path."""
         self._consecutive_losses = 0
         self._is_unreachable = False
         self._failure_rate = 0.0
@@ -285,8 +285,8 @@
         self.record_alive(now_ms)
         self._consecutive_losses = 0
         self.not_before_ms = -math.inf
-        ratio = min(took_ms / baseline_ms, _LARGEST_RATIO)
-        self._record_ratio(now_ms, ratio)
+        ratio = min(took_ms / baseline_ms, _MAX_LATENCY_RATIO)
+        self._record_latency_ratio(now_ms, ratio)
         self._failure_rate = self.failure_rate(now_ms) * (1.0 - _FAILURE_WEIGHT)
         self._failure_rate_at_ms = now_ms
 
@@ -299,9 +299,9 @@
         measured, would seem healthy again within seconds, and would get the next
         primary attempt.
         """
-        ratio = min(waited_ms / baseline_ms, _LARGEST_RATIO)
+        ratio = min(waited_ms / baseline_ms, _MAX_LATENCY_RATIO)
         if ratio > self.slowness(now_ms):
-            self._record_ratio(now_ms, ratio)
+            self._record_latency_ratio(now_ms, ratio)
 
     def record_refused(self, now_ms: float, retry_after_ms: float | None) -> None:
         """Record a reply which states that the request did not run."""
@@ -342,16 +342,16 @@
             self.path.mark_suspect()
 
     def record_silent(self, now_ms: float, exchange: Exchange) -> None:
-        """Record that a reply did not arrive while it was of use."""
-        if now_ms - self.last_seen_ms > _silence_limit_ms(exchange):
+        """Record that a reply did not arrive while it was needed."""
+        if now_ms - self.last_seen_at_ms > _silence_limit_ms(exchange):
             self._is_unreachable = True
         self.record_lost(now_ms)
 
     def record_lost(self, now_ms: float) -> None:
         """Record a lost connection.
 
-        A server that resets connections may only have too many of them; it
-        backs off and still counts as reachable.
+        A server that resets connections may only have too many of them. It is
+        avoided during a backoff and still counts as reachable.
         """
         self._record_failure(now_ms)
         self._consecutive_losses += 1
@@ -367,8 +367,8 @@
             self.path.record_liveness()
         self._is_unreachable = False
 
-    def _record_ratio(self, now_ms: float, ratio: float) -> None:
-        """Record the latency of a reply in baseline latencies."""
+    def _record_latency_ratio(self, now_ms: float, ratio: float) -> None:
+        """Record a latency, as a multiple of the baseline latency."""
         slowness = self.slowness(now_ms)
         self._slowness = slowness + _SLOWNESS_WEIGHT * (ratio - slowness)
         self._slowness_at_ms = now_ms
@@ -380,5 +380,5 @@
 
 
 def _silence_limit_ms(exchange: Exchange) -> float:
-    """Return the silence after which an open exchange shows the server unreachable."""
+    """Return the silence after which an exchange's server counts as unreachable."""
     return max(_UNREACHABLE_MS, _UNREACHABLE_FACTOR * exchange.expected_ms)
