--- a/ibisfront/gateway/queries/delegated_query.py
+++ b/ibisfront/gateway/queries/delegated_query.py
@@ -15,9 +15,9 @@
 __all__ = [
     "DelegatedQuery",
     "format_delegated_query",
-    "is_unreachable",
     "parse_delegated_query",
     "parse_signatures",
+    "reports_servers_unreachable",
     "service_bitmask",
     "signatures_header",
     "unreachable_header",
@@ -43,8 +43,8 @@
     gathering : str
         The digest of the sender's gathering.
     services : int
-        Bit mask of the requested services: bit ``n`` is the ``n``-th of the
-        route's list.
+        Bit mask of the requested services: bit ``n``, counted from 0, stands for
+        ``services[n]`` of the route's gathering.
     objective_remaining_ms : float
         Time after which to answer with the parts received.
     is_whole : bool
@@ -92,7 +92,7 @@
         return None
 
 
-def is_unreachable(reply: BackendReply) -> bool:
+def reports_servers_unreachable(reply: BackendReply) -> bool:
     """Return whether an instance refused because it cannot reach the servers."""
     return any(name.lower() == _UNREACHABLE for name, _ in reply.headers)
 
@@ -108,7 +108,7 @@
 
 
 def format_delegated_query(query: DelegatedQuery) -> InboundRequest:
-    """Return the request to send for a delegated query; the inverse of parsing."""
+    """Return the request that :func:`parse_delegated_query` parses to this query."""
     headers: list[Header] = [
         *query.request.headers,
         (_GATHERING, query.gathering.encode("ascii")),
