--- a/ibisfront/gateway/instances/directory.py
+++ b/ibisfront/gateway/instances/directory.py
@@ -32,14 +32,15 @@
 """Poll interval of the list at startup, while the other instances register too."""
 
 _STARTUP_POLLS = 4
-"""Reads of the list at the startup interval."""
+"""Number of polls at the startup interval."""
 
 _POLL_INTERVAL_MS = 5_000.0
 """Poll interval of the list. Failed instances are detected by their silence, and new
-ones are not needed for a few seconds; a stale read costs a tenth of a call."""
+ones are not needed for a few seconds; a read that may be stale costs a tenth of a
+call."""
 
 _RETRY_MS = 700.0
-"""Mean delay before another attempt to register."""
+"""Mean delay before registration is retried."""
 
 _SETTLE_MS = 700.0
 """Delay of the first read when all instances start for the first time: they start
@@ -78,7 +79,7 @@
         """Write an instance's entry; raises ``StoreError``."""
 
     async def instances(self) -> Sequence[InstanceEntry]:
-        """Return all entries, possibly some seconds old; raises ``StoreError``."""
+        """Return all entries, possibly a few seconds old; raises ``StoreError``."""
 
 
 async def sync_instances(
@@ -86,7 +87,7 @@
     own: InstanceEntry,
     *,
     on_list: Callable[[Sequence[InstanceEntry]], None],
-    on_first_attempt: Callable[[], None],
+    on_first_poll: Callable[[], None],
     is_needed: Callable[[], bool],
     is_first_start: bool,
     clock: Clock,
@@ -102,14 +103,14 @@
     on_list : callable
         Called with all instances, this one included. Entries of instances that
         are gone make shares smaller, never too large.
-    on_first_attempt : callable
+    on_first_poll : callable
         Called once after the first read of the list, even if it failed.
     is_needed : callable
         Returns whether the list must be read here: a subscriber of another
         instance gets it from there.
     is_first_start : bool
-        Whether all instances start for the first time, so that the list is
-        not complete yet.
+        Whether all instances start for the first time, and the list is not
+        complete yet.
     clock : Clock
         The clock.
     """
@@ -127,7 +128,7 @@
                 is_registered = is_registered or own in listed
                 on_list(listed)
         if polls == 0:
-            on_first_attempt()
+            on_first_poll()
         is_registered = is_registered or await _register(directory, own)
         polls += 1
         wait_ms = (
