--- a/ibisfront/http1/backend_connection.py
+++ b/ibisfront/http1/backend_connection.py
@@ -35,7 +35,7 @@
 
 _CONNECT_TIMEOUT_MS = 700.0
 """Connect timeout. A healthy server takes a few milliseconds; one without power
-never answers. It must be below the second that callers allow."""
+never answers. It must be below the one second that callers allow."""
 
 _USER_TIMEOUT_MS = 3_000
 """How long bytes may stay unacknowledged before the kernel ends a connection."""
@@ -112,7 +112,7 @@
         return self._exchange is None and not self._is_closed and not self._is_dirty
 
     def send(self, exchange: Exchange, now_ms: float) -> bool:
-        """Send an exchange; return False if no byte could be sent."""
+        """Send an exchange; return False if nothing was sent on a lost connection."""
         data = exchange.payload(now_ms)
         try:
             sent = self._sock.send(data)
--- a/ibisfront/http1/caller_connection.py
+++ b/ibisfront/http1/caller_connection.py
@@ -76,7 +76,7 @@
     """One caller's connection.
 
     Reading continues while a request is answered, so that a caller's disconnect
-    is detected at once and its work stops.
+    is detected at once and cancels the work for it.
 
     Parameters
     ----------
@@ -140,7 +140,7 @@
         self._scope.cancel()
 
     def close_if_idle(self) -> None:
-        """Let the connection end if no request is in flight or has arrived.
+        """Close the connection unless a request is in flight or has arrived.
 
         Only the wait for bytes is cancelled. A request that arrives at the same
         moment is still read; cancelling the connection would drop it after it
@@ -205,7 +205,7 @@
         except MalformedMessageError as error:
             # Complete requests may precede the malformed bytes.
             self._queue_requests()
-            await self._refuse(error.status, str(error))
+            await self._reject(error.status, str(error))
             return False
         if self._reader.is_mid_message and not was_mid_message:
             self._waiting_since_ms = self._host.clock.now_ms()
@@ -296,11 +296,11 @@
         if self._host.clock.now_ms() < self._deadline_ms():
             return False
         if self._reader.is_mid_message:
-            await self._refuse(408, "the request was not complete in time")
+            await self._reject(408, "the request was not complete in time")
         return True
 
-    async def _refuse(self, status: int, detail: str) -> None:
-        """Answer an unreadable request after those before it, then close."""
+    async def _reject(self, status: int, detail: str) -> None:
+        """Answer an invalid request after those before it, then close."""
         _LOG.warning("Cannot read a request: %s; answered %d.", detail, status)
         while self._answer_scope is not None:
             await self._answered.wait()
--- a/ibisfront/http1/client.py
+++ b/ibisfront/http1/client.py
@@ -24,8 +24,8 @@
 
 
 _REPLY_PAUSE_TIMEOUT_MS = 1_000.0
-"""How long a reply that has begun may pause. A lost packet costs 0.2 to 0.4 s; a
-machine that is without power or partitioned sends nothing for longer."""
+"""How long a reply that has begun may pause. A lost packet costs 0.2 to 0.4 s; an
+unpowered or partitioned machine sends nothing for longer."""
 
 _MAX_REPLY_MS = 8_000.0
 """How long a complete reply may take. A megabyte, the maximum size of a value in
@@ -55,7 +55,7 @@
     async def call(
         self, method: str, target: str, body: bytes = b"", *, timeout_ms: float
     ) -> RawMessage:
-        """Make one call.
+        """Make one call and return the reply.
 
         Parameters
         ----------
@@ -73,8 +73,8 @@
         ------
         OSError
             If the reply does not begin in time, or stalls. The connection is
-            then closed, since a late reply would be taken for the reply to the
-            next call.
+            then closed, since a late reply would be mistaken for the reply to
+            the next call.
         """
         head = (
             f"{method} {target} HTTP/1.1\r\nHost: {self._address}\r\n"
--- a/ibisfront/http1/fields.py
+++ b/ibisfront/http1/fields.py
@@ -37,7 +37,7 @@
 )
 """Fields that are not forwarded."""
 
-_REASONS = {
+_REASON_PHRASES = {
     200: b"OK",
     404: b"Not Found",
     408: b"Request Timeout",
@@ -54,7 +54,7 @@
 
 def encode_reply(reply: CallerReply, keeps_open: bool) -> bytes:
     """Encode an answer to a caller."""
-    reason = _REASONS.get(reply.status, b"Status")
+    reason = _REASON_PHRASES.get(reply.status, b"Status")
     lines = [b"HTTP/1.1 %d %b" % (reply.status, reason)]
     lines += [name + b": " + value for name, value in reply.headers]
     lines.append(b"Content-Length: %d" % len(reply.body))
@@ -73,7 +73,7 @@
 
 
 def idle_timeout_ms(value: bytes) -> float | None:
-    """Return the idle timeout given in a ``Keep-Alive`` header."""
+    """Return the idle timeout in a ``Keep-Alive`` header; None if it has none."""
     for item in value.split(b","):
         key, _, text = item.strip().partition(b"=")
         if key.lower() == b"timeout":
--- a/ibisfront/http1/listening.py
+++ b/ibisfront/http1/listening.py
@@ -16,7 +16,13 @@
 
 
 def listening_socket(address: Address) -> socket.socket:
-    """Return a non-blocking socket that listens on an address."""
+    """Return a non-blocking socket that listens on an address.
+
+    Raises
+    ------
+    OSError
+        If the address is in use or not local.
+    """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/ibisfront/http1/parser.py
+++ b/ibisfront/http1/parser.py
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    start : bytes
+    target : bytes
         The target of a request; empty for a reply.
     method : bytes
         The method of a request; empty for a reply.
@@ -46,7 +46,7 @@
         Whether the sender keeps the connection open after the message.
     """
 
-    start: bytes
+    target: bytes
     method: bytes
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -69,7 +69,7 @@
         "_body",
         "_body_bytes",
         "_headers",
-        "_start",
+        "_target",
         "head_complete",
         "is_mid_message",
         "maximum_body_bytes",
@@ -84,7 +84,7 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._start = b""
+        self._target = b""
 
     def on_message_begin(self) -> None:
         """Reset the state for a new message."""
@@ -93,7 +93,7 @@
         self._headers = []
         self._body = []
         self._body_bytes = 0
-        self._start = b""
+        self._target = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header."""
@@ -111,7 +111,7 @@
         """Bytes received of the body of an incomplete message."""
         return self._body_bytes if self.is_mid_message else 0
 
-    def _take_body(self) -> bytes:
+    def _join_body(self) -> bytes:
         return self._body[0] if len(self._body) == 1 else b"".join(self._body)
 
 
@@ -145,7 +145,7 @@
         Raises
         ------
         MalformedMessageError
-            If they are not a reply.
+            If the bytes are not a reply.
         """
         try:
             self._parser.feed_data(data)
@@ -200,7 +200,7 @@
                 b"",
                 self._parser.get_status_code(),
                 self._headers,
-                self._take_body(),
+                self._join_body(),
                 keeps_open,
             )
         )
@@ -235,7 +235,7 @@
         Raises
         ------
         MalformedMessageError
-            If they are not a request, or exceed a limit.
+            If the bytes are not a request, or exceed a limit.
         """
         try:
             self._parser.feed_data(data)
@@ -252,17 +252,17 @@
 
     def on_url(self, url: bytes) -> None:
         """Append to the target, which may arrive in pieces."""
-        self._start += url
+        self._target += url
 
     def on_headers_complete(self) -> None:
-        """Reject ambiguous framing and too large a head.
+        """Reject ambiguous framing and an oversized head.
 
-        A request with two lengths, or with a length and chunks, may be parsed
-        as one request here and as two by a backend server (request smuggling);
+        A request with two lengths, or with a length and chunked encoding, may be
+        parsed as one request here and as two by a backend server (request smuggling);
         the second would then run although no caller sent it.
         """
         self.head_complete = True
-        size = len(self._start)
+        size = len(self._target)
         lengths = 0
         for name, value in self._headers:
             size += len(name) + len(value) + 4
@@ -282,11 +282,11 @@
         self._head_bytes = 0
         self.messages.append(
             RawMessage(
-                self._start,
+                self._target,
                 self._parser.get_method(),
                 0,
                 self._headers,
-                self._take_body(),
+                self._join_body(),
                 self._parser.should_keep_alive(),
             )
         )
--- a/ibisfront/platform/documents.py
+++ b/ibisfront/platform/documents.py
@@ -72,7 +72,7 @@
 
 
 class _Configuration(msgspec.Struct):
-    """The whole configuration as stored."""
+    """The configuration as stored."""
 
     version: int
     routes: list[msgspec.Raw]
@@ -93,7 +93,7 @@
 real servers."""
 
 _MAX_WARM_UP_MS = 600_000.0
-"""The same for the rest of a warm-up, which takes seconds."""
+"""Remaining warm-up above which an entry is invalid; a real one takes seconds."""
 
 _Address = Annotated[
     str, msgspec.Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[1-9][0-9]{0,4}$")
--- a/ibisfront/platform/headers.py
+++ b/ibisfront/platform/headers.py
@@ -58,7 +58,7 @@
         forwarded.append((name, value))
     return InboundRequest(
         method=raw.method,
-        target=raw.start,
+        target=raw.target,
         host=host,
         request_id=request_id,
         deadline_ms=deadline_ms,
@@ -89,7 +89,7 @@
 
 def _decode_reply(raw: RawMessage) -> BackendReply:
     reply = BackendReply(raw.status, [], raw.body, closes=not raw.keeps_open)
-    # Another server has the address; the status alone indicates that.
+    # Another server now has the address; only the status indicates it.
     reply.is_other_server = reply.not_run = raw.status == _MISDIRECTED
     for name, value in raw.headers:
         lower = name.lower()
--- a/ibisfront/platform/settings.py
+++ b/ibisfront/platform/settings.py
@@ -24,7 +24,7 @@
 
 
 class _Listen(msgspec.Struct, rename="camel"):
-    """Addresses by what they serve; each may be missing."""
+    """Addresses to listen on; each may be missing."""
 
     front: str = ""
     ready: str = ""
@@ -32,9 +32,9 @@
 
 
 class _Limits(msgspec.Struct, rename="camel"):
-    """What one process may use."""
+    """CPU limits of one process."""
 
-    # Share of one core, which is ``cpus`` times as fast.
+    # Share of one core; ``cpus`` is the relative speed of that core.
     cpu_share: float = 1.0
     cpus: float = 1.0
 
@@ -54,7 +54,7 @@
     retry_allowance: float
     # Missing where zones are never evacuated.
     evacuate_ms: float | None = None
-    # Of the requests to a cold server, not of the length of its warm-up.
+    # Limits on requests to a cold server, not on the length of its warm-up.
     warmup_excess: float = 1.0
     warmup_slack: float = 0.0
 
@@ -74,12 +74,12 @@
     listen: _Listen
     limits: _Limits
     bounds: _Bounds
-    # Section of the platform's store, not of the whole platform.
+    # Describes the platform's store only, not the whole platform.
     platform: _Store
     seeds: tuple[str, ...] = ()
-    # Each zone and its region.
+    # Region by zone.
     zones: dict[str, str] = {}
-    # True at the first start of all instances only, not of this one.
+    # True only at the first start of all instances, not of this one alone.
     bootstrap: bool = False
 
 
--- a/ibisfront/platform/store.py
+++ b/ibisfront/platform/store.py
@@ -150,7 +150,7 @@
         message = await self.call("GET", suffix, timeout_ms=timeout_ms)
         if message.status == _OK:
             return message.body
-        raise _refusal(self._kind, message)
+        raise _rejection(self._kind, message)
 
     async def list_all(self, options: str = "") -> Listing:
         """Return all objects of the kind; raises ``StoreError``."""
@@ -194,7 +194,7 @@
             name = quote(entry.name, safe="")
             message = await self._calls.call("PUT", f"/{name}", body)
         if not _OK <= message.status < _MULTIPLE_CHOICES:
-            raise _refusal(_INSTANCES_KIND, message)
+            raise _rejection(_INSTANCES_KIND, message)
 
     async def instances(self) -> Sequence[InstanceEntry]:
         """Return all entries; they may be a few seconds old."""
@@ -259,31 +259,31 @@
         self._calls.close()
 
 
-def _refusal(kind: str, message: RawMessage) -> StoreError:
+def _rejection(kind: str, message: RawMessage) -> StoreError:
     error = StoreErrorKind.REFUSED
     if message.status == _GONE:
         error = StoreErrorKind.HISTORY_GONE
     return StoreError(error, f"{kind}: status {message.status}")
 
 
-def _decode(raw: bytes, kind: type[_T]) -> _T:
+def _decode(raw: bytes, body_type: type[_T]) -> _T:
     try:
-        return msgspec.json.decode(raw, type=kind)
+        return msgspec.json.decode(raw, type=body_type)
     except msgspec.DecodeError as error:
         raise StoreError(StoreErrorKind.BAD_ANSWER, str(error)) from error
 
 
-def _decode_leniently(raw: bytes, kind: type[_T]) -> _T:
-    """Decode an answer with content of other writers.
+def _decode_leniently(raw: bytes, body_type: type[_T]) -> _T:
+    """Decode an answer with objects from other writers.
 
     One object that is not valid JSON invalidates the whole answer, and with it
     the list of all servers. Lenient decoding limits the damage to that object.
     """
     try:
-        return msgspec.json.decode(raw, type=kind)
+        return msgspec.json.decode(raw, type=body_type)
     except msgspec.DecodeError as error:
         _LOG.warning("A reply from the store is not valid JSON: %s.", error)
-    return _decode(repair_json(raw), kind)
+    return _decode(repair_json(raw), body_type)
 
 
 def _stored_object(item: _Object) -> StoredObject:
