--- a/ibisfront/adapters/admin.py
+++ b/ibisfront/adapters/admin.py
@@ -59,14 +59,14 @@
 
 
 class NamedService(msgspec.Struct, frozen=True):
-    """One service and its name, as this instance has it."""
+    """One service and its name, as in the catalogue of this instance."""
 
     name: str
     service: Service
 
 
 class AdministeredInstance(Protocol):
-    """What the operators' interface uses of an instance."""
+    """Interface of an instance that the operators' routes use."""
 
     catalogue: Catalogue
     counters: Counters
@@ -83,7 +83,7 @@
         ...
 
     async def status_of_all(self) -> TierStatus:
-        """Request the status of every instance that has not left."""
+        """Request and return the status of every instance that has not left."""
         ...
 
 
@@ -252,7 +252,7 @@
 
 
 def _validate_server(server: BackendServer) -> None:
-    # An address that no connection can be opened to would only show up as
+    # An address to which no connection can be opened would only show up as
     # failed searches of every branch, at every instance.
     problem = address_problem(server.address)
     if problem is not None:
--- a/ibisfront/adapters/backend.py
+++ b/ibisfront/adapters/backend.py
@@ -74,7 +74,7 @@
 
     @property
     def snapshots(self) -> tuple[str, ...]:
-        """The snapshots that the server reports to hold."""
+        """The snapshots that the server reports."""
         value = self._values.get(b"x-snapshots", b"").decode("latin-1")
         return tuple(name.strip() for name in value.split(",") if name.strip())
 
@@ -85,7 +85,7 @@
 
     @property
     def retry_after_ms(self) -> float | None:
-        """After how long the server allows a retry; None if it does not say."""
+        """The delay that the server requests before a retry; None if not given."""
         value = self._values.get(b"retry-after-ms")
         return float(value) if value is not None and value.isdigit() else None
 
--- a/ibisfront/adapters/callers.py
+++ b/ibisfront/adapters/callers.py
@@ -104,7 +104,7 @@
         raise _nesting_error() from error
     # A body can be nested deeper than a backend server's decoder supports, and
     # would fail there, after it was sent. Counting brackets is cheap and
-    # clears nearly all bodies; only the rest are traversed.
+    # accepts nearly all bodies; only the others are traversed.
     if body.count(b"[") + body.count(b"{") > _MAXIMUM_DEPTH:
         _validate_depth(decoded)
 
--- a/ibisfront/adapters/http.py
+++ b/ibisfront/adapters/http.py
@@ -71,7 +71,7 @@
     headers : tuple of tuple of bytes
         Further headers.
     outcome : str
-        The counter reason of what the sender is sent.
+        The reason under which the response is counted.
     """
 
     status: int
@@ -122,7 +122,7 @@
     duration_ms : float
         From the head of the request to the response.
     outcome : str
-        The counter reason of what the sender was sent.
+        The reason under which the exchange is counted.
     error : BaseException or None
         Why the request failed; None if it succeeded.
     """
@@ -155,7 +155,7 @@
     request_id : str or None
         The request's id.
     retry_after_ms : int or None
-        After how long a retry can succeed.
+        Delay after which a retry can succeed.
     conflict : TableConflict or None
         Both edits, if the error is a conflict.
     """
--- a/ibisfront/adapters/peer_stream.py
+++ b/ibisfront/adapters/peer_stream.py
@@ -34,8 +34,8 @@
 
 _WRITE_TIMEOUT_MS = 2000.0
 _FLUSH_CHECK_MS = 5.0
-_QUEUE_FRAMES = 1024
-_QUEUE_BYTES = 8_388_608
+_MAXIMUM_QUEUED_FRAMES = 1024
+_MAXIMUM_QUEUED_BYTES = 8_388_608
 _RECEIVE_BYTES = 65_536
 _SEND_BYTES = 262_144
 _LOG = part_logger(LogPart.PEERS)
@@ -101,8 +101,8 @@
     def queue(self, frame: bytes) -> bool:
         """Queue a frame; return False if it was dropped."""
         full = (
-            len(self._queue) >= _QUEUE_FRAMES
-            or self._queued_bytes + len(frame) > _QUEUE_BYTES
+            len(self._queue) >= _MAXIMUM_QUEUED_FRAMES
+            or self._queued_bytes + len(frame) > _MAXIMUM_QUEUED_BYTES
         )
         if self.closed.is_set() or full:
             self._count("dropped_full" if full else "dropped_closed")
@@ -131,6 +131,11 @@
         list of Frame or None
             The frames received along with the peer's ``Hello``; None if the
             other end is not a peer with this protocol version.
+
+        Raises
+        ------
+        MalformedFrame
+            If the received bytes are not valid frames.
         """
         with self._clock.timeout_ms(HANDSHAKE_TIMEOUT_MS):
             own_hello = Hello(PROTOCOL_VERSION, own, self.neighbour)
--- a/ibisfront/adapters/peers.py
+++ b/ibisfront/adapters/peers.py
@@ -42,7 +42,7 @@
 _DIAL_YIELD_MS = 100.0
 _FRESHNESS_MS = 1000.0
 _REDIAL_DELAY_MS = 500.0
-_ON_DEMAND_STREAMS = 64
+_MAXIMUM_ON_DEMAND_STREAMS = 64
 _LOG = part_logger(LogPart.PEERS)
 
 
@@ -119,17 +119,20 @@
     def handle(
         self, message_type: type[MessageType], handler: PeerHandler[MessageType]
     ) -> None:
-        """Call a function for each message of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler  # type: ignore[assignment]
 
     def respond(
         self, message_type: type[MessageType], handler: PeerReplyHandler[MessageType]
     ) -> None:
-        """Call a function to reply to each request of a type."""
+        """Register the handler that replies to requests of a type."""
         self._request_handlers[message_type] = handler  # type: ignore[assignment]
 
     def send(self, name: str, message: PeerMessage) -> bool:
-        """Queue a message for one instance; opens a stream if there is none."""
+        """Queue a message for one instance; return False if it was dropped.
+
+        Opens a stream if there is none.
+        """
         stream = self._stream_to(name)
         return stream is not None and stream.queue(encode(message))
 
@@ -294,7 +297,7 @@
 
     def _prefers_existing(self, existing: PeerStream, candidate: PeerStream) -> bool:
         # Two instances that dial each other at once have two streams, and must
-        # both close the same one: that which the larger name dialled. A stream
+        # both close the same one: that dialled by the larger name. A stream
         # that only one end still holds open receives nothing, so one without
         # recent bytes is replaced whichever end dialled it.
         name = _peer(existing).name
@@ -306,10 +309,10 @@
         return fresh and existing.dialled == (self._members.own_name < name)
 
     def _unregister(self, stream: PeerStream) -> None:
-        for registry in (self._streams, self._on_demand):
-            for name, known in list(registry.items()):
-                if known is stream:
-                    del registry[name]
+        for streams in (self._streams, self._on_demand):
+            for name, registered in list(streams.items()):
+                if registered is stream:
+                    del streams[name]
 
     def _stream_to(self, name: str) -> PeerStream | None:
         found = self._streams.get(name) or self._on_demand.get(name)
@@ -321,7 +324,7 @@
             member is None
             or self._nursery is None
             or name == self._members.own_name
-            or len(self._on_demand) >= _ON_DEMAND_STREAMS
+            or len(self._on_demand) >= _MAXIMUM_ON_DEMAND_STREAMS
             or now_ms < self._dial_after_ms.get(name, 0.0)
         ):
             self._count("dropped_no_stream")
--- a/ibisfront/adapters/platform.py
+++ b/ibisfront/adapters/platform.py
@@ -73,6 +73,9 @@
 class PlatformClient:
     """Client of the platform; each connection carries one call at a time.
 
+    Reads raise ``IbisfrontError`` with ``platform_unavailable`` if the platform
+    does not answer or its answer is invalid; for writes see ``put``.
+
     Parameters
     ----------
     address : str
@@ -108,7 +111,10 @@
     async def changes(
         self, kinds: Sequence[ObjectKind], *, after: Version, wait_ms: float
     ) -> ObjectsRead | None:
-        """Wait for changes after a revision; None if the revision is too old."""
+        """Wait up to ``wait_ms`` for changes after a revision.
+
+        None if the revision is too old.
+        """
         response = await self._call(
             "GET",
             f"/changes?kinds={','.join(kinds)}&after={after}&wait_ms={wait_ms:.0f}",
@@ -218,8 +224,8 @@
 
 
 def _decode_body(response: httpcore.Response, body_type: type[_Body]) -> _Body:
-    # A proxy or a faulty platform can return a body that is not of the object
-    # API. To the callers of this client that is an outage.
+    # A proxy or a faulty platform can return a body that does not follow
+    # the object API. To the callers of this client that is an outage.
     try:
         return msgspec.json.decode(response.content, type=body_type)
     except msgspec.MsgspecError as error:
