--- a/ibisfront/tests/test_adapters_backend.py
+++ b/ibisfront/tests/test_adapters_backend.py
@@ -150,7 +150,7 @@
 
     @trio_test_real_clock
     async def test_connection_with_a_duplicated_reply_is_not_reused(self):
-        """Guards against taking a duplicated reply for the next one.
+        """Guards against mistaking a duplicated reply for the next one.
 
         The server sends a reply twice in one packet. The second copy is read
         along with the first, and would fail the next search.
--- a/ibisfront/tests/test_http1_caller_listener.py
+++ b/ibisfront/tests/test_http1_caller_listener.py
@@ -99,8 +99,8 @@
             while data.count(b"HTTP/1.1 200") < 2:
                 data += await read_reply(stream)
             await stream.aclose()
-        names = [request.request_id for request in server.requests]
-        self.assertEqual(names, ["r1", "r2"])
+        request_ids = [request.request_id for request in server.requests]
+        self.assertEqual(request_ids, ["r1", "r2"])
 
     @trio_test_real_clock
     async def test_chunked_body_is_complete(self):
@@ -133,7 +133,7 @@
         """Guards against request smuggling.
 
         With two lengths, the body ends earlier by one than by the other. A backend
-        server may take the rest for a second request, which no caller has sent.
+        server may parse the rest as a second request, which no caller has sent.
         """
         async with served() as server:
             for second in (b"Content-Length: 9", b"Transfer-Encoding: chunked"):
--- a/ibisfront/tests/test_http1_client.py
+++ b/ibisfront/tests/test_http1_client.py
@@ -79,7 +79,7 @@
 
     @with_server
     async def test_slow_reply_is_read_completely(self, client, server, nursery):
-        """Guards against an instance that never gets a new configuration.
+        """Guards against an instance that never receives a new configuration.
 
         With a timeout of 1,200 ms for the whole reply, a megabyte on a link of
         7 Mbit/s times out after 983,040 bytes, is discarded and requested again
--- a/ibisfront/tests/test_peers.py
+++ b/ibisfront/tests/test_peers.py
@@ -113,8 +113,8 @@
 
         async def scenario(cluster) -> None:
             stream = await cluster.network.transport("elsewhere").dial("peer-0")
-            stranger = Member("x", "z0", "elsewhere", "", 1)
-            hello = Hello(PROTOCOL_VERSION, stranger, neighbour=False)
+            non_member = Member("x", "z0", "elsewhere", "", 1)
+            hello = Hello(PROTOCOL_VERSION, non_member, neighbour=False)
             await stream.send_all(encode(hello))
             await cluster.clock.sleep_ms(100.0)
             await stream.send_all(b"\x00\x00\x00\x01\xc1")
@@ -131,8 +131,8 @@
     async def test_other_protocol_version_is_rejected(self) -> None:
         async def scenario(cluster) -> None:
             stream = await cluster.network.transport("elsewhere").dial("peer-0")
-            stranger = Member("x", "z0", "elsewhere", "", 1)
-            hello = Hello(PROTOCOL_VERSION + 1, stranger, neighbour=True)
+            non_member = Member("x", "z0", "elsewhere", "", 1)
+            hello = Hello(PROTOCOL_VERSION + 1, non_member, neighbour=True)
             await stream.send_all(encode(hello))
             await cluster.clock.sleep_ms(100.0)
             self.assertEqual(self._count(cluster, "other_version"), 1)
--- a/ibisfront/tests/test_platform_headers.py
+++ b/ibisfront/tests/test_platform_headers.py
@@ -51,7 +51,7 @@
         self.assertNotIn(b"X-Mine", sent)
 
     def test_invalid_deadline_is_ignored(self):
-        """Guards against a request that hangs, since its deadline is not a number.
+        """Guards against a request that hangs because its deadline is NaN.
 
         Every comparison with NaN is false, so that neither the deadline nor the
         time to abandon the request would ever pass.
