--- a/ibisfront/adapters/asgi.py
+++ b/ibisfront/adapters/asgi.py
@@ -169,10 +169,10 @@
             return None
         except Exception as error:
             self._error = error
-            fault = IbisfrontError(
+            internal_error = IbisfrontError(
                 ErrorKind.INTERNAL, ANSWERS[ErrorKind.INTERNAL].title, ran=Ran.MAYBE
             )
-            return problem_response(fault, request_id=self._request_id)
+            return problem_response(internal_error, request_id=self._request_id)
 
     def exchange(self, response: HttpResponse | None) -> Exchange:
         """Return the record of the request and its outcome."""
--- a/ibisfront/adapters/connection_close.py
+++ b/ibisfront/adapters/connection_close.py
@@ -1,4 +1,4 @@
-"""Middleware that has callers close their connections during a stop."""
+"""Middleware that makes callers close their connections during a stop."""
 
 from __future__ import annotations
 
--- a/ibisfront/adapters/factory.py
+++ b/ibisfront/adapters/factory.py
@@ -1,4 +1,4 @@
-"""The factory of the adapters that do an instance's input and output."""
+"""Factory of the adapters for an instance's input and output."""
 
 from __future__ import annotations
 
--- a/ibisfront/adapters/peer_transport.py
+++ b/ibisfront/adapters/peer_transport.py
@@ -68,7 +68,13 @@
         accept: AcceptStream,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept streams until cancelled; reports started once peers can dial."""
+        """Accept streams until cancelled; reports started once peers can dial.
+
+        Raises
+        ------
+        IbisfrontError
+            ``bad_settings`` if the address cannot be listened on.
+        """
         host, _, port = self._own_address.rpartition(":")
         try:
             listeners = await trio.open_tcp_listeners(int(port), host=host.strip("[]"))
--- a/ibisfront/http1/client.py
+++ b/ibisfront/http1/client.py
@@ -72,9 +72,9 @@
         Raises
         ------
         OSError
-            If the reply does not begin in time, or stalls. The connection is
-            then closed, since a late reply would be mistaken for the reply to
-            the next call.
+            If the connection fails, or the reply does not begin in time, stalls
+            or is malformed. The connection is then closed, since a late reply
+            would be mistaken for the reply to the next call.
         """
         head = (
             f"{method} {target} HTTP/1.1\r\nHost: {self._address}\r\n"
