--- a/ibisfront/testing/soak/__init__.py
+++ b/ibisfront/testing/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the front daemon: real processes, faults from outside."""
+"""Randomized soak test of the front daemon: real processes under injected faults."""
--- a/ibisfront/testing/soak/__main__.py
+++ b/ibisfront/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak: ``python -m ibisfront.testing.soak --seeds 1-50``."""
+"""Run the soak test: ``python -m ibisfront.testing.soak --seeds 1-50``."""
 
 from __future__ import annotations
 
@@ -17,36 +17,38 @@
 if TYPE_CHECKING:
     from ibisfront.testing.soak.report import SoakReport
 
-_SHOWN_FAILURES = 5
-_INTERRUPTED = 130
+_MAXIMUM_PRINTED_FAILURES = 5
+_INTERRUPTED_EXIT_CODE = 130
 
 
 def main() -> int:
-    """Play seeds one after another; return 1 if any broke a promise."""
+    """Run the seeds in order; return 1 if any check failed."""
     options = _options()
     folder = Path(options.logs or tempfile.mkdtemp(prefix="ibisfront-soak-"))
     until_s = time.monotonic() + options.minutes * 60.0
-    broken = 0
+    failed = 0
     first, _, last = options.seeds.partition("-")
     for seed in range(int(first), int(last or first) + 1):
         if options.minutes and time.monotonic() > until_s:
             break
-        broken += not _played(seed, folder / str(seed), options)
-    return 1 if broken else 0
+        failed += not _run_seed(seed, folder / str(seed), options)
+    return 1 if failed else 0
 
 
 def _options() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1", help="a seed, or a range A-B")
-    parser.add_argument("--minutes", type=float, default=0.0, help="stop after so long")
+    parser.add_argument(
+        "--minutes", type=float, default=0.0, help="start no seed after this time"
+    )
     parser.add_argument("--fronts", type=int, default=4)
     parser.add_argument("--callers", type=int, default=8)
     parser.add_argument("--length-s", type=float, default=15.0)
-    parser.add_argument("--logs", help="where logs and settings stay")
+    parser.add_argument("--logs", help="directory for logs and settings")
     return parser.parse_args()
 
 
-def _played(seed: int, folder: Path, options: argparse.Namespace) -> bool:
+def _run_seed(seed: int, folder: Path, options: argparse.Namespace) -> bool:
     folder.mkdir(parents=True, exist_ok=True)
     world = SoakWorld(
         seed,
@@ -58,13 +60,13 @@
     report = trio.run(_run, world)
     if report is None:
         sys.stdout.write(f"seed {seed}: interrupted\n")
-        raise SystemExit(_INTERRUPTED)
-    _print(report, folder, options)
+        raise SystemExit(_INTERRUPTED_EXIT_CODE)
+    _print_report(report, folder, options)
     return not report.failures
 
 
 async def _run(world: SoakWorld) -> SoakReport | None:
-    """Return the report; None if a signal came, with no process left behind."""
+    """Return the report; None if a signal arrived. No process is left behind."""
     report: SoakReport | None = None
 
     async def stop_at_signal(
@@ -82,18 +84,22 @@
     return report
 
 
-def _print(report: SoakReport, folder: Path, options: argparse.Namespace) -> None:
+def _print_report(
+    report: SoakReport, folder: Path, options: argparse.Namespace
+) -> None:
     kinds = ", ".join(f"{kind} {count}" for kind, count in report.faults.items())
     sys.stdout.write(
         f"seed {report.seed}: {report.requests} requests, {report.served} served,"
         f" {len(report.failures)} failures; faults: {kinds}\n"
     )
-    for failure in report.failures[:_SHOWN_FAILURES]:
+    for failure in report.failures[:_MAXIMUM_PRINTED_FAILURES]:
         sys.stdout.write(f"  {failure.check}: {failure.request_id} {failure.detail}\n")
     if report.failures:
-        again = f"--seeds {report.seed} --fronts {options.fronts}"
-        again += f" --callers {options.callers} --length-s {options.length_s}"
-        sys.stdout.write(f"  again: python -m ibisfront.testing.soak {again}\n")
+        arguments = f"--seeds {report.seed} --fronts {options.fronts}"
+        arguments += f" --callers {options.callers} --length-s {options.length_s}"
+        sys.stdout.write(
+            f"  reproduce with: python -m ibisfront.testing.soak {arguments}\n"
+        )
         sys.stdout.write(f"  logs: {folder}\n")
     sys.stdout.flush()
 
--- a/ibisfront/testing/soak/backends.py
+++ b/ibisfront/testing/soak/backends.py
@@ -1,4 +1,4 @@
-"""The backend servers of one run, and their entries in the store."""
+"""Backend servers of one run and their entries in the store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from ibisfront.testing.soak.proxy import FaultyProxy
-from ibisfront.testing.soak.servers import Ran, SoakServer
+from ibisfront.testing.soak.servers import Execution, SoakServer
 
 if TYPE_CHECKING:
     from ibisfront.core.clock import Clock
@@ -20,7 +20,7 @@
 
 
 class SoakBackend(msgspec.Struct):
-    """A server, the proxy before it, and what ends it."""
+    """A server, the proxy in front of it and the scope that stops it."""
 
     server: SoakServer
     proxy: FaultyProxy
@@ -29,57 +29,59 @@
 
 
 class SoakBackends:
-    """All servers of a run.
+    """All backend servers of a run.
 
     Parameters
     ----------
     store : StandInStore
-        Where they are listed.
+        Store that holds the server entries.
     clock : Clock
-        The soak's clock.
+        Clock of the soak run.
 
     Attributes
     ----------
-    ran : list of Ran
-        What any of them ran.
-    left : list of str
-        The ids of those that were drained or are gone.
+    executions : list of Execution
+        Requests that any server executed.
+    retired : list of str
+        Ids of the servers that were drained or removed.
     """
 
     def __init__(self, store: StandInStore, *, clock: Clock) -> None:
         self._store = store
         self._clock = clock
         self._all: dict[str, SoakBackend] = {}
-        self.ran: list[Ran] = []
-        self.left: list[str] = []
+        self.executions: list[Execution] = []
+        self.retired: list[str] = []
 
     async def add(self, nursery: trio.Nursery, service: str, zone: str) -> None:
-        """Start another server of a service and list it."""
+        """Start a server of a service and publish its entry."""
         server_id = f"i{len(self._all) + 1}"
-        server = SoakServer(server_id, service, ran=self.ran, clock=self._clock)
+        server = SoakServer(
+            server_id, service, executions=self.executions, clock=self._clock
+        )
         backend = SoakBackend(
             server, FaultyProxy(server.address), trio.CancelScope(), zone
         )
         self._all[server_id] = backend
         await nursery.start(_serve, backend)
-        self._list(backend, "ready")
+        self._publish_entry(backend, "ready")
 
     def live(self, number: int) -> SoakBackend:
-        """Return one of the servers that have not left."""
-        live = [name for name in self._all if name not in self.left]
+        """Return one of the servers that are not retired."""
+        live = [name for name in self._all if name not in self.retired]
         return self._all[live[number % len(live)]]
 
-    def leave(self, backend: SoakBackend, *, is_drained: bool) -> None:
-        """Let a server drain, and serve on; or let it be gone at once."""
+    def retire(self, backend: SoakBackend, *, is_drained: bool) -> None:
+        """Drain a server, which goes on serving, or stop and remove it at once."""
         server_id = backend.server.server_id
-        self.left.append(server_id)
+        self.retired.append(server_id)
         if is_drained:
-            self._list(backend, "draining")
+            self._publish_entry(backend, "draining")
             return
         backend.scope.cancel()
         self._store.remove("servers", server_id)
 
-    def _list(self, backend: SoakBackend, state: str) -> None:
+    def _publish_entry(self, backend: SoakBackend, state: str) -> None:
         entry = {
             "service": backend.server.service,
             "addr": backend.proxy.address,
--- a/ibisfront/testing/soak/callers.py
+++ b/ibisfront/testing/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: what each request was told, and when."""
+"""Callers of the soak, which record the outcome of each request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RequestPath(StrEnum):
-    """What is asked for; each is a route of the configuration."""
+    """Request paths; each matches a route of the configuration."""
 
     SEARCH = "/search/a"
     FETCH = "/fetch/a"
@@ -33,26 +33,26 @@
 
 
 class Outcome(msgspec.Struct):
-    """One request, from its caller's side.
+    """One request as its caller saw it.
 
     Attributes
     ----------
     request_id : str
-        Its name.
+        Unique id of the request.
     path : RequestPath
-        What was asked for.
+        Path that was requested.
     front : str
-        The front process that was asked, with its incarnation.
+        Front process that received the request, with its incarnation.
     sent_at_ms, ended_at_ms : float
-        When it was sent, and when its answer or its end was seen.
+        When it was sent, and when its response or failure was seen.
     status : int
-        The answer's status; 0 without an answer.
+        Status of the response; 0 without a response, -1 if it was malformed.
     headers : dict of bytes to bytes
-        The answer's headers, by their name in lower case.
+        Headers of the response, by lower-case name.
     body : bytes
-        The answer's body.
+        Body of the response.
     error : str
-        Why there is no answer.
+        Why there is no valid response.
     """
 
     request_id: str
@@ -67,14 +67,14 @@
 
 
 class SoakCaller:
-    """Sends one request at a time, and keeps its connection.
+    """Sends one request at a time over a kept-alive connection.
 
     Parameters
     ----------
     name : str
-        Begins the ids of its requests.
+        Prefix of its request ids.
     clock : Clock
-        The soak's clock.
+        Clock of the soak run.
     """
 
     def __init__(self, name: str, *, clock: Clock) -> None:
@@ -85,8 +85,10 @@
         self._proxy: FaultyProxy | None = None
         self._reader = ReplyReader(_MAXIMUM_BODY_BYTES)
 
-    async def ask(self, path: RequestPath, front: str, proxy: FaultyProxy) -> Outcome:
-        """Send a request to a front process and wait for what comes of it."""
+    async def send_request(
+        self, path: RequestPath, front: str, proxy: FaultyProxy
+    ) -> Outcome:
+        """Send a request to a front process and wait for its outcome."""
         request_id = f"{self._name}-{next(self._ids)}"
         outcome = Outcome(request_id, path, front, self._clock.now_ms())
         try:
@@ -104,7 +106,7 @@
             outcome.error = type(error).__name__
             await self._close()
         except MalformedMessageError as error:
-            # Not of the network's making: the checks must see it.
+            # The proxies do not alter bytes, so this is a failure for the checks.
             outcome.status, outcome.error = -1, str(error)
             await self._close()
         outcome.ended_at_ms = self._clock.now_ms()
@@ -127,7 +129,9 @@
         while not self._reader.messages:
             data = await self._stream.receive_some(_READ_BYTES)
             if not data:
-                raise ConnectionResetError("closed without a whole answer")
+                raise ConnectionResetError(
+                    "connection closed before the response was complete"
+                )
             self._reader.feed(data)
         return self._reader.messages.pop()
 
--- a/ibisfront/testing/soak/checks.py
+++ b/ibisfront/testing/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises of the front daemon, checked from what callers and servers saw."""
+"""Guarantees of the front daemon, checked against what callers and servers recorded."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     from collections.abc import Iterable, Sequence
 
     from ibisfront.testing.soak.callers import Outcome
-    from ibisfront.testing.soak.servers import Ran
+    from ibisfront.testing.soak.servers import Execution
 
 __all__ = [
     "Failure",
     "Shape",
     "Span",
-    "check_answers",
     "check_budget",
     "check_drained",
     "check_orders",
+    "check_responses",
     "check_stops",
     "check_versions",
 ]
 
 _OK = 200
-_PROMISES_NOT_RUN = (408, 421, 429, 503)
-_STAMPS = b"x-shard-stamps"
-_MISSING = b"x-shards-missing"
-_STAMP = b"x-backend-stamp"
+_NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+_STAMPS_HEADER = b"x-shard-stamps"
+_MISSING_HEADER = b"x-shards-missing"
+_STAMP_HEADER = b"x-backend-stamp"
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """A broken promise."""
+    """A violated guarantee."""
 
     check: str
     request_id: str
@@ -45,18 +45,18 @@
 
 
 class Shape(msgspec.Struct, frozen=True):
-    """What the configurations of a run allow.
+    """Services and search parameters common to the configurations of a run.
 
     Attributes
     ----------
     generations : tuple of tuple of str
-        The services of a search, by generation: each repartition is one.
+        Services of a search by generation; each repartition starts a new one.
     top_count : int
-        How many records a search returns.
+        Number of records that a search returns.
     minimum_coverage : float
-        The least share of the services that makes an answer.
+        Minimum fraction of the services that must respond.
     fetch, order : str
-        The services of the other two routes.
+        Services of the other two routes.
     """
 
     generations: tuple[tuple[str, ...], ...]
@@ -67,22 +67,22 @@
 
 
 class Span(msgspec.Struct, frozen=True):
-    """A time in which something happened to a front process.
+    """A time span in which a fault or a stop affected a front process.
 
     Attributes
     ----------
     front : str
-        The process, with its incarnation.
+        Front process with its incarnation.
     from_ms, until_ms : float
-        The time.
+        Start and end.
     """
 
     front: str
     from_ms: float
     until_ms: float
 
-    def meets(self, outcome: Outcome) -> bool:
-        """Return whether a request was under way in it."""
+    def overlaps(self, outcome: Outcome) -> bool:
+        """Return whether a request to the front was in flight in the span."""
         is_same = outcome.front == self.front
         return (
             is_same
@@ -91,88 +91,92 @@
         )
 
 
-def check_answers(outcomes: Iterable[Outcome], shape: Shape) -> list[Failure]:
-    """Check that each success is the caller's own, whole, and true."""
+def check_responses(outcomes: Iterable[Outcome], shape: Shape) -> list[Failure]:
+    """Check that each success belongs to its request, is complete and correct."""
     failures = []
     for outcome in outcomes:
         detail = ""
         if outcome.status == -1:
-            detail = f"bytes that are no answer: {outcome.error}"
+            detail = f"malformed response: {outcome.error}"
         elif outcome.status == _OK:
-            detail = _wrong(outcome, shape)
+            detail = _response_error(outcome, shape)
         if detail:
             failures.append(Failure("answers", outcome.request_id, detail))
     return failures
 
 
-def _wrong(outcome: Outcome, shape: Shape) -> str:
-    """Return what is wrong with a success; empty if nothing is."""
+def _response_error(outcome: Outcome, shape: Shape) -> str:
+    """Return what is wrong with a success; empty if it is correct."""
     if outcome.path is RequestPath.SEARCH:
-        return _wrong_search(outcome, shape)
+        return _search_error(outcome, shape)
     service = shape.fetch if outcome.path is RequestPath.FETCH else shape.order
-    stamp = outcome.headers.get(_STAMP, b"").decode()
+    stamp = outcome.headers.get(_STAMP_HEADER, b"").decode()
     if stamp != signature(service, outcome.request_id):
         return f"signed {stamp!r}"
     if outcome.body != b"".join(part_records(service, outcome.request_id)):
-        return "another body than the server's"
+        return "body differs from the server's"
     return ""
 
 
-def _wrong_search(outcome: Outcome, shape: Shape) -> str:
-    named = _services(outcome)
-    if len(set(named)) != len(named):
-        return "a service twice"
+def _search_error(outcome: Outcome, shape: Shape) -> str:
+    services = _answered_services(outcome)
+    if len(set(services)) != len(services):
+        return "duplicate service"
     generation = generation_of(outcome, shape)
     if generation is None:
-        return f"parts of no one version: {named}"
+        return f"parts of no single version: {services}"
     total = len(shape.generations[generation])
-    missing = int(outcome.headers.get(_MISSING, b"0"))
-    if len(named) + missing != total:
-        return f"{len(named)} parts and {missing} missing of {total}"
-    if len(named) < shape.minimum_coverage * total:
-        return f"only {len(named)} of {total}"
-    records = [r for name in named for r in part_records(name, outcome.request_id)]
+    missing = int(outcome.headers.get(_MISSING_HEADER, b"0"))
+    if len(services) + missing != total:
+        return f"{len(services)} parts and {missing} missing of {total}"
+    if len(services) < shape.minimum_coverage * total:
+        return f"only {len(services)} of {total}"
+    records = [r for name in services for r in part_records(name, outcome.request_id)]
     expected = b"".join(sorted(records, reverse=True)[: shape.top_count])
-    return "" if outcome.body == expected else "not the greatest records of its parts"
+    return "" if outcome.body == expected else "not the top records of its parts"
 
 
-def _services(outcome: Outcome) -> list[str]:
-    """Return the services whose parts an answer names; wrong ones as they are."""
-    stamps = outcome.headers.get(_STAMPS, b"").decode().split(",")
+def _answered_services(outcome: Outcome) -> list[str]:
+    """Return the services named by a response's stamps; invalid stamps unchanged."""
+    stamps = outcome.headers.get(_STAMPS_HEADER, b"").decode().split(",")
     ending = f".{outcome.request_id}"
     return [stamp.strip().removesuffix(ending) for stamp in stamps if stamp.strip()]
 
 
 def generation_of(outcome: Outcome, shape: Shape) -> int | None:
-    """Return which generation an answer's parts are of; None if of no one."""
-    named = set(_services(outcome))
+    """Return the generation that contains all parts of a response, if any."""
+    answered = set(_answered_services(outcome))
     for number, services in enumerate(shape.generations):
-        if named and named <= set(services):
+        if answered and answered <= set(services):
             return number
     return None
 
 
-def check_orders(outcomes: Iterable[Outcome], ran: Iterable[Ran]) -> list[Failure]:
-    """Check that what must not be repeated ran once, and "not run" is true."""
-    runs = Counter(item.request_id for item in ran)
+def check_orders(
+    outcomes: Iterable[Outcome], executions: Iterable[Execution]
+) -> list[Failure]:
+    """Check that orders run at most once, and never after a "not run" status."""
+    runs = Counter(item.request_id for item in executions)
     failures = []
     for outcome in outcomes:
-        times = runs[outcome.request_id]
+        run_count = runs[outcome.request_id]
         if outcome.path is not RequestPath.ORDER:
             continue
-        if times > 1:
-            failures.append(Failure("once", outcome.request_id, f"ran {times} times"))
-        if outcome.status in _PROMISES_NOT_RUN and times:
+        if run_count > 1:
+            failures.append(
+                Failure("once", outcome.request_id, f"ran {run_count} times")
+            )
+        if outcome.status in _NOT_EXECUTED_STATUSES and run_count:
             detail = f"answered {outcome.status} and ran"
             failures.append(Failure("not run", outcome.request_id, detail))
     return failures
 
 
 def check_versions(outcomes: Iterable[Outcome], shape: Shape) -> list[Failure]:
-    """Check that versions never fall within one process.
+    """Check that the configuration version never decreases within one process.
 
-    An answer shows its version by its services. A request that was sent after
-    an answer was seen must not show an older one.
+    The services of a response reveal its version. A request sent after a
+    response was received must not use an older version.
     """
     by_front: dict[str, list[tuple[Outcome, int]]] = defaultdict(list)
     for outcome in outcomes:
@@ -180,61 +184,65 @@
             generation = generation_of(outcome, shape)
             if generation is not None:
                 by_front[outcome.front].append((outcome, generation))
-    return [failure for seen in by_front.values() for failure in _falls(seen)]
+    return [
+        failure for seen in by_front.values() for failure in _version_regressions(seen)
+    ]
 
 
-def _falls(seen: list[tuple[Outcome, int]]) -> list[Failure]:
+def _version_regressions(seen: list[tuple[Outcome, int]]) -> list[Failure]:
     ended = sorted(seen, key=lambda item: item[0].ended_at_ms)
     failures = []
     for outcome, generation in seen:
-        before = [
-            known for other, known in ended if other.ended_at_ms < outcome.sent_at_ms
+        earlier = [
+            version
+            for other, version in ended
+            if other.ended_at_ms < outcome.sent_at_ms
         ]
-        if before and max(before) > generation:
-            detail = f"generation {generation} after {max(before)}"
+        if earlier and max(earlier) > generation:
+            detail = f"generation {generation} after {max(earlier)}"
             failures.append(Failure("versions", outcome.request_id, detail))
     return failures
 
 
 def check_drained(
-    ran: Iterable[Ran], outcomes: Iterable[Outcome], drained: Sequence[str]
+    executions: Iterable[Execution], outcomes: Iterable[Outcome], drained: Sequence[str]
 ) -> list[Failure]:
-    """Check that none of some requests reached a server that had been drained.
+    """Check that no request reached a server drained before it was sent.
 
     Parameters
     ----------
-    ran : iterable of Ran
-        What ran.
+    executions : iterable of Execution
+        Requests that servers executed.
     outcomes : iterable of Outcome
-        Requests that were sent long after.
+        Requests sent well after the servers were drained.
     drained : sequence of str
-        The servers.
+        Ids of the drained servers.
     """
-    late = {outcome.request_id for outcome in outcomes}
+    recent_ids = {outcome.request_id for outcome in outcomes}
     return [
         Failure("drained", item.request_id, f"ran at {item.server_id}")
-        for item in ran
-        if item.request_id in late and item.server_id in drained
+        for item in executions
+        if item.request_id in recent_ids and item.server_id in drained
     ]
 
 
 def check_budget(
-    ran: Iterable[Ran],
+    executions: Iterable[Execution],
     outcomes: Iterable[Outcome],
     *,
     window_ms: float,
     ratio: float,
     allowance: float,
 ) -> list[Failure]:
-    """Check that no service got more extra work than the budget allows.
+    """Check that no service received more extra attempts than the budget allows.
 
-    Requests are counted over the window and the one before it, as work may
-    reach a server late.
+    Requests are counted over the window and the one before it, because attempts
+    may reach a server late.
     """
     sent_ms = sorted(outcome.sent_at_ms for outcome in outcomes)
     extras: dict[str, list[float]] = defaultdict(list)
     seen = set()
-    for item in sorted(ran, key=lambda item: item.at_ms):
+    for item in sorted(executions, key=lambda item: item.at_ms):
         key = (item.service, item.request_id)
         if key in seen:
             extras[item.service].append(item.at_ms)
@@ -253,30 +261,30 @@
 
 def check_stops(
     outcomes: Iterable[Outcome],
-    ran: Iterable[Ran],
+    executions: Iterable[Execution],
     *,
     stops: Sequence[Span],
-    spoiled: Sequence[Span],
+    disruptions: Sequence[Span],
 ) -> list[Failure]:
-    """Check that a planned stop cuts off no request that a server was sent.
+    """Check that a planned stop interrupts no request that reached a server.
 
     Parameters
     ----------
     outcomes : iterable of Outcome
         All requests.
-    ran : iterable of Ran
-        What ran.
+    executions : iterable of Execution
+        Requests that servers executed.
     stops : sequence of Span
-        From the signal to the end of the process.
-    spoiled : sequence of Span
-        Times in which something else befell a front or its callers' path.
+        Spans from the signal to the exit of the process.
+    disruptions : sequence of Span
+        Spans in which another fault affected a front or its callers' proxy.
     """
-    passed_on = {item.request_id for item in ran}
+    forwarded = {item.request_id for item in executions}
     return [
-        Failure("stop", outcome.request_id, f"cut off by a stop: {outcome.error}")
+        Failure("stop", outcome.request_id, f"interrupted by a stop: {outcome.error}")
         for outcome in outcomes
         if outcome.error
-        and outcome.request_id in passed_on
-        and any(span.meets(outcome) for span in stops)
-        and not any(span.meets(outcome) for span in spoiled)
+        and outcome.request_id in forwarded
+        and any(span.overlaps(outcome) for span in stops)
+        and not any(span.overlaps(outcome) for span in disruptions)
     ]
--- a/ibisfront/testing/soak/documents.py
+++ b/ibisfront/testing/soak/documents.py
@@ -1,4 +1,4 @@
-"""The configuration of the soak, as an operator writes it."""
+"""Configuration documents of the soak, as an operator writes them."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 def configuration_document(
     shape: Shape, *, version: int, generation: int, timeout_ms: int
 ) -> dict[str, object]:
-    """Return a version of the configuration.
+    """Return one version of the configuration.
 
     Parameters
     ----------
     shape : Shape
-        What all versions of a run allow.
+        Services and limits common to all versions of a run.
     version : int
-        Its number.
+        Version number.
     generation : int
-        Which list of services a search asks.
+        Index of the list of services that a search queries.
     timeout_ms : int
-        The longest time that a caller is kept waiting.
+        Request timeout of every route.
     """
     services = [
         *(name for names in shape.generations for name in names),
--- a/ibisfront/testing/soak/faults.py
+++ b/ibisfront/testing/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak, drawn from a seed."""
+"""Faults of a soak run, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 __all__ = ["Fault", "FaultKind", "draw_faults"]
 
-_LONGEST_S = 4.0
-_SERIES_SHARE = 0.3
-"""Share of faults that come again at once, at another target."""
+_MAXIMUM_DURATION_S = 4.0
+_REPEAT_PROBABILITY = 0.3
+"""Probability that a fault is repeated 0.1 s later on another target."""
 
 
 class FaultKind(StrEnum):
-    """What happens; see ``SoakWorld`` for how."""
+    """Kind of fault; ``SoakWorld`` implements each."""
 
     FRONT_KILL = "front_kill"
     FRONT_PAUSE = "front_pause"
@@ -41,41 +41,42 @@
 
     Attributes
     ----------
-    at_s, for_s : float
-        When it begins, and how long it lasts where that means anything.
+    at_s, duration_s : float
+        Start from the beginning of the fault phase, and duration where the kind
+        has one.
     kind : FaultKind
-        What happens.
+        What goes wrong.
     target : int
-        To which of the things that fit; taken modulo their number.
+        Index of the process or server affected, modulo their number.
     variant : int
-        Which of the ways that fit.
+        Selects among the variants of the kind.
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: FaultKind
     target: int
     variant: int
 
 
-def draw_faults(seed: int, *, length_s: float, a_second: float = 1.0) -> list[Fault]:
-    """Return the faults of a run, in order; the same for the same seed."""
+def draw_faults(seed: int, *, length_s: float, rate_per_s: float = 1.0) -> list[Fault]:
+    """Return the faults of a run in order of time; deterministic for a seed."""
     random = Random(seed)
     kinds = list(FaultKind)
     faults: list[Fault] = []
     at_s = 0.0
-    while (at_s := at_s + random.expovariate(a_second)) < length_s:
+    while (at_s := at_s + random.expovariate(rate_per_s)) < length_s:
         fault = Fault(
             at_s=at_s,
-            for_s=min(random.uniform(0.2, _LONGEST_S), length_s - at_s),
+            duration_s=min(random.uniform(0.2, _MAXIMUM_DURATION_S), length_s - at_s),
             kind=random.choice(kinds),
             target=random.randrange(1_000),
             variant=random.randrange(1_000),
         )
         faults.append(fault)
-        if random.random() < _SERIES_SHARE:
-            again = msgspec.structs.replace(
+        if random.random() < _REPEAT_PROBABILITY:
+            repeated = msgspec.structs.replace(
                 fault, at_s=at_s + 0.1, target=random.randrange(1_000)
             )
-            faults.append(again)
+            faults.append(repeated)
     return faults
--- a/ibisfront/testing/soak/fronts.py
+++ b/ibisfront/testing/soak/fronts.py
@@ -1,4 +1,4 @@
-"""The front processes of the soak."""
+"""Front processes of the soak."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 
 def _loopback_ip(number: int) -> str:
-    """Return an address of its own: each front serves metrics on the same port.
+    """Return a separate address for each front, as all serve metrics on one port.
 
-    Two soaks at once must not share them either.
+    It depends on the process id, so that concurrent soaks do not collide.
     """
     pid = os.getpid()
     return f"127.{1 + pid // 250 % 250}.{pid % 250}.{10 + number}"
 
 
 class SoakFront:
-    """One front process, which may be ended and started again.
+    """One front process, which can be stopped and restarted.
 
     Parameters
     ----------
     number : int
-        Its number.
+        Index of the front.
     folder : Path
-        Where its settings and logs go.
+        Directory for its settings and logs.
 
     Attributes
     ----------
     callers_proxy, store_proxy : FaultyProxy
-        On its way to callers and to the store.
+        Proxies on its connections from callers and to the store.
     incarnation : int
-        How often it was started.
+        Number of starts.
     """
 
     def __init__(self, number: int, folder: Path) -> None:
@@ -60,36 +60,36 @@
         self._stack = AsyncExitStack()
         self._reserved = {role: reserve_address(self._ip) for role in _ROLES}
         self._process: RunningProcess | None = None
-        self._written = 0
+        self._write_count = 0
         self.callers_proxy = FaultyProxy(address_of(self._reserved["front"]))
         self.store_proxy = FaultyProxy()
         self.incarnation = 0
 
     @property
     def label(self) -> str:
-        """Its name with its incarnation."""
+        """Name with incarnation."""
         return f"{self.name}#{self.incarnation}"
 
     @property
     def control_address(self) -> Address:
-        """Where other fronts reach it."""
+        """Address at which other fronts reach it."""
         return address_of(self._reserved["control"])
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.exit_code is None
 
     def write_settings(self, seeds: list[Address]) -> None:
-        """Write its settings file; each time a little different."""
-        self._written += 1
+        """Write the settings file, with different content each time."""
+        self._write_count += 1
         settings = {
             "nodeName": self.name,
             "zone": self.zone,
             "ip": self._ip,
             "seeds": seeds,
             "bootstrap": self.incarnation == 0,
-            "written": self._written,
+            "written": self._write_count,
             "listen": {role: address_of(self._reserved[role]) for role in _ROLES},
             "limits": {"cpuShare": 1.0, "cpus": 1},
             "bounds": {
@@ -113,7 +113,7 @@
         return self._folder / f"{self.name}.toml"
 
     async def start(self) -> None:
-        """Start its process."""
+        """Start the process."""
         self.incarnation += 1
         self._process = RunningProcess(
             ["-m", "ibisfront.front"],
@@ -124,17 +124,17 @@
         await self._stack.enter_async_context(self._process)
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal if it runs."""
+        """Send a signal if the process is running."""
         if self._process is not None and self.is_running:
             self._process.send(number)
 
     async def wait(self) -> int:
-        """Wait until its process has ended and return how."""
+        """Wait until the process has ended and return its exit code."""
         assert self._process is not None
         return await self._process.wait()
 
     async def close(self) -> None:
-        """End its process, and give its ports back."""
+        """End the process and release its ports."""
         await self._stack.aclose()
         for reserved in self._reserved.values():
             reserved.close()
--- a/ibisfront/testing/soak/proxy.py
+++ b/ibisfront/testing/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that spoils the connections that go through it."""
+"""Loopback proxy that injects network faults into its connections."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 _CHUNK_BYTES = 65_536
 _DELAY_MS = 60.0
-"""How long delayed bytes wait: longer than a healthy exchange."""
+"""Delay of each chunk: longer than a healthy exchange."""
 
 
 class ProxyFault(Enum):
-    """What the proxy does to what passes."""
+    """Fault applied to the traffic through the proxy."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    CUT_FORWARD = "cut_forward"
-    CUT_BACK = "cut_back"
+    PARTITION_FORWARD = "cut_forward"
+    PARTITION_BACKWARD = "cut_back"
     SILENT = "silent"
 
 
 class FaultyProxy:
-    """Passes connections on to one address, as its fault allows.
+    """Forwards connections to one address, subject to the current fault.
 
-    Bytes that a cut holds back go on when it ends; a silenced connection stays
-    silent for good, while new ones work once the fault is over.
+    Bytes held back by a partition are delivered when it heals. A silenced
+    connection never recovers; new ones work once the fault is over.
 
     Attributes
     ----------
     address : str
-        Where it listens, once it runs.
+        Address it listens on, once it runs.
     target : str
-        Where connections go on to.
+        Address that connections are forwarded to.
     """
 
     def __init__(self, target: Address = "") -> None:
@@ -60,10 +60,10 @@
         host, port = listeners[0].socket.getsockname()
         self.address = f"{host}:{port}"
         task_status.started(self.address)
-        await trio.serve_listeners(self._carry, listeners)
+        await trio.serve_listeners(self._forward_connection, listeners)
 
     def set_fault(self, fault: ProxyFault) -> None:
-        """Change what happens to the connections."""
+        """Set the fault applied to the connections."""
         self._fault = fault
         if fault is ProxyFault.SILENT:
             self._silenced |= self._streams
@@ -73,25 +73,25 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    async def _carry(self, stream: trio.SocketStream) -> None:
+    async def _forward_connection(self, stream: trio.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            onward = await trio.open_tcp_stream(host, int(port))
+            upstream = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            # The process behind is down: its own refusal, passed on.
+            # The target is down: propagate the refused connection.
             _reset(stream)
             return
         self._streams.add(stream)
         try:
-            async with onward, trio.open_nursery() as nursery:
+            async with upstream, trio.open_nursery() as nursery:
                 scope = nursery.cancel_scope
-                nursery.start_soon(self._pump, stream, onward, stream, True, scope)
-                nursery.start_soon(self._pump, onward, stream, stream, False, scope)
+                nursery.start_soon(self._relay, stream, upstream, stream, True, scope)
+                nursery.start_soon(self._relay, upstream, stream, stream, False, scope)
         finally:
             self._streams.discard(stream)
             self._silenced.discard(stream)
 
-    async def _pump(
+    async def _relay(
         self,
         reader: trio.SocketStream,
         writer: trio.SocketStream,
@@ -101,29 +101,35 @@
     ) -> None:
         try:
             while data := await reader.receive_some(_CHUNK_BYTES):
-                await self._pass(stream, is_forward)
+                await self._wait_while_held(stream, is_forward)
                 await writer.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The other end is gone; the near one must hear of it the same way.
+            # One side was reset: reset the other side too.
             _reset(stream)
         scope.cancel()
 
-    async def _pass(self, stream: trio.SocketStream, is_forward: bool) -> None:
-        """Wait for as long as the fault holds bytes back."""
+    async def _wait_while_held(
+        self, stream: trio.SocketStream, is_forward: bool
+    ) -> None:
+        """Wait while the fault holds bytes back."""
         if self._fault is ProxyFault.DELAY:
             await trio.sleep(_DELAY_MS / 1000.0)
-        while stream in self._silenced or self._holds(is_forward):
+        while stream in self._silenced or self._is_held(is_forward):
             await self._changed.wait()
 
-    def _holds(self, is_forward: bool) -> bool:
+    def _is_held(self, is_forward: bool) -> bool:
         if self._fault is ProxyFault.SILENT:
             return True
-        held = ProxyFault.CUT_FORWARD if is_forward else ProxyFault.CUT_BACK
+        held = (
+            ProxyFault.PARTITION_FORWARD
+            if is_forward
+            else ProxyFault.PARTITION_BACKWARD
+        )
         return self._fault is held
 
 
 def _reset(stream: trio.SocketStream) -> None:
-    """Close a connection with a reset, and not in order."""
+    """Close a connection with a reset instead of an orderly shutdown."""
     if stream.socket.fileno() < 0:
         return
     linger = struct.pack("ii", 1, 0)
--- a/ibisfront/testing/soak/report.py
+++ b/ibisfront/testing/soak/report.py
@@ -1,4 +1,4 @@
-"""What a run of the soak did and found."""
+"""Report of a soak run."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 
 
 class SoakReport(msgspec.Struct):
-    """What one run did and found.
+    """Results of one run.
 
     Attributes
     ----------
     seed : int
-        What drew its faults.
+        Seed from which the faults were drawn.
     requests, served : int
-        Requests sent while there were faults, and those that were answered
-        with success.
+        Requests sent during the fault phase, and those that succeeded.
     faults : dict of str to int
-        Faults by kind.
+        Number of faults by kind.
     failures : list of Failure
-        Promises that were broken.
+        Guarantees that were violated.
     """
 
     seed: int
--- a/ibisfront/testing/soak/servers.py
+++ b/ibisfront/testing/soak/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of the soak: they sign what they ran, and remember it."""
+"""Backend servers of the soak, which sign and record what they execute."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     from ibisfront.gateway.messages import InboundRequest
     from ibisfront.http1.parser import RawMessage
 
-__all__ = ["RECORDS_A_PART", "Ran", "SoakServer", "part_records", "signature"]
+__all__ = ["RECORDS_PER_PART", "Execution", "SoakServer", "part_records", "signature"]
 
-RECORDS_A_PART = 4
+RECORDS_PER_PART = 4
 _LIMITS = CallerLimits(idle_timeout_ms=30_000.0)
-_EXPECTED = b"x-expect-instance"
+_EXPECTED_SERVER_HEADER = b"x-expect-instance"
 
 
-class Ran(msgspec.Struct, frozen=True):
-    """A request that a server ran."""
+class Execution(msgspec.Struct, frozen=True):
+    """One execution of a request by a server."""
 
     request_id: str
     service: str
@@ -38,20 +38,22 @@
 
 
 def part_records(service: str, request_id: str) -> list[bytes]:
-    """Return the records of a part, which any server of the service returns."""
+    """Return the records of a part, the same from any server of the service."""
     return [
         hashlib.blake2b(f"{service} {request_id} {n}".encode(), digest_size=16).digest()
-        for n in range(RECORDS_A_PART)
+        for n in range(RECORDS_PER_PART)
     ]
 
 
 def signature(service: str, request_id: str) -> str:
-    """Return the signature of a good answer of a service to a request."""
+    """Return the stamp of a service's correct response to a request."""
     return f"{service}.{request_id}"
 
 
-def _keeps_headers(raw: RawMessage, now_ms: float, network_ms: float) -> InboundRequest:
-    """Decode a request with the headers that the tier sets itself."""
+def _decode_with_all_headers(
+    raw: RawMessage, now_ms: float, network_ms: float
+) -> InboundRequest:
+    """Decode a request and keep the headers that the tier sets itself."""
     request = WIRE.decode_request(raw, now_ms, network_ms)
     return msgspec.structs.replace(request, headers=raw.headers)
 
@@ -62,29 +64,29 @@
     Attributes
     ----------
     server_id, service : str
-        Its incarnation's name, and its service.
+        Id of this incarnation, and its service.
     latency_ms : float
-        How long a request takes.
+        Processing time of a request.
     is_failing : bool
-        Whether it answers with failures.
-    ran : list of Ran
-        What it ran, shared by all servers.
+        Whether it responds with status 500.
+    executions : list of Execution
+        Record of executed requests, shared by all servers.
     """
 
     def __init__(
-        self, server_id: str, service: str, *, ran: list[Ran], clock: Clock
+        self, server_id: str, service: str, *, executions: list[Execution], clock: Clock
     ) -> None:
         self.server_id = server_id
         self.service = service
         self.latency_ms = 3.0
         self.is_failing = False
-        self.ran = ran
+        self.executions = executions
         self._clock = clock
         self._sock: socket.socket = listening_socket("127.0.0.1:0")
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address it listens on."""
         host, port = self._sock.getsockname()
         return f"{host}:{port}"
 
@@ -92,20 +94,24 @@
         """Serve until cancelled."""
         listener = CallerListener(
             self._sock,
-            answer=self._answer,
-            wire=msgspec.structs.replace(WIRE, decode_request=_keeps_headers),
+            answer=self._respond,
+            wire=msgspec.structs.replace(WIRE, decode_request=_decode_with_all_headers),
             limits=lambda: _LIMITS,
             clock=self._clock,
         )
         await listener.run()
 
-    async def _answer(self, request: InboundRequest) -> CallerReply:
-        expected = dict(request.headers)
-        named = [v for k, v in expected.items() if k.lower() == _EXPECTED]
-        if named != [self.server_id.encode()]:
+    async def _respond(self, request: InboundRequest) -> CallerReply:
+        headers = dict(request.headers)
+        expected_ids = [
+            v for k, v in headers.items() if k.lower() == _EXPECTED_SERVER_HEADER
+        ]
+        if expected_ids != [self.server_id.encode()]:
             return self._reply(421, request, b"", (b"X-Not-Executed", b"1"))
-        self.ran.append(
-            Ran(request.request_id, self.service, self.server_id, self._clock.now_ms())
+        self.executions.append(
+            Execution(
+                request.request_id, self.service, self.server_id, self._clock.now_ms()
+            )
         )
         await trio.sleep(self.latency_ms / 1000.0)
         if self.is_failing:
@@ -118,12 +124,12 @@
         status: int,
         request: InboundRequest,
         body: bytes,
-        *more: tuple[bytes, bytes],
+        *extra_headers: tuple[bytes, bytes],
     ) -> CallerReply:
         stamp = signature(self.service, request.request_id)
         headers = [
             (b"X-Request-Id", request.request_id.encode()),
             (b"X-Backend-Stamp", stamp.encode()),
-            *more,
+            *extra_headers,
         ]
         return CallerReply(status, headers, body, "soak")
--- a/ibisfront/testing/soak/world.py
+++ b/ibisfront/testing/soak/world.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a deployment on this machine, its faults and its checks."""
+"""One soak run: a deployment on this machine, its faults and its checks."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     Failure,
     Shape,
     Span,
-    check_answers,
     check_budget,
     check_drained,
     check_orders,
+    check_responses,
     check_stops,
     check_versions,
 )
@@ -39,46 +39,46 @@
     from collections.abc import AsyncIterator, Iterator, Sequence
     from pathlib import Path
 
-__all__ = ["SoakWorld", "require_own_ids"]
+__all__ = ["SoakWorld", "require_unique_ids"]
 
 _GENERATIONS = 3
 _SHARDS = 6
 _COPIES = 2
 _SLOW_MS = 400.0
 _CALLER_PAUSE_S = 0.02
-_AFTERMATH_MS = 100.0
-"""How long after a fault its traces are met: bytes that it held back."""
+_FAULT_MARGIN_MS = 100.0
+"""How long after a fault its effects last: bytes held back arrive late."""
 
 _SETTLE_S = 9.0
-"""After all faults: the contact bound, the bound for draining, and two more."""
+"""After all faults: the contact bound, the drain bound and 2 s more."""
 
-_SERVED_WITHIN_S = 30.0
-"""Until when every front must serve again; far beyond its bound, so that a busy
-machine gives the same verdict."""
+_RECOVERY_TIMEOUT_S = 30.0
+"""Time for every front to serve again; far beyond its bound, so that the result
+does not depend on the load of the machine."""
 
 
 class SoakWorld:
-    """A deployment under faults.
+    """A deployment under injected faults.
 
     Parameters
     ----------
     seed : int
-        Draws the faults.
+        Seed from which the faults are drawn.
     folder : Path
-        Where settings and logs go.
+        Directory for settings and logs.
     fronts, callers : int
-        How many processes, and how many callers at once.
+        Number of front processes and of concurrent callers.
     length_s : float
-        How long there are faults.
+        Duration of the fault phase.
     faults : sequence of Fault, optional
-        The faults, in place of those that the seed draws.
+        Faults to inject instead of those drawn from the seed.
     settle_s : float
-        How long to wait after them before the last requests.
+        Pause between the last fault and the final requests.
 
     Attributes
     ----------
     fronts : list of SoakFront
-        The processes.
+        The front processes.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
     ) -> None:
         if faults is None:
             faults = draw_faults(seed, length_s=length_s)
-        self._drawn = faults
+        self._planned_faults = faults
         self._settle_s = settle_s
         self._seed = seed
         self._length_s = length_s
@@ -108,11 +108,11 @@
         self._backends = SoakBackends(self._store, clock=self._clock)
         self._outcomes: list[Outcome] = []
         self._stops: list[Span] = []
-        self._spoiled: list[Span] = []
+        self._disruptions: list[Span] = []
         self._version = 0
         self._generation = 0
         self._timeout_ms = 1_200
-        self._faults: Counter[str] = Counter()
+        self._fault_counts: Counter[str] = Counter()
         names = tuple(
             tuple(f"g{generation}-part-{shard}" for shard in range(_SHARDS))
             for generation in range(_GENERATIONS)
@@ -120,16 +120,16 @@
         self._shape = Shape(names)
 
     async def run(self) -> SoakReport:
-        """Play the run and check it."""
+        """Run the deployment under faults and check the results."""
         async with self._running() as nursery:
-            first = await self._until_served("first")
+            first = await self._wait_until_served("first")
             async with trio.open_nursery() as load:
                 for caller in self._callers:
-                    load.start_soon(self._call, caller)
-                await self._play(nursery)
+                    load.start_soon(self._run_caller, caller)
+                await self._inject_faults(nursery)
                 load.cancel_scope.cancel()
             await trio.sleep(self._settle_s)
-            last = await self._until_served("last")
+            last = await self._wait_until_served("last")
         return self._report(first, last)
 
     @asynccontextmanager
@@ -165,75 +165,75 @@
         )
         self._store.put("config", "main", document)
 
-    async def _call(self, caller: SoakCaller) -> None:
-        """Send requests until cancelled; callers keep to running processes."""
+    async def _run_caller(self, caller: SoakCaller) -> None:
+        """Send requests until cancelled, eight in a row to each front."""
         paths = [RequestPath.SEARCH, RequestPath.FETCH, RequestPath.ORDER]
-        turn = 0
+        number = 0
         while True:
-            turn += 1
-            front = self.fronts[turn // 8 % len(self.fronts)]
-            outcome = await caller.ask(
-                paths[turn % len(paths)], front.label, front.callers_proxy
+            number += 1
+            front = self.fronts[number // 8 % len(self.fronts)]
+            outcome = await caller.send_request(
+                paths[number % len(paths)], front.label, front.callers_proxy
             )
             self._outcomes.append(outcome)
             await trio.sleep(_CALLER_PAUSE_S)
 
-    async def _until_served(self, phase: str) -> list[Outcome]:
-        """Wait until each front serves a search; return these requests."""
-        asked: list[Outcome] = []
-        with trio.move_on_after(_SERVED_WITHIN_S):
+    async def _wait_until_served(self, phase: str) -> list[Outcome]:
+        """Wait until each front serves a search; return the requests sent."""
+        outcomes: list[Outcome] = []
+        with trio.move_on_after(_RECOVERY_TIMEOUT_S):
             for front in self.fronts:
                 caller = SoakCaller(
                     f"{phase}{self._seed}{front.label}", clock=self._clock
                 )
                 while (
-                    not asked
-                    or asked[-1].status != 200
-                    or (asked[-1].front != front.label)
+                    not outcomes
+                    or outcomes[-1].status != 200
+                    or (outcomes[-1].front != front.label)
                 ):
-                    asked.append(
-                        await caller.ask(
+                    outcomes.append(
+                        await caller.send_request(
                             RequestPath.SEARCH, front.label, front.callers_proxy
                         )
                     )
                     await trio.sleep(_CALLER_PAUSE_S)
-            return asked
-        self._faults["unserved"] += 1
-        return asked
+            return outcomes
+        self._fault_counts["unserved"] += 1
+        return outcomes
 
-    async def _play(self, nursery: trio.Nursery) -> None:
+    async def _inject_faults(self, nursery: trio.Nursery) -> None:
         started_s = trio.current_time()
-        async with trio.open_nursery() as playing:
-            for fault in self._drawn:
+        async with trio.open_nursery() as injections:
+            for fault in self._planned_faults:
                 await trio.sleep_until(started_s + fault.at_s)
-                self._faults[fault.kind.value] += 1
-                playing.start_soon(self._inflict, fault, nursery)
+                self._fault_counts[fault.kind.value] += 1
+                injections.start_soon(self._inject, fault, nursery)
             await trio.sleep_until(started_s + self._length_s)
 
-    async def _inflict(self, fault: Fault, nursery: trio.Nursery) -> None:
+    async def _inject(self, fault: Fault, nursery: trio.Nursery) -> None:
         name = fault.kind.value
         front = self.fronts[fault.target % len(self.fronts)]
         if name.startswith("front_"):
-            await self._hit_front(fault, front)
+            await self._inject_front_fault(fault, front)
         elif name.startswith("store_") and fault.kind is not FaultKind.STORE_PATH:
-            await self._hit_store(fault)
+            await self._inject_store_fault(fault)
         elif name.startswith("server_"):
-            await self._hit_server(fault, nursery)
+            await self._inject_server_fault(fault, nursery)
         elif fault.kind is FaultKind.STORE_PATH:
-            await _spoil(front.store_proxy, fault)
+            await _inject_proxy_fault(front.store_proxy, fault)
         elif fault.kind is FaultKind.CALLERS_PATH:
-            with self._noted(self._spoiled, front):
-                await _spoil(front.callers_proxy, fault)
+            with self._recording_span(self._disruptions, front):
+                await _inject_proxy_fault(front.callers_proxy, fault)
         else:
             self._change_configuration(fault)
 
-    async def _hit_front(self, fault: Fault, front: SoakFront) -> None:
+    async def _inject_front_fault(self, fault: Fault, front: SoakFront) -> None:
         if not front.is_running:
             return
         if fault.kind is FaultKind.FRONT_PAUSE:
-            with self._noted(self._spoiled, front):
+            with self._recording_span(self._disruptions, front):
                 front.send(signal.SIGSTOP)
-                await trio.sleep(fault.for_s)
+                await trio.sleep(fault.duration_s)
                 front.send(signal.SIGCONT)
             return
         front.write_settings([item.control_address for item in self.fronts[:3]])
@@ -242,7 +242,7 @@
             return
         is_kill = fault.kind is FaultKind.FRONT_KILL
         incarnation = front.incarnation
-        with self._noted(self._spoiled if is_kill else self._stops, front):
+        with self._recording_span(self._disruptions if is_kill else self._stops, front):
             front.send(signal.SIGCONT)
             front.send(signal.SIGKILL if is_kill else signal.SIGTERM)
             await front.wait()
@@ -250,16 +250,16 @@
             await front.start()
 
     @contextmanager
-    def _noted(self, spans: list[Span], front: SoakFront) -> Iterator[None]:
-        """Note from when to when something happens to a front."""
+    def _recording_span(self, spans: list[Span], front: SoakFront) -> Iterator[None]:
+        """Record the time span in which a fault affects a front."""
         label, from_ms = front.label, self._clock.now_ms()
         try:
             yield
         finally:
-            until_ms = self._clock.now_ms() + _AFTERMATH_MS
+            until_ms = self._clock.now_ms() + _FAULT_MARGIN_MS
             spans.append(Span(label, from_ms, until_ms))
 
-    async def _hit_store(self, fault: Fault) -> None:
+    async def _inject_store_fault(self, fault: Fault) -> None:
         store = self._store
         if fault.kind is FaultKind.STORE_FORGETS:
             store.forget_history()
@@ -267,34 +267,34 @@
             store.loses_writes += 1
         elif fault.kind is FaultKind.STORE_SILENT:
             store.is_silent = True
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
             store.is_silent = False
         else:
             store.refuses_with = 503 if fault.variant % 2 else 429
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
             store.refuses_with = 0
 
-    async def _hit_server(self, fault: Fault, nursery: trio.Nursery) -> None:
+    async def _inject_server_fault(self, fault: Fault, nursery: trio.Nursery) -> None:
         backend = self._backends.live(fault.target)
         if fault.kind is FaultKind.SERVER_PATH:
-            await _spoil(backend.proxy, fault)
+            await _inject_proxy_fault(backend.proxy, fault)
         elif fault.kind is FaultKind.SERVER_SLOW:
             backend.server.latency_ms = _SLOW_MS
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
             backend.server.latency_ms = 3.0
         elif fault.kind is FaultKind.SERVER_FAILS:
             backend.server.is_failing = True
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
             backend.server.is_failing = False
         else:
-            await self._replace(backend, fault, nursery)
+            await self._replace_server(backend, fault, nursery)
 
-    async def _replace(
+    async def _replace_server(
         self, backend: SoakBackend, fault: Fault, nursery: trio.Nursery
     ) -> None:
-        """Let another server take over; the old one drains, or is just gone."""
+        """Replace a server; the old one drains or disappears at once."""
         is_drained = fault.kind is FaultKind.SERVER_DRAIN
-        self._backends.leave(backend, is_drained=is_drained)
+        self._backends.retire(backend, is_drained=is_drained)
         await self._backends.add(nursery, backend.server.service, backend.zone)
 
     def _change_configuration(self, fault: Fault) -> None:
@@ -306,48 +306,51 @@
 
     def _report(self, first: list[Outcome], last: list[Outcome]) -> SoakReport:
         outcomes = [*first, *self._outcomes, *last]
-        require_own_ids(outcomes)
+        require_unique_ids(outcomes)
         failures = [
-            *check_answers(outcomes, self._shape),
-            *check_orders(outcomes, self._backends.ran),
+            *check_responses(outcomes, self._shape),
+            *check_orders(outcomes, self._backends.executions),
             *check_versions(outcomes, self._shape),
             *check_stops(
-                outcomes, self._backends.ran, stops=self._stops, spoiled=self._spoiled
+                outcomes,
+                self._backends.executions,
+                stops=self._stops,
+                disruptions=self._disruptions,
             ),
-            *check_drained(self._backends.ran, last, self._backends.left),
+            *check_drained(self._backends.executions, last, self._backends.retired),
             *check_budget(
-                self._backends.ran,
+                self._backends.executions,
                 outcomes,
                 window_ms=EXTRA_WINDOW_MS,
                 ratio=EXTRA_RATIO,
                 allowance=EXTRA_ALLOWANCE,
             ),
         ]
-        if self._faults.pop("unserved", 0):
-            failures.append(Failure("recovery", "", "a front did not serve again"))
+        if self._fault_counts.pop("unserved", 0):
+            failures.append(Failure("recovery", "", "a front did not recover"))
         served = sum(outcome.status == 200 for outcome in self._outcomes)
         return SoakReport(
             seed=self._seed,
             requests=len(self._outcomes),
             served=served,
-            faults=dict(self._faults),
+            faults=dict(self._fault_counts),
             failures=failures,
         )
 
 
-async def _spoil(proxy: FaultyProxy, fault: Fault) -> None:
-    ways = [way for way in ProxyFault if way is not ProxyFault.NONE]
-    proxy.set_fault(ways[fault.variant % len(ways)])
-    await trio.sleep(fault.for_s)
+async def _inject_proxy_fault(proxy: FaultyProxy, fault: Fault) -> None:
+    kinds = [kind for kind in ProxyFault if kind is not ProxyFault.NONE]
+    proxy.set_fault(kinds[fault.variant % len(kinds)])
+    await trio.sleep(fault.duration_s)
     proxy.set_fault(ProxyFault.NONE)
 
 
-def require_own_ids(outcomes: Sequence[Outcome]) -> None:
-    """Raise ``RuntimeError`` if two requests of the soak have one id.
+def require_unique_ids(outcomes: Sequence[Outcome]) -> None:
+    """Raise ``RuntimeError`` if two requests of the soak share an id.
 
-    What ran for the first would be held against the second.
+    The checks would attribute executions of the first to the second.
     """
     counts = Counter(outcome.request_id for outcome in outcomes)
-    twice = [request_id for request_id, count in counts.items() if count > 1]
-    if twice:
-        raise RuntimeError(f"ids used twice by the soak itself: {twice[:5]}")
+    duplicates = [request_id for request_id, count in counts.items() if count > 1]
+    if duplicates:
+        raise RuntimeError(f"the soak used request ids twice: {duplicates[:5]}")
--- a/ibisfront/tests/test_testing_soak.py
+++ b/ibisfront/tests/test_testing_soak.py
@@ -1,4 +1,4 @@
-"""Tests of the soak: its checks find broken promises, and a short run passes."""
+"""Tests of the soak: its checks detect violations, and a short run passes."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from ibisfront.testing.soak.checks import (
     Shape,
     Span,
-    check_answers,
     check_budget,
     check_drained,
     check_orders,
+    check_responses,
     check_stops,
     check_versions,
 )
 from ibisfront.testing.soak.faults import draw_faults
 from ibisfront.testing.soak.proxy import FaultyProxy, ProxyFault
-from ibisfront.testing.soak.servers import Ran, part_records, signature
-from ibisfront.testing.soak.world import SoakWorld, require_own_ids
+from ibisfront.testing.soak.servers import Execution, part_records, signature
+from ibisfront.testing.soak.world import SoakWorld, require_unique_ids
 from ibisfront.tests import trio_test_real_clock
 
 SHAPE = Shape((("a", "b", "c", "d"), ("e", "f", "g", "h")), top_count=3)
 
 
 def search(services, request_id="r1", *, missing=0, records_of=None, **changes):
-    """Return the outcome of a search that was answered with these parts."""
+    """Return the outcome of a search with parts of these services."""
     stamps = [signature(name, request_id) for name in services]
     records = [
         record
@@ -56,62 +56,62 @@
 
 
 def order(status, request_id="r1"):
-    """Return the outcome of a request that must not be repeated."""
+    """Return the outcome of a non-idempotent request."""
     return Outcome(request_id, RequestPath.ORDER, "front-0#1", 0.0, 1.0, status)
 
 
-def ran(service, request_id="r1", server_id="i1", at_ms=0.0):
-    """Return a run of a request."""
-    return Ran(request_id, service, server_id, at_ms)
+def execution(service, request_id="r1", server_id="i1", at_ms=0.0):
+    """Return the execution of a request."""
+    return Execution(request_id, service, server_id, at_ms)
 
 
 class ChecksTest(unittest.TestCase):
-    """Each check finds the broken promise that it is there for."""
+    """Each check detects its violation."""
 
-    def broken(self, outcome):
-        return [item.detail for item in check_answers([outcome], SHAPE)]
+    def errors(self, outcome):
+        return [item.detail for item in check_responses([outcome], SHAPE)]
 
-    def test_true_answers_pass(self):
-        self.assertEqual(self.broken(search("abcd")), [])
-        self.assertEqual(self.broken(search("efg", missing=1)), [])
+    def test_correct_responses_pass(self):
+        self.assertEqual(self.errors(search("abcd")), [])
+        self.assertEqual(self.errors(search("efg", missing=1)), [])
 
-    def test_wrong_searches_are_found(self):
+    def test_wrong_searches_are_detected(self):
         for outcome, detail in (
-            (search("abef"), "parts of no one version"),
-            (search("aab", missing=1), "a service twice"),
+            (search("abef"), "parts of no single version"),
+            (search("aab", missing=1), "duplicate service"),
             (search("abc"), "3 parts and 0 missing of 4"),
             (search("a", missing=3), "only 1 of 4"),
-            (search("abcd", records_of="a"), "not the greatest records"),
+            (search("abcd", records_of="a"), "not the top records"),
         ):
             with self.subTest(detail):
-                self.assertIn(detail, self.broken(outcome)[0])
+                self.assertIn(detail, self.errors(outcome)[0])
 
-    def test_parts_of_another_request_are_found(self):
+    def test_parts_of_another_request_are_detected(self):
         outcome = search("abcd", "r2")
         outcome.request_id = "r1"
-        self.assertIn("parts of no one version", self.broken(outcome)[0])
+        self.assertIn("parts of no single version", self.errors(outcome)[0])
 
-    def test_answer_of_another_request_is_found(self):
+    def test_response_to_another_request_is_detected(self):
         stamp = signature("fetch", "r2").encode()
         outcome = Outcome(
             "r1", RequestPath.FETCH, "f", 0.0, 1.0, 200, {b"x-backend-stamp": stamp}
         )
-        self.assertIn("signed", self.broken(outcome)[0])
+        self.assertIn("signed", self.errors(outcome)[0])
 
-    def test_bytes_that_are_no_answer_are_found(self):
+    def test_malformed_response_is_detected(self):
         outcome = Outcome("r1", RequestPath.FETCH, "f", 0.0, 1.0, -1, error="bad")
-        self.assertIn("no answer", self.broken(outcome)[0])
+        self.assertIn("malformed response", self.errors(outcome)[0])
 
-    def test_order_that_ran_twice_is_found(self):
-        found = check_orders([order(200)], [ran("order"), ran("order")])
+    def test_order_that_ran_twice_is_detected(self):
+        found = check_orders([order(200)], [execution("order"), execution("order")])
         self.assertEqual([item.check for item in found], ["once"])
 
-    def test_false_not_run_is_found(self):
-        found = check_orders([order(503)], [ran("order")])
+    def test_false_not_run_is_detected(self):
+        found = check_orders([order(503)], [execution("order")])
         self.assertEqual([item.check for item in found], ["not run"])
-        self.assertEqual(check_orders([order(502)], [ran("order")]), [])
+        self.assertEqual(check_orders([order(502)], [execution("order")]), [])
 
-    def test_version_that_falls_is_found(self):
+    def test_decreasing_version_is_detected(self):
         newer = search("efgh", "r1", sent_at_ms=0.0, ended_at_ms=5.0)
         older = search("abcd", "r2", sent_at_ms=6.0, ended_at_ms=9.0)
         overlapping = search("abcd", "r3", sent_at_ms=4.0, ended_at_ms=9.0)
@@ -120,49 +120,55 @@
         restarted = search("abcd", "r2", sent_at_ms=6.0, front="front-0#2")
         self.assertEqual(check_versions([newer, restarted], SHAPE), [])
 
-    def test_request_that_a_stop_cuts_off_is_found(self):
-        cut = order(0)
-        cut.error = "ConnectionResetError"
-        runs = [ran("order")]
+    def test_request_interrupted_by_a_stop_is_detected(self):
+        interrupted = order(0)
+        interrupted.error = "ConnectionResetError"
+        runs = [execution("order")]
         stop = Span("front-0#1", 0.5, 9.0)
-        found = check_stops([cut], runs, stops=[stop], spoiled=[])
+        found = check_stops([interrupted], runs, stops=[stop], disruptions=[])
         self.assertEqual([item.check for item in found], ["stop"])
-        self.assertFalse(check_stops([cut], [], stops=[stop], spoiled=[]))
-        self.assertFalse(check_stops([cut], runs, stops=[stop], spoiled=[stop]))
+        self.assertFalse(check_stops([interrupted], [], stops=[stop], disruptions=[]))
+        self.assertFalse(
+            check_stops([interrupted], runs, stops=[stop], disruptions=[stop])
+        )
         later = Span("front-0#1", 5.0, 9.0)
-        self.assertFalse(check_stops([cut], runs, stops=[later], spoiled=[]))
+        self.assertFalse(
+            check_stops([interrupted], runs, stops=[later], disruptions=[])
+        )
 
-    def test_request_at_a_drained_server_is_found(self):
-        found = check_drained([ran("a", server_id="i7")], [search("abcd")], ["i7"])
+    def test_request_at_a_drained_server_is_detected(self):
+        found = check_drained(
+            [execution("a", server_id="i7")], [search("abcd")], ["i7"]
+        )
         self.assertEqual([item.check for item in found], ["drained"])
 
-    def test_extra_work_beyond_the_budget_is_found(self):
-        runs = [ran("a", at_ms=float(n)) for n in range(8)]
+    def test_attempts_beyond_the_budget_are_detected(self):
+        runs = [execution("a", at_ms=float(n)) for n in range(8)]
         options = {"window_ms": 100.0, "ratio": 0.2}
         outcomes = [search("abcd")]
         self.assertTrue(check_budget(runs, outcomes, allowance=5.0, **options))
         self.assertFalse(check_budget(runs, outcomes, allowance=7.0, **options))
 
 
-class OwnIdsTest(unittest.TestCase):
-    """The soak names each of its requests once."""
+class UniqueIdsTest(unittest.TestCase):
+    """Request ids of a soak run are unique."""
 
-    def test_id_that_is_used_twice_stops_the_run(self):
-        """Seed 202 found requests at a server that had been drained.
+    def test_duplicate_id_stops_the_run(self):
+        """Guards against false "drained" failures.
 
-        The waits for the fronts before and after the faults named their
-        requests alike. What had run before the server was drained was held
-        against the requests after it.
+        If the waits for the fronts before and after the faults used the same
+        request ids, executions before a server was drained would be attributed
+        to requests sent afterwards.
         """
         with self.assertRaises(RuntimeError):
-            require_own_ids([search("abcd"), search("abcd")])
-        require_own_ids([search("abcd"), search("abcd", "r2")])
+            require_unique_ids([search("abcd"), search("abcd")])
+        require_unique_ids([search("abcd"), search("abcd", "r2")])
 
 
 class FaultsTest(unittest.TestCase):
-    """Faults follow from the seed alone."""
+    """Faults depend on the seed only."""
 
-    def test_same_seed_draws_the_same(self):
+    def test_same_seed_draws_the_same_faults(self):
         self.assertEqual(draw_faults(7, length_s=20.0), draw_faults(7, length_s=20.0))
         self.assertNotEqual(
             draw_faults(7, length_s=20.0), draw_faults(8, length_s=20.0)
@@ -170,7 +176,7 @@
 
 
 class ProxyTest(unittest.TestCase):
-    """What a fault of the proxy does to a connection."""
+    """Effect of proxy faults on connections."""
 
     @trio_test_real_clock
     async def test_silenced_connection_stays_silent_and_new_ones_work(self):
@@ -200,13 +206,13 @@
 
 
 class InterruptedTest(unittest.TestCase):
-    """A soak that is told to stop leaves nothing behind."""
+    """An interrupted soak leaves no process behind."""
 
     @trio_test_real_clock
     async def test_fronts_end_with_an_interrupted_soak(self):
-        """Front processes go on for hours after a soak was interrupted.
+        """Guards against front processes that outlive an interrupted soak.
 
-        The soak starts them. Told to stop, it must end them first.
+        On a signal the soak must end the front processes that it started.
         """
         with tempfile.TemporaryDirectory() as folder:
             command = ["-m", "ibisfront.testing.soak", "--fronts", "2"]
@@ -217,7 +223,7 @@
         self.assertFalse(any(psutil.pid_exists(pid) for pid in fronts))
 
     async def fronts_of(self, pid):
-        """Return the ids of a soak's front processes, once both run."""
+        """Return the process ids of a soak's fronts, once both run."""
         children = []
         while len(children) < 2:
             await trio.sleep(0.05)
@@ -226,10 +232,10 @@
 
 
 class ShortRunTest(unittest.TestCase):
-    """A few seconds of real processes under drawn faults."""
+    """A few seconds of real processes under randomly drawn faults."""
 
     @trio_test_real_clock
-    async def test_promises_hold_and_no_process_is_left(self):
+    async def test_checks_pass_and_no_process_is_left(self):
         with tempfile.TemporaryDirectory() as folder:
             world = SoakWorld(5, Path(folder), fronts=2, callers=3, length_s=4.0)
             report = await world.run()
