--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""Measurements of the tier, with regression bounds.
+"""Benchmarks of the tier, with regression bounds.
 
 ``python -m benchmarks`` runs both users' deployments, scaled to one machine,
-healthy and under each fault, beside the baseline policy.
+without and with each fault, and compares with the baseline policy.
 """
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m benchmarks``: run, report and check the bounds."""
+"""``python -m benchmarks``: run scenarios, write the report, check the bounds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from benchmarks.bounds import broken_bounds, read_bounds
+from benchmarks.bounds import read_bounds, violated_bounds
 from benchmarks.recorded import read_recorded, record, recorded_of
 from benchmarks.report import html_page, text_table
 from benchmarks.runner import BASELINE, OURS, Run, run_scenario
@@ -21,32 +21,38 @@
 
 
 def main() -> int:
-    """Run what the options choose; 1 if a bound is broken."""
+    """Run the selected scenarios; return 1 if a bound is violated."""
     options = _options()
     runs = trio.run(_run_all, options)
     recorded = read_recorded()
-    broken = broken_bounds(runs, read_bounds())
+    violations = violated_bounds(runs, read_bounds())
     _RESULTS.mkdir(exist_ok=True)
     (_RESULTS / "runs.json").write_bytes(msgspec.json.encode(runs))
     (_RESULTS / "report.html").write_text(
-        html_page([*runs, *recorded_of(runs, recorded)], broken)
+        html_page([*runs, *recorded_of(runs, recorded)], violations)
     )
     print(text_table([*runs, *recorded_of(runs, recorded)]))
-    for line in broken:
+    for line in violations:
         print(f"BROKEN: {line}")
-    print(f"{len(runs)} runs, {len(broken)} broken bounds; see {_RESULTS}/report.html")
+    print(
+        f"{len(runs)} runs, {len(violations)} bounds violated: {_RESULTS}/report.html"
+    )
     if options.record:
         record(runs)
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
 def _options() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m benchmarks")
-    parser.add_argument("--scenario", action="append", help="only this one; repeatable")
+    parser.add_argument(
+        "--scenario", action="append", help="run only this scenario; repeatable"
+    )
     parser.add_argument("--user", choices=(MAILING, LISTING), action="append")
     parser.add_argument("--policy", choices=(OURS, BASELINE), action="append")
     parser.add_argument(
-        "--record", action="store_true", help="keep our figures for later runs"
+        "--record",
+        action="store_true",
+        help="save the figures of our policy for comparison",
     )
     parser.add_argument("--seed", type=int, default=1)
     return parser.parse_args()
@@ -54,9 +60,9 @@
 
 async def _run_all(options: argparse.Namespace) -> list[Run]:
     runs: list[Run] = []
-    chosen = [scenario_named(name) for name in options.scenario or ()] or SCENARIOS
+    scenarios = [scenario_named(name) for name in options.scenario or ()] or SCENARIOS
     for user in options.user or (MAILING, LISTING):
-        for scenario in chosen:
+        for scenario in scenarios:
             if (
                 not options.scenario
                 and user == LISTING
--- a/benchmarks/bounds.py
+++ b/benchmarks/bounds.py
@@ -1,4 +1,4 @@
-"""Regression bounds: ratios within one run, and counts; never plain times."""
+"""Regression bounds on ratios within one run and on counts, never on times."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from benchmarks.figures import Figures
     from benchmarks.runner import Run
 
-__all__ = ["BOUNDS_PATH", "Bound", "broken_bounds", "read_bounds"]
+__all__ = ["BOUNDS_PATH", "Bound", "read_bounds", "violated_bounds"]
 
 BOUNDS_PATH = Path(__file__).with_name("bounds.toml")
 _OURS = "ours"
 _HEALTHY = "healthy"
-_EVERY = "*"
+_ANY_SCENARIO = "*"
 
 
 class Bound(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -28,14 +28,14 @@
     Attributes
     ----------
     scenario : str
-        Where it holds; ``*`` for every scenario.
+        Scenario it applies to; ``*`` for every scenario.
     figure : str
         A field of ``Figures``.
     minimum, maximum : float, optional
-        What the figure must keep within.
+        Inclusive range of the figure.
     relative_to_healthy : bool
-        Whether the figure is first divided by that of the healthy run of the
-        same user and policy.
+        Whether the figure is divided by that of the healthy run of the same user
+        and policy.
     """
 
     scenario: str
@@ -50,39 +50,39 @@
 
 
 def read_bounds(path: Path = BOUNDS_PATH) -> list[Bound]:
-    """Return the bounds of a file."""
+    """Return the bounds in a file."""
     return msgspec.convert(tomllib.loads(path.read_text()), _BoundsFile).bounds
 
 
-def broken_bounds(runs: Sequence[Run], bounds: Sequence[Bound]) -> list[str]:
-    """Return a line for each bound that a run of our policy breaks."""
+def violated_bounds(runs: Sequence[Run], bounds: Sequence[Bound]) -> list[str]:
+    """Return a line for each bound that a run of our policy violates."""
     ours = [run for run in runs if run.policy == _OURS]
     return [
         line
         for run in ours
         for bound in bounds
-        if bound.scenario in (_EVERY, run.scenario)
-        for line in _broken(run, bound, ours)
+        if bound.scenario in (_ANY_SCENARIO, run.scenario)
+        for line in _violations(run, bound, ours)
     ]
 
 
-def _broken(run: Run, bound: Bound, runs: Sequence[Run]) -> list[str]:
-    value = _value(run.figures, bound.figure)
+def _violations(run: Run, bound: Bound, runs: Sequence[Run]) -> list[str]:
+    value = _figure(run.figures, bound.figure)
     if bound.relative_to_healthy:
         healthy = _healthy_of(run, runs)
         if healthy is None:
             return []
-        value /= max(_value(healthy.figures, bound.figure), 1e-9)
-    place = f"{run.user}, {run.scenario}: {bound.figure} = {value:.4g}"
+        value /= max(_figure(healthy.figures, bound.figure), 1e-9)
+    label = f"{run.user}, {run.scenario}: {bound.figure} = {value:.4g}"
     lines = []
     if bound.minimum is not None and value < bound.minimum:
-        lines.append(f"{place} is below {bound.minimum}")
+        lines.append(f"{label} is below {bound.minimum}")
     if bound.maximum is not None and value > bound.maximum:
-        lines.append(f"{place} is above {bound.maximum}")
+        lines.append(f"{label} is above {bound.maximum}")
     return lines
 
 
-def _value(figures: Figures, name: str) -> float:
+def _figure(figures: Figures, name: str) -> float:
     return float(getattr(figures, name))
 
 
--- a/benchmarks/configuration_cost.py
+++ b/benchmarks/configuration_cost.py
@@ -1,9 +1,9 @@
-"""What a change of the configuration costs.
+"""Cost of a configuration change.
 
-Run ``python -m benchmarks.configuration_cost``. A configuration of 4,200 routes gets
-one more. Processor time is that of one core, the median of the runs: reading what the
-store hands out, telling followers, and putting it in force. Sizes are what one
-follower is sent, whole and as a change.
+Run ``python -m benchmarks.configuration_cost``. One route is added to a
+configuration of 4,200. Processor time is that of one core, the median of the runs, for
+reading the store's document, sending it to subscribers and applying it. Sizes are the
+bytes sent to one subscriber, in full and as a change.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 
 
 class ConfigurationCost(msgspec.Struct, frozen=True):
-    """What one step costs.
+    """Cost of one step.
 
     Attributes
     ----------
     step : str
-        The step.
+        Name of the step.
     median_ms : float
         Processor time.
     sent_bytes : int
-        What a follower is sent in it; 0 where nothing is.
+        Bytes sent to one subscriber; 0 if the step sends none.
     """
 
     step: str
@@ -54,7 +54,7 @@
 
 
 def measure(routes: int, runs: int) -> list[ConfigurationCost]:
-    """Return what each step costs with so many routes."""
+    """Return the cost of each step with the given number of routes."""
     first_spec = configuration_spec(1, routes)
     next_spec = configuration_spec(2, routes + 1)
     cache = RouteCache()
@@ -62,9 +62,9 @@
     after = configuration_from(next_spec, cache)
     change = compute_change(before, after)
     if change is None:
-        raise RuntimeError("one route more cannot be told as a change")
-    whole = RelayedState(1, True, after, is_whole=True)
-    told = RelayedState(1, True, configuration_change=change)
+        raise RuntimeError("adding one route cannot be expressed as a change")
+    full = RelayedState(1, True, after, is_whole=True)
+    delta = RelayedState(1, True, configuration_change=change)
 
     def timed(step: str, run: Callable[[], object], sent_bytes: int = 0) -> None:
         costs.append(ConfigurationCost(step, _median_ms(run, runs), sent_bytes))
@@ -75,29 +75,29 @@
         lambda: configuration_from(first_spec, RouteCache()),
     )
     timed(
-        "read from the store, one route more",
+        "read from the store, one route added",
         lambda: configuration_from(next_spec, cache),
     )
-    timed("find the change", lambda: compute_change(before, after))
-    timed("tell it whole", lambda: encode_state(whole), len(encode_state(whole)))
-    timed("tell the change", lambda: encode_state(told), len(encode_state(told)))
-    timed("take it whole", lambda: _decoded(encode_state(whole)))
-    timed("take the change", lambda: apply_change(before, change))
-    timed("put it in force", lambda: RouteTable(after))
+    timed("compute the change", lambda: compute_change(before, after))
+    timed("encode in full", lambda: encode_state(full), len(encode_state(full)))
+    timed("encode the change", lambda: encode_state(delta), len(encode_state(delta)))
+    timed("decode in full", lambda: _decode_change(encode_state(full)))
+    timed("apply the change", lambda: apply_change(before, change))
+    timed("build the route table", lambda: RouteTable(after))
     return costs
 
 
-def _decoded(data: bytes) -> ConfigurationChange | None:
+def _decode_change(data: bytes) -> ConfigurationChange | None:
     return decode_state(data, RelayedState).configuration_change
 
 
 def _median_ms(run: Callable[[], object], runs: int) -> float:
-    taken_ms = []
+    durations_ms = []
     for _ in range(runs):
         started_s = time.process_time()
         run()
-        taken_ms.append((time.process_time() - started_s) * _MILLISECONDS)
-    return statistics.median(taken_ms)
+        durations_ms.append((time.process_time() - started_s) * _MILLISECONDS)
+    return statistics.median(durations_ms)
 
 
 def main() -> int:
--- a/benchmarks/daemons_at_rest.py
+++ b/benchmarks/daemons_at_rest.py
@@ -1,9 +1,9 @@
-"""Processor time and memory of whole daemons that get no request.
+"""Processor time and memory of whole daemons without requests.
 
-Run ``python -m benchmarks.daemons_at_rest``. Each instance is a process of its
-own; up to 16 instances each holds a stream to every other one, so that the
-difference between two sizes is the cost of the streams. The processor time is
-what the system counts for the processes; on a busy machine it is rough.
+Run ``python -m benchmarks.daemons_at_rest``. Each instance is a separate
+process. In a tier of up to 16, each has a stream to every other one, so that
+the difference between two sizes is the cost of the streams. The processor time
+is that reported by the system, which is imprecise on a busy machine.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ["AtRest", "main", "measure", "stream_percent"]
+__all__ = ["IdleCost", "main", "measure", "stream_percent"]
 
 COUNTS = (3, 9, 16)
 SETTLE_S = 5.0
-REST_S = 10.0
+IDLE_S = 10.0
 PERCENT = 100.0
 
 
-class AtRest(msgspec.Struct, frozen=True):
-    """What one daemon costs in a tier of some instances.
+class IdleCost(msgspec.Struct, frozen=True):
+    """Cost of one idle daemon in a tier of a given size.
 
     Attributes
     ----------
     instances, streams : int
-        How many there are, and the streams that each holds.
+        Size of the tier, and streams per instance.
     cpu_percent : float
-        Processor time, user and system, of one core; the mean of all.
+        Processor time, user and system, of one core; mean over the instances.
     resident_bytes, private_bytes : float
-        The mean memory: as resident, and what no other process shares.
+        Mean resident memory, and mean memory shared with no other process.
     """
 
     instances: int
@@ -50,21 +50,21 @@
     private_bytes: float
 
 
-async def measure(instances: int, *, rest_s: float = REST_S) -> AtRest:
-    """Measure daemons of one deployment."""
+async def measure(instances: int, *, idle_s: float = IDLE_S) -> IdleCost:
+    """Measure the daemons of one deployment."""
     async with Deployment(register_shape(1, instances=instances)) as deployment:
         processes = [
             psutil.Process(instance.process.pid) for instance in deployment.instances
         ]
         await trio.sleep(SETTLE_S)
         before_s = sum(map(_cpu_s, processes))
-        await trio.sleep(rest_s)
+        await trio.sleep(idle_s)
         spent_s = sum(map(_cpu_s, processes)) - before_s
         memory = [process.memory_full_info() for process in processes]
-    return AtRest(
+    return IdleCost(
         instances=instances,
         streams=instances - 1,
-        cpu_percent=PERCENT * spent_s / rest_s / instances,
+        cpu_percent=PERCENT * spent_s / idle_s / instances,
         resident_bytes=sum(item.rss for item in memory) / instances,
         private_bytes=sum(item.uss for item in memory) / instances,
     )
@@ -75,18 +75,18 @@
     return float(times.user + times.system)
 
 
-def stream_percent(first: AtRest, last: AtRest) -> float:
-    """Return what one more stream costs, from two sizes."""
-    more = last.streams - first.streams
-    return (last.cpu_percent - first.cpu_percent) / more
+def stream_percent(first: IdleCost, last: IdleCost) -> float:
+    """Return the processor time per stream, from two sizes, in percent of a core."""
+    added_streams = last.streams - first.streams
+    return (last.cpu_percent - first.cpu_percent) / added_streams
 
 
-async def _measure_all(counts: Sequence[int]) -> list[AtRest]:
+async def _measure_all(counts: Sequence[int]) -> list[IdleCost]:
     return [await measure(count) for count in counts]
 
 
 def main() -> None:
-    """Print what a daemon costs at each size."""
+    """Print the cost of a daemon at each size."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.daemons_at_rest")
     parser.add_argument("--instances", type=int, nargs="+", default=list(COUNTS))
     figures = trio.run(partial(_measure_all, parser.parse_args().instances))
--- a/benchmarks/exchange_floor.py
+++ b/benchmarks/exchange_floor.py
@@ -1,8 +1,8 @@
-"""Processor time of one exchange on an open connection, without any codec.
+"""Processor time of one exchange on an open connection, without a codec.
 
-Run ``python -m benchmarks.exchange_floor``. Each way sends bytes that were
-made before and reads until the reply is whole, so that it bounds what a
-cheaper codec can bring. The far end is another process, which is not counted.
+Run ``python -m benchmarks.exchange_floor``. Each variant sends prepared
+bytes and reads until the reply is complete, which gives a lower bound for any
+codec. The server is another process, which is not counted.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-__all__ = ["Way", "main", "measure"]
+__all__ = ["Variant", "main", "measure"]
 
 CONNECTIONS = 180
 SUB_REQUESTS_PER_ROUND = 7_200
 ROUNDS = 5
-JOINED = 24
-"""Sub-requests in one exchange when they are joined."""
+BATCH_SIZE = 24
+"""Sub-requests in one batched exchange."""
 
 READ_BYTES = 65_536
 MICROSECONDS_PER_SECOND = 1e6
@@ -51,99 +51,106 @@
 )
 
 
-class Way(msgspec.Struct, frozen=True):
-    """What one sub-request costs, one way of sending it.
+class Variant(msgspec.Struct, frozen=True):
+    """Cost of one sub-request for one way of sending it.
 
     Attributes
     ----------
     name : str
-        The way.
+        Name of the variant.
     sub_request_us : float
-        Processor time a sub-request in this process, the best round.
+        Processor time per sub-request in this process, in the best round.
     """
 
     name: str
     sub_request_us: float
 
 
-async def measure(address: tuple[str, int], *, rounds: int = ROUNDS) -> list[Way]:
-    """Measure every way against a far end."""
+async def measure(address: tuple[str, int], *, rounds: int = ROUNDS) -> list[Variant]:
+    """Measure every variant against a server."""
     return [
-        Way("trio, a task each", await _with_trio(address, joined=1, rounds=rounds)),
-        Way(
-            f"trio, {JOINED} joined in one exchange",
-            await _with_trio(address, joined=JOINED, rounds=rounds),
+        Variant(
+            "trio, one task each",
+            await _with_trio(address, batch_size=1, rounds=rounds),
         ),
-        Way("plain sockets and epoll", _with_sockets(address, rounds=rounds)),
+        Variant(
+            f"trio, {BATCH_SIZE} batched in one exchange",
+            await _with_trio(address, batch_size=BATCH_SIZE, rounds=rounds),
+        ),
+        Variant("plain sockets and epoll", _with_sockets(address, rounds=rounds)),
     ]
 
 
-async def _with_trio(address: tuple[str, int], *, joined: int, rounds: int) -> float:
+async def _with_trio(
+    address: tuple[str, int], *, batch_size: int, rounds: int
+) -> float:
     async with AsyncExitStack() as stack:
         streams = []
         for _ in range(CONNECTIONS):
             stream = await trio.open_tcp_stream(*address)
             streams.append(await stack.enter_async_context(stream))
 
-        async def ask_all() -> None:
+        async def send_all() -> None:
             async with trio.open_nursery() as nursery:
                 for stream in streams:
-                    nursery.start_soon(_exchange, stream, joined)
+                    nursery.start_soon(_exchange, stream, batch_size)
 
-        return await _best_us(ask_all, CONNECTIONS * joined, rounds)
+        return await _best_us(send_all, CONNECTIONS * batch_size, rounds)
 
 
-async def _exchange(stream: trio.SocketStream, joined: int) -> None:
-    await stream.send_all(REQUEST * joined)
-    missing = len(REPLY) * joined
-    while missing > 0:
-        missing -= len(await stream.receive_some(READ_BYTES))
+async def _exchange(stream: trio.SocketStream, batch_size: int) -> None:
+    await stream.send_all(REQUEST * batch_size)
+    remaining_bytes = len(REPLY) * batch_size
+    while remaining_bytes > 0:
+        remaining_bytes -= len(await stream.receive_some(READ_BYTES))
 
 
 async def _best_us(
-    ask_all: Callable[[], Awaitable[None]], sub_requests: int, rounds: int
+    send_all: Callable[[], Awaitable[None]], sub_requests: int, rounds: int
 ) -> float:
-    times = max(1, SUB_REQUESTS_PER_ROUND // sub_requests)
-    await ask_all()
+    repetitions = max(1, SUB_REQUESTS_PER_ROUND // sub_requests)
+    await send_all()
     spent_s = []
     for _ in range(rounds):
         started_s = time.process_time()
-        for _ in range(times):
-            await ask_all()
+        for _ in range(repetitions):
+            await send_all()
         spent_s.append(time.process_time() - started_s)
-    return min(spent_s) / (times * sub_requests) * MICROSECONDS_PER_SECOND
+    return min(spent_s) / (repetitions * sub_requests) * MICROSECONDS_PER_SECOND
 
 
 def _with_sockets(address: tuple[str, int], *, rounds: int) -> float:
-    times = SUB_REQUESTS_PER_ROUND // CONNECTIONS
+    repetitions = SUB_REQUESTS_PER_ROUND // CONNECTIONS
     with ExitStack() as stack:
         poll = stack.enter_context(select.epoll())
-        connected = {}
+        connections = {}
         for _ in range(CONNECTIONS):
             connection = stack.enter_context(socket.create_connection(address))
             connection.setblocking(False)
             poll.register(connection, select.EPOLLIN)
-            connected[connection.fileno()] = connection
+            connections[connection.fileno()] = connection
         spent_s = []
         for _ in range(rounds):
             started_s = time.process_time()
-            for _ in range(times):
-                _ask_all_plainly(poll, connected)
+            for _ in range(repetitions):
+                _send_all_with_sockets(poll, connections)
             spent_s.append(time.process_time() - started_s)
-    return min(spent_s) / (times * CONNECTIONS) * MICROSECONDS_PER_SECOND
+    return min(spent_s) / (repetitions * CONNECTIONS) * MICROSECONDS_PER_SECOND
 
 
-def _ask_all_plainly(poll: select.epoll, connected: dict[int, socket.socket]) -> None:
-    for connection in connected.values():
+def _send_all_with_sockets(
+    poll: select.epoll, connections: dict[int, socket.socket]
+) -> None:
+    for connection in connections.values():
         connection.send(REQUEST)
-    missing = len(REPLY) * len(connected)
-    while missing > 0:
+    remaining_bytes = len(REPLY) * len(connections)
+    while remaining_bytes > 0:
         for number, _ in poll.poll():
-            missing -= len(connected[number].recv(READ_BYTES))
+            remaining_bytes -= len(connections[number].recv(READ_BYTES))
 
 
 def serve() -> None:
-    """Answer each request on each connection with the same reply."""
+    """Respond to each request on each connection with the same reply."""
     selector = selectors.DefaultSelector()
     listener = socket.create_server((LOOPBACK, 0), backlog=CONNECTIONS)
     selector.register(listener, selectors.EVENT_READ)
@@ -156,10 +163,10 @@
                 connection, _ = listener.accept()
                 selector.register(connection, selectors.EVENT_READ)
             elif isinstance(key.fileobj, socket.socket):
-                _answer(key.fileobj, pending, selector)
+                _respond(key.fileobj, pending, selector)
 
 
-def _answer(
+def _respond(
     connection: socket.socket,
     pending: dict[int, int],
     selector: selectors.BaseSelector,
@@ -170,12 +177,12 @@
         pending.pop(connection.fileno(), None)
         connection.close()
         return
-    read = pending.get(connection.fileno(), 0) + len(data)
-    whole, pending[connection.fileno()] = divmod(read, len(REQUEST))
-    connection.sendall(REPLY * whole)
+    received_bytes = pending.get(connection.fileno(), 0) + len(data)
+    complete, pending[connection.fileno()] = divmod(received_bytes, len(REQUEST))
+    connection.sendall(REPLY * complete)
 
 
-async def _measure_all(rounds: int) -> list[Way]:
+async def _measure_all(rounds: int) -> list[Variant]:
     async with RunningProcess(["-m", "benchmarks.exchange_floor", "--serve"]) as child:
         line = await child.printed(LISTENING)
         host, _, port = line.strip().rpartition(":")
@@ -183,17 +190,17 @@
 
 
 def main() -> None:
-    """Print what each way costs."""
+    """Print the cost of each variant."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.exchange_floor")
     parser.add_argument("--rounds", type=int, default=ROUNDS)
-    parser.add_argument("--serve", action="store_true", help="be the far end")
+    parser.add_argument("--serve", action="store_true", help="run the server")
     options = parser.parse_args()
     if options.serve:
         serve()
         return
-    ways = trio.run(partial(_measure_all, options.rounds))
-    for way in ways:
-        sys.stdout.write(f"{way.name:32}{way.sub_request_us:8.1f} us\n")
+    variants = trio.run(partial(_measure_all, options.rounds))
+    for variant in variants:
+        sys.stdout.write(f"{variant.name:32}{variant.sub_request_us:8.1f} us\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fanout_cost.py
+++ b/benchmarks/fanout_cost.py
@@ -1,8 +1,8 @@
-"""Processor time of one sub-request: ours against bare connections.
+"""Processor time of one sub-request, compared with bare connections.
 
-Both sides send the same sub-requests, in turns within one run, to stand-ins in
-another process, over connections that are open already. Only this process's
-time counts. Run ``python -m benchmarks.fanout_cost``.
+Both sides send the same sub-requests, alternating within one run, to fake
+servers in other processes, over open connections. Only the time of this process
+is counted. Run ``python -m benchmarks.fanout_cost``.
 """
 
 from __future__ import annotations
@@ -50,14 +50,14 @@
 
 
 class FanoutCost(msgspec.Struct, frozen=True):
-    """What one sub-request costs at one fan-out.
+    """Cost of one sub-request at one fan-out.
 
     Attributes
     ----------
     fan_out : int
-        Sub-requests a search.
+        Sub-requests per search.
     ours_us, bare_us : float
-        Processor time a sub-request in this process, the best round of each.
+        Processor time per sub-request in this process, in the best round of each.
     """
 
     fan_out: int
@@ -66,15 +66,15 @@
 
     @property
     def ratio(self) -> float:
-        """How many times a bare sub-request ours costs."""
+        """Ratio of our cost to that of a bare connection."""
         return self.ours_us / self.bare_us
 
 
 async def measure_cost(fan_out: int, *, rounds: int = ROUNDS) -> FanoutCost:
     """Measure both sides at one fan-out."""
-    async with _stand_ins(fan_out) as addresses:
+    async with _fake_servers(fan_out) as addresses:
         clock = Clock()
-        fanout, links = _make_fanout(addresses, clock)
+        fanout, pools = _make_fanout(addresses, clock)
         searches = max(1, SUB_REQUESTS_PER_ROUND // fan_out)
         async with _bare_connections(addresses) as connections:
 
@@ -85,19 +85,19 @@
                 await _send_to_all(connections)
 
             try:
-                await _seconds_of(search_ours, 10)
-                await _seconds_of(search_bare, 10)
+                await _cpu_seconds(search_ours, 10)
+                await _cpu_seconds(search_bare, 10)
                 ours, bare = [], []
                 for _ in range(rounds):
-                    ours.append(await _seconds_of(search_ours, searches))
-                    bare.append(await _seconds_of(search_bare, searches))
+                    ours.append(await _cpu_seconds(search_ours, searches))
+                    bare.append(await _cpu_seconds(search_bare, searches))
             finally:
-                await links.aclose()
+                await pools.aclose()
     scale = MICROSECONDS_PER_SECOND / (searches * fan_out)
     return FanoutCost(fan_out, min(ours) * scale, min(bare) * scale)
 
 
-async def _seconds_of(search: Callable[[], Awaitable[None]], times: int) -> float:
+async def _cpu_seconds(search: Callable[[], Awaitable[None]], times: int) -> float:
     started = time.process_time()
     for _ in range(times):
         await search()
@@ -125,7 +125,7 @@
 
 
 class _BareConnection:
-    """One kept connection of the library, used for the same sub-request."""
+    """One persistent httpcore connection, used for one service."""
 
     def __init__(self, service: str, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -174,8 +174,8 @@
 
 
 @asynccontextmanager
-async def _stand_ins(fan_out: int) -> AsyncIterator[dict[str, str]]:
-    """Run one quick server for each of many services; yield their addresses."""
+async def _fake_servers(fan_out: int) -> AsyncIterator[dict[str, str]]:
+    """Run one fast fake server per service; yield their addresses."""
     names = [f"s{number}" for number in range(fan_out)]
     addresses = {}
     async with AsyncExitStack() as stack:
@@ -206,7 +206,7 @@
     index = Index((Snapshot(SNAPSHOT, tuple(addresses)),))
     store.merge([*objects, _object(ObjectKind.INDEX, INDEX, index)])
     query = QuerySettings()
-    links = BackendPools(
+    pools = BackendPools(
         catalogue=catalogue,
         members=Members(Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2")),
         open_connection=connection_opener(clock, BackendSettings()),
@@ -217,14 +217,14 @@
     )
     fanout = Fanout(
         catalogue=catalogue,
-        pools=links,
+        pools=pools,
         quarantine=Quarantine(clock=clock, counters=counters, settings=query),
         clock=clock,
         counters=counters,
         zone="z1",
         settings=query,
     )
-    return fanout, links
+    return fanout, pools
 
 
 def _object(kind: ObjectKind, name: str, value: object) -> VersionedObject:
@@ -237,7 +237,7 @@
 
 def main() -> None:
     """Print the cost at each fan-out."""
-    parser = argparse.ArgumentParser(description="Processor time a sub-request")
+    parser = argparse.ArgumentParser(description="Processor time per sub-request")
     parser.add_argument("--rounds", type=int, default=ROUNDS)
     costs = trio.run(_measure_all, parser.parse_args().rounds)
     sys.stdout.write("fan-out  ours us  bare us  ratio\n")
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -1,4 +1,4 @@
-"""The figures of one run, worked out from what callers and servers saw."""
+"""Figures of one run, computed from the records of callers and servers."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class BackendTotals(msgspec.Struct, frozen=True):
-    """What all backend servers received during a run.
+    """Totals over all backend servers of a run.
 
     Attributes
     ----------
     searches : int
-        Sub-requests of searches, refused ones too.
+        Sub-requests of searches, including rejected ones.
     performed : tuple of str
-        The marker of each run of non-idempotent work.
+        Marker of each execution of a non-idempotent request.
     """
 
     searches: int
@@ -31,7 +31,7 @@
 
 
 class Bucket(msgspec.Struct, frozen=True):
-    """A quarter of a second of a run, for the charts."""
+    """Figures of one time bucket of a run, for the charts."""
 
     at_ms: float
     requests: int
@@ -40,33 +40,33 @@
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """What one run measured.
+    """Figures of one run.
 
     Attributes
     ----------
     p50_ms, p99_ms, p999_ms : float
-        Latency of the answers to urgent searches, from when each was due.
+        Latency of answered urgent searches, from when each was due.
     bulk_p99_ms : float
-        The same of the other searches.
+        The same for the other searches.
     coverage : float
-        Services answered over services asked, over all answers.
+        Fraction of the requested services that responded, over all answers.
     answered : float
-        Searches answered over searches sent.
+        Fraction of the searches that were answered.
     extra_load : float
-        Sub-requests that servers received beyond one for each service of each
-        answered search, over the latter.
+        Sub-requests received beyond one per service of each answered search, as a
+        fraction of the latter.
     refusals : dict of str to int
-        Requests without an answer, by code.
+        Requests without an answer, by error code.
     wrong : int
         Answers with a wrong row, snapshot or coverage.
     doubles : int
         Non-idempotent requests that ran more than once.
     false_not_run : int
-        Those told "not run" at every copy that ran all the same.
+        Non-idempotent requests reported as not run for every copy, yet executed.
     requests, late_starts : int
-        Requests sent, and those sent late, by the load process's fault.
+        Requests sent, and those that the load process itself sent late.
     buckets : tuple of Bucket
-        The run over time.
+        Figures over time.
     """
 
     p50_ms: float
@@ -86,22 +86,22 @@
 
 
 def figures_of(result: LoadResult, totals: BackendTotals) -> Figures:
-    """Work out the figures of one run."""
+    """Compute the figures of one run."""
     searches = [item for item in result.observations if not item.key]
     answers = [item for item in searches if item.status == 200]
     urgent = [item for item in answers if "urgent" in item.load_class]
     bulk = [item for item in answers if "urgent" not in item.load_class]
-    asked = sum(item.total for item in answers)
+    requested = sum(item.total for item in answers)
     covered = sum(item.answered for item in answers)
-    ordinary = _histogram(urgent)
+    urgent_histogram = _histogram(urgent)
     return Figures(
-        p50_ms=_percentile_ms(ordinary, 50.0),
-        p99_ms=_percentile_ms(ordinary, 99.0),
-        p999_ms=_percentile_ms(ordinary, 99.9),
+        p50_ms=_percentile_ms(urgent_histogram, 50.0),
+        p99_ms=_percentile_ms(urgent_histogram, 99.0),
+        p999_ms=_percentile_ms(urgent_histogram, 99.9),
         bulk_p99_ms=_percentile_ms(_histogram(bulk), 99.0),
-        coverage=covered / asked if asked else 0.0,
+        coverage=covered / requested if requested else 0.0,
         answered=len(answers) / len(searches) if searches else 0.0,
-        extra_load=totals.searches / asked - 1.0 if asked else 0.0,
+        extra_load=totals.searches / requested - 1.0 if requested else 0.0,
         refusals=dict(Counter(item.code for item in result.observations if item.code)),
         wrong=sum(1 for item in answers if item.wrong),
         doubles=sum(1 for count in Counter(totals.performed).values() if count > 1),
@@ -113,13 +113,15 @@
 
 
 def _false_not_run(result: LoadResult, totals: BackendTotals) -> int:
-    said: dict[str, list[str]] = {}
+    reported: dict[str, list[str]] = {}
     for item in result.observations:
         if item.key:
-            said.setdefault(item.name, []).append(item.ran or "yes")
+            reported.setdefault(item.name, []).append(item.ran or "yes")
     ran = set(totals.performed)
-    denied = {name for name, words in said.items() if set(words) == {"no"}}
-    return len(denied & ran)
+    reported_not_run = {
+        name for name, values in reported.items() if set(values) == {"no"}
+    }
+    return len(reported_not_run & ran)
 
 
 def _buckets(searches: list[Observation]) -> tuple[Bucket, ...]:
--- a/benchmarks/gather_cost.py
+++ b/benchmarks/gather_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of a sub-request of the front daemon's gathered queries.
+"""Processor time per sub-request of the front daemon's scatter-gather queries.
 
 Run ``python -m benchmarks.gather_cost``. The whole path runs in this process:
-choice, budget, health, connections, codec, merging. The servers are another
-process, which is not counted; every part has 400 bytes. The last line compares
-a query with and without its log line.
+server choice, retry budget, health, connections, codec, merging. The servers are
+another process, which is not counted; every part has 400 bytes. The last line
+compares a query with and without its log line.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 async def _serve_connection(stream: trio.SocketStream) -> None:
-    """Answer each request on a connection with a signed part."""
+    """Respond to each request on a connection with a signed part."""
     body = bytes(PART_BYTES)
     numbers = itertools.count()
     async for received in stream:
@@ -127,7 +127,7 @@
 
 
 async def measure(address: str, fanout: int) -> float:
-    """Return the processor time of a sub-request, in microseconds."""
+    """Return the processor time per sub-request, in microseconds."""
     clock = Clock()
     async with trio.open_nursery() as nursery:
         gateway = _gateway(address, fanout, nursery, clock)
@@ -158,13 +158,13 @@
 async def measure_log(address: str, fanout: int) -> tuple[float, float]:
     """Return the processor time of a query in microseconds, without and with logs.
 
-    The least of several runs each, taken in turn: other work on the machine
-    only ever adds.
+    Each is the minimum of several alternating runs, because other work on the
+    machine can only increase the time.
     """
     spent_us: dict[bool, list[float]] = {False: [], True: []}
     for _ in range(LOG_RUNS):
-        for is_logged, found in spent_us.items():
-            found.append(fanout * await _measure_with(address, fanout, is_logged))
+        for is_logged, samples_us in spent_us.items():
+            samples_us.append(fanout * await _measure_with(address, fanout, is_logged))
     return min(spent_us[False]), min(spent_us[True])
 
 
@@ -191,7 +191,7 @@
         address = await servers.printed(LISTENING)
         for fanout in FANOUTS:
             spent_us = await measure(address, fanout)
-            sys.stdout.write(f"fan-out {fanout}: {spent_us:.0f} us a sub-request\n")
+            sys.stdout.write(f"fan-out {fanout}: {spent_us:.0f} us per sub-request\n")
         without_us, with_us = await measure_log(address, FANOUTS[0])
         sys.stdout.write(
             f"a query over {FANOUTS[0]}: {without_us:.0f} us without logs,"
@@ -200,9 +200,9 @@
 
 
 def main() -> None:
-    """Measure each fan-out, or be the servers."""
+    """Measure each fan-out, or run the servers."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--serve", action="store_true", help="be the servers")
+    parser.add_argument("--serve", action="store_true", help="run the servers")
     trio.run(_serve if parser.parse_args().serve else _run)
 
 
--- a/benchmarks/ledger_throughput.py
+++ b/benchmarks/ledger_throughput.py
@@ -100,7 +100,7 @@
     return SubReply(b'{"result":1}')
 
 
-class Bench:
+class BenchmarkRun:
     """One run: arrivals at a rate, for :data:`DURATION_S`."""
 
     def __init__(self, nursery: trio.Nursery, *, instances: int) -> None:
@@ -142,11 +142,11 @@
         async with trio.open_nursery() as arrivals:
             end_ms = self.clock.now_ms() + DURATION_S * 1000.0
             while self.clock.now_ms() < end_ms:
-                arrivals.start_soon(self._one, claim)
+                arrivals.start_soon(self._claim_once, claim)
                 gap_ms = self.random.expovariate(rate_per_s) * 1000.0
                 await self.clock.sleep_ms(gap_ms)
 
-    async def _one(self, claim: ClaimOne) -> None:
+    async def _claim_once(self, claim: ClaimOne) -> None:
         key = make_key(
             wall_ms=self.clock.wall_ms(), random_bits=self.random.getrandbits(74)
         )
@@ -210,13 +210,13 @@
 async def measure(design: str, *, instances: int, rate_per_s: int) -> Results:
     """Return the results of one design at one rate."""
     async with trio.open_nursery() as nursery:
-        bench = Bench(nursery, instances=instances)
-        claim: ClaimOne = bench.claim_each
+        run = BenchmarkRun(nursery, instances=instances)
+        claim: ClaimOne = run.claim_each
         if design != "claim each":
-            ledgers = await bench.start_ledgers()
-            claim = bench.claim_by_ledger(ledgers, routed=design == "ledger routed")
-        await bench.offer(rate_per_s, claim)
-        results = bench.results(design, rate_per_s)
+            ledgers = await run.start_ledgers()
+            claim = run.claim_by_ledger(ledgers, routed=design == "ledger routed")
+        await run.offer(rate_per_s, claim)
+        results = run.results(design, rate_per_s)
         nursery.cancel_scope.cancel()
     return results
 
--- a/benchmarks/link_costs.py
+++ b/benchmarks/link_costs.py
@@ -1,9 +1,9 @@
-"""What links to backend servers cost an instance, and what a server sees.
+"""Cost of backend pools to an instance, and connections per backend server.
 
-Run ``python -m benchmarks.link_costs``. Sizes are what Python allocated; the
-buffers of the system are not in them. The connections that a server sees are
-counted, with the sharing of today and with servers that are each asked by a
-few instances only, chosen by rendezvous hashing.
+Run ``python -m benchmarks.link_costs``. Sizes are Python allocations without
+the socket buffers of the system. The connections per server are counted for the
+current sharing, and for subsets of instances per server, which are chosen by
+rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ["LinkCost", "SubsetLoad", "main", "measure_links", "measure_subsets"]
+__all__ = ["PoolCost", "SubsetLoad", "main", "measure_pools", "measure_subsets"]
 
 SERVERS_PER_SERVICE = 2
 SERVICES = 17_500
 SIZES = ((38, 19), (150, 75), (1_500, 750), (15_000, 7_500), (150, SERVICES))
-"""Links, and services that the instance knows of."""
+"""Pools, and services in the catalogue of the instance."""
 
-UPKEEP_ROUNDS = 20
-UPKEEP_MS = 100.0
+MAINTENANCE_ROUNDS = 20
+MAINTENANCE_MS = 100.0
 CONNECTIONS = 200
 DEADLINE_MS = 10_000.0
 LIMIT = 25
@@ -61,72 +61,75 @@
 )
 
 
-class LinkCost(msgspec.Struct, frozen=True):
-    """What a number of links costs one instance without any request.
+class PoolCost(msgspec.Struct, frozen=True):
+    """Cost of a number of pools to one instance without requests.
 
     Attributes
     ----------
-    links, services : int
-        How many, and how many services the instance knows of.
-    bytes_each : float
-        What one allocated, without connections.
-    upkeep_us_each : float
-        The processor time of one link in one round of upkeep.
+    pools, services : int
+        Number of pools, and of services in the catalogue of the instance.
+    bytes_per_pool : float
+        Memory of one pool, without connections.
+    maintenance_us_per_pool : float
+        Processor time of one pool in one maintenance round.
     cpu_percent : float
-        All links' upkeep, of one core.
+        Maintenance of all pools, of one core.
     """
 
-    links: int
+    pools: int
     services: int
-    bytes_each: float
-    upkeep_us_each: float
+    bytes_per_pool: float
+    maintenance_us_per_pool: float
     cpu_percent: float
 
 
 class SubsetLoad(msgspec.Struct, frozen=True):
-    """How servers spread over the instances of a zone.
+    """Distribution of servers over the instances of a zone.
 
     Attributes
     ----------
-    holders : int
-        The instances that ask each server.
-    mean, most : float
-        The servers that one instance asks.
+    subset_size : int
+        Instances that connect to each server.
+    mean, maximum : float
+        Servers per instance.
     """
 
-    holders: int
+    subset_size: int
     mean: float
-    most: int
+    maximum: int
 
 
-async def measure_links(count: int, services: int) -> LinkCost:
-    """Measure links to servers that exist in the catalogue only."""
-    links, names = _make_links(services)
+async def measure_pools(count: int, services: int) -> PoolCost:
+    """Measure pools of servers that exist in the catalogue only."""
+    pools, names = _make_pools(services)
     gc.collect()
     tracemalloc.start()
     for name in names[: count // SERVERS_PER_SERVICE]:
-        links.of_service(name)
+        pools.of_service(name)
     gc.collect()
     allocated_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    clock_ms = UPKEEP_ROUNDS * UPKEEP_MS
+    clock_ms = MAINTENANCE_ROUNDS * MAINTENANCE_MS
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(links.maintain)
-        await trio.sleep(UPKEEP_MS / MILLISECONDS_PER_SECOND / 2)
+        nursery.start_soon(pools.maintain)
+        await trio.sleep(MAINTENANCE_MS / MILLISECONDS_PER_SECOND / 2)
         started_s = time.process_time()
         await trio.sleep(clock_ms / MILLISECONDS_PER_SECOND)
         spent_s = time.process_time() - started_s
         nursery.cancel_scope.cancel()
-    return LinkCost(
-        links=count,
+    return PoolCost(
+        pools=count,
         services=services,
-        bytes_each=allocated_bytes / count,
-        upkeep_us_each=spent_s / UPKEEP_ROUNDS / count * MICROSECONDS_PER_SECOND,
+        bytes_per_pool=allocated_bytes / count,
+        maintenance_us_per_pool=spent_s
+        / MAINTENANCE_ROUNDS
+        / count
+        * MICROSECONDS_PER_SECOND,
         cpu_percent=PERCENT * spent_s / (clock_ms / MILLISECONDS_PER_SECOND),
     )
 
 
-def _make_links(services: int) -> tuple[BackendPools, list[str]]:
+def _make_pools(services: int) -> tuple[BackendPools, list[str]]:
     store = ObjectStore()
     counters = Counters()
     catalogue = Catalogue(store, counters)
@@ -134,7 +137,7 @@
     store.merge(_service(name) for name in names)
     clock = Clock()
     backend = BackendSettings()
-    links = BackendPools(
+    pools = BackendPools(
         catalogue=catalogue,
         members=Members(Member("i1", "z1", "127.0.0.1:1", "127.0.0.1:2")),
         open_connection=connection_opener(clock, backend),
@@ -143,7 +146,7 @@
         backend=backend,
         query=QuerySettings(warm_connections_per_server=0),
     )
-    return links, names
+    return pools, names
 
 
 def _service(name: str) -> VersionedObject:
@@ -156,10 +159,10 @@
 
 
 async def measure_connection() -> float:
-    """Return what one open connection allocated, after one exchange.
+    """Return the bytes allocated by one open connection after one exchange.
 
-    The far end is a bare socket of this process, which wrote its reply before
-    it was asked; its object and the stack's entries are counted along, some
+    The server is a plain socket of this process, which writes its reply in
+    advance. Its object and the entries of the exit stack are included, a few
     hundred bytes.
     """
     async with AsyncExitStack() as stack:
@@ -182,8 +185,8 @@
     opener = connection_opener(clock, BackendSettings())
     connection = await opener(f"{LOOPBACK}:{listener.getsockname()[1]}")
     stack.push_async_callback(connection.aclose)
-    far_end = stack.enter_context(listener.accept()[0])
-    far_end.sendall(REPLY)
+    server_socket = stack.enter_context(listener.accept()[0])
+    server_socket.sendall(REPLY)
     deadline_at_ms = clock.now_ms() + DEADLINE_MS
     await connection.exchange(
         "search", SubRequest("r", "service-00000", b"{}", deadline_at_ms)
@@ -191,20 +194,20 @@
 
 
 def connections_at_server(instances: int) -> int:
-    """Return the connections that a server sees if every instance asks it."""
+    """Return the connections to a server if every instance uses it."""
     return instances * connection_share(LIMIT, instances)
 
 
-def measure_subsets(holders: int) -> SubsetLoad:
-    """Spread a zone's servers over its instances by rendezvous hashing."""
+def measure_subsets(subset_size: int) -> SubsetLoad:
+    """Assign a zone's servers to its instances by rendezvous hashing."""
     names = [f"instance-{number:05d}" for number in range(ZONE_INSTANCES)]
-    asked: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     for server in _server_names():
-        asked.update(rendezvous_order(server, names)[:holders])
+        counts.update(rendezvous_order(server, names)[:subset_size])
     return SubsetLoad(
-        holders=holders,
-        mean=sum(asked.values()) / ZONE_INSTANCES,
-        most=max(asked.values()),
+        subset_size=subset_size,
+        mean=sum(counts.values()) / ZONE_INSTANCES,
+        maximum=max(counts.values()),
     )
 
 
@@ -214,12 +217,12 @@
 
 async def _measure_all() -> None:
     write = sys.stdout.write
-    write("links  services  bytes each  upkeep us each  cpu % of a core\n")
+    write("pools  services  bytes each  maintenance us  cpu % of a core\n")
     for count, services in SIZES:
-        cost = await measure_links(count, services)
+        cost = await measure_pools(count, services)
         write(
-            f"{cost.links:5}  {cost.services:8}  {cost.bytes_each:10.0f}  "
-            f"{cost.upkeep_us_each:14.2f}  {cost.cpu_percent:15.2f}\n"
+            f"{cost.pools:5}  {cost.services:8}  {cost.bytes_per_pool:10.0f}  "
+            f"{cost.maintenance_us_per_pool:14.2f}  {cost.cpu_percent:15.2f}\n"
         )
     write(f"\nan open connection: {await measure_connection():.0f} bytes\n")
 
@@ -228,14 +231,14 @@
     """Print the costs."""
     trio.run(_measure_all)
     write = sys.stdout.write
-    write(f"\ninstances  connections at a server that accepts {LIMIT}\n")
+    write(f"\ninstances  connections to a server with a limit of {LIMIT}\n")
     for instances in INSTANCES:
         write(f"{instances:9}  {connections_at_server(instances)}\n")
     write(f"\nin a zone of {ZONE_INSTANCES} instances and {ZONE_SERVERS} servers\n")
-    write("asked by  servers an instance asks: mean  most\n")
-    for holders in SUBSETS:
-        load = measure_subsets(holders)
-        write(f"{load.holders:8}  {load.mean:30.1f}  {load.most:4}\n")
+    write("subset    servers per instance:     mean   max\n")
+    for subset_size in SUBSETS:
+        load = measure_subsets(subset_size)
+        write(f"{load.subset_size:8}  {load.mean:30.1f}  {load.maximum:4}\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,8 +1,8 @@
-"""The load process: open-loop requests, so that a slow tier cannot slow it.
+"""Load process with open-loop arrivals, which a slow tier does not slow down.
 
 ``python -m benchmarks.load PLAN`` reads a plan and prints the result as JSON.
-Latency counts from when a request was due, which is the correction for
-coordinated omission.
+Latency is measured from when a request was due, to correct for coordinated
+omission.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 
 __all__ = ["main"]
 
-_LATE_MS = 50.0
+_LATE_START_MS = 50.0
 _READINESS_POLL_S = 0.5
 _READINESS_TIMEOUT_S = 0.4
 
 
 class _Balancer:
-    """Turns callers to the ready instances, in turn, as a balancer would."""
+    """Selects ready instances round-robin, like a load balancer."""
 
     def __init__(self, targets: tuple[Target, ...]) -> None:
         self._targets = targets
         self._ready = list(targets)
-        self._turn = 0
+        self._position = 0
         self._client = HttpClient()
 
     def next(self) -> Target:
         """Return the instance for the next request."""
         ready = self._ready or list(self._targets)
-        self._turn += 1
-        return ready[self._turn % len(ready)]
+        self._position += 1
+        return ready[self._position % len(ready)]
 
-    async def follow_readiness(self) -> None:
-        """Ask every instance again and again, for ever."""
+    async def poll_readiness(self) -> None:
+        """Poll the readiness of every instance until cancelled."""
         while True:
             async with trio.open_nursery() as nursery:
                 for target in self._targets:
@@ -107,10 +107,10 @@
         self._start = 0.0
 
     async def run(self) -> LoadResult:
-        """Send everything and wait for the last answer."""
+        """Send all requests and wait for the last answer."""
         self._start = trio.current_time()
         async with trio.open_nursery() as background:
-            background.start_soon(self._balancer.follow_readiness)
+            background.start_soon(self._balancer.poll_readiness)
             async with trio.open_nursery() as nursery:
                 for number, load_class in enumerate(self._plan.classes):
                     generator = random.Random(self._plan.seed * 1000 + number)
@@ -141,12 +141,12 @@
     async def _send(
         self, load_class: LoadClass, due_s: float, name: str, key: str
     ) -> None:
-        if (trio.current_time() - self._start - due_s) * 1000 > _LATE_MS:
+        if (trio.current_time() - self._start - due_s) * 1000 > _LATE_START_MS:
             self._late_starts += 1
         target = self._balancer.next()
         verb = "query" if load_class.kind == "search" else "perform"
         path = f"/v1/branches/{load_class.branch}/purposes/{load_class.purpose}/{verb}"
-        # A request that its caller sends again has the same body each time.
+        # A request that its caller resends has the same body each time.
         text = load_class.name if load_class.marker else name
         headers = {"X-Deadline-Ms": str(load_class.deadline_ms), "X-Request-Id": name}
         if key:
@@ -174,10 +174,10 @@
             name=text,
             zone=target.zone,
         )
-        self._observations.append(_observed(sent, load_class, reply))
+        self._observations.append(_completed_observation(sent, load_class, reply))
 
 
-def _observed(
+def _completed_observation(
     sent: Observation, load_class: LoadClass, reply: HttpReply
 ) -> Observation:
     if reply.status == 0:
@@ -194,17 +194,17 @@
         status=200,
         answered=answer.coverage.answered,
         total=answer.coverage.total,
-        wrong=_wrong(answer, sent.name),
+        wrong=_answer_error(answer, sent.name),
     )
 
 
-def _wrong(answer: _Answer, name: str) -> str:
+def _answer_error(answer: _Answer, name: str) -> str:
     if any(row.request != name for row in answer.results):
         return "rows of another request"
     if any(row.snapshot != answer.snapshot for row in answer.results):
         return "rows of another snapshot"
     if len({row.service for row in answer.results}) != answer.coverage.answered:
-        return "coverage is not what the rows are from"
+        return "coverage does not match the rows"
     return ""
 
 
--- a/benchmarks/membership_slopes.py
+++ b/benchmarks/membership_slopes.py
@@ -1,10 +1,10 @@
-"""``python -m benchmarks.membership_slopes``: what sharing costs each instance.
+"""``python -m benchmarks.membership_slopes``: cost of shared state per instance.
 
-Runs the shared state of many instances in one process, over streams in memory
-and on the platform's stand-in, with mock time, and prints for each number of
-members what one instance holds, sends and spends: at rest, for one change of
-the table, and for one member that is replaced. The processor time includes
-that of the streams in memory, which stand in for the system's.
+Runs the shared state of many instances in one process, over in-memory streams
+and a fake platform, with mock time. For each number of members it prints the
+memory, traffic and processor time of one instance: idle, for one edit of the
+table, and for the replacement of one member. The processor time includes that of
+the in-memory streams, which replace those of the system.
 """
 
 from __future__ import annotations
@@ -34,40 +34,40 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-__all__ = ["Slope", "View", "main", "measure", "measure_view"]
+__all__ = ["InstanceCost", "ViewCost", "main", "measure", "measure_view"]
 
 COUNTS = (3, 9, 30, 100)
 VIEW_SIZE = (5800, 19)
-"""The members and zones of the size in two years."""
+"""Members and zones expected in two years."""
 
-REST_MS = 20_000.0
+IDLE_MS = 20_000.0
 _SETTLE_MS = 5_000.0
-_GIVE_UP_MS = 300_000.0
+_CONVERGENCE_TIMEOUT_MS = 300_000.0
 
 
-class Slope(msgspec.Struct, frozen=True):
-    """What one instance costs in a tier of some members.
+class InstanceCost(msgspec.Struct, frozen=True):
+    """Cost of one instance in a tier of a given size.
 
     Attributes
     ----------
     members : int
-        How many members there are.
+        Number of members.
     streams : float
-        The streams that an instance holds open, on average.
+        Mean number of open streams per instance.
     state_bytes : float
-        What Python allocated for each instance, streams included.
+        Memory that Python allocated per instance, including streams.
     messages_per_s, bytes_per_s : float
-        What an instance sends at rest.
+        Traffic sent by an idle instance.
     cpu_percent : float
-        The processor time of an instance at rest, of one core.
+        Processor time of an idle instance, of one core.
     edit_ms : float
-        Until an edit of the table is in force at all, in mock time.
+        Mock time until an edit of the table is in force on all instances.
     edit_bytes : float
-        What an instance sends because of that edit.
+        Bytes sent per instance because of that edit.
     join_bytes : float
-        What an instance sends because one member is killed and replaced.
+        Bytes sent per instance because one member is killed and replaced.
     platform_calls_per_s : float
-        The calls on the platform by all instances together, at rest.
+        Calls to the platform by all idle instances together.
     """
 
     members: int
@@ -82,51 +82,51 @@
     platform_calls_per_s: float
 
 
-class View(msgspec.Struct, frozen=True):
-    """What the view of a large tier costs one instance, without streams.
+class ViewCost(msgspec.Struct, frozen=True):
+    """Cost of the membership view of a large tier, without streams.
 
     Attributes
     ----------
     members : int
-        How many members there are.
+        Number of members.
     state_bytes : int
-        What the view holds.
-    news_bytes : float
-        The frame of one member's news.
+        Memory of the view.
+    update_bytes : float
+        Frame of the update of one member.
     merge_ms : float
-        The processor time to decode and take in one member's news, while
+        Processor time to decode and merge the update of one member, while
         allocations are traced.
-    choose_ms : float
-        The processor time to choose the neighbours anew.
+    neighbours_ms : float
+        Processor time to select the neighbours.
     dialled : int
-        How many neighbours it dials; about as many dial it.
+        Number of neighbours it connects to; about as many connect to it.
     """
 
     members: int
     state_bytes: int
-    news_bytes: float
+    update_bytes: float
     merge_ms: float
-    choose_ms: float
+    neighbours_ms: float
     dialled: int
 
 
-class _Spent(msgspec.Struct, frozen=True):
-    """What all instances together sent and spent during something."""
+class _Usage(msgspec.Struct, frozen=True):
+    """Traffic and processor time of all instances during an operation."""
 
-    took_ms: float
+    duration_ms: float
     messages: int
     size_bytes: int
     cpu_s: float
     calls: int
 
 
-def measure(count: int) -> Slope:
-    """Return the figures of a tier of some members."""
+def measure(count: int) -> InstanceCost:
+    """Return the cost per instance in a tier of ``count`` members."""
     clock = trio.testing.MockClock(autojump_threshold=0.0)
     return trio.run(_measure, count, clock=clock)
 
 
-async def _measure(count: int) -> Slope:
+async def _measure(count: int) -> InstanceCost:
     clock = Clock()
     async with trio.open_nursery() as nursery:
         platform = FakePlatform(clock=clock)
@@ -135,52 +135,54 @@
         gc.collect()
         tracemalloc.start()
         nodes = cluster.start(*range(count))
-        await cluster.wait_until(partial(_whole, cluster), within_ms=_GIVE_UP_MS)
+        await cluster.wait_until(
+            partial(_has_converged, cluster), within_ms=_CONVERGENCE_TIMEOUT_MS
+        )
         await clock.sleep_ms(_SETTLE_MS)
         gc.collect()
         state_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         streams = 2 * len(cluster.network.open_streams)
-        rest = await _spent_during(cluster, partial(clock.sleep_ms, REST_MS))
-        quiet_bytes_per_ms = rest.size_bytes / REST_MS
-        edit = await _spent_during(cluster, partial(_edit, cluster))
-        join = await _spent_during(cluster, partial(_replace, cluster, nodes[-1]))
+        idle = await _measure_usage(cluster, partial(clock.sleep_ms, IDLE_MS))
+        idle_bytes_per_ms = idle.size_bytes / IDLE_MS
+        edit = await _measure_usage(cluster, partial(_edit, cluster))
+        join = await _measure_usage(cluster, partial(_replace, cluster, nodes[-1]))
         nursery.cancel_scope.cancel()
-    rest_s = REST_MS / MILLISECONDS_PER_SECOND
-    return Slope(
+    idle_s = IDLE_MS / MILLISECONDS_PER_SECOND
+    return InstanceCost(
         members=count,
         streams=streams / count,
         state_bytes=state_bytes / count,
-        messages_per_s=rest.messages / count / rest_s,
-        bytes_per_s=rest.size_bytes / count / rest_s,
-        cpu_percent=100 * rest.cpu_s / count / rest_s,
-        edit_ms=edit.took_ms,
-        edit_bytes=(edit.size_bytes - quiet_bytes_per_ms * edit.took_ms) / count,
-        join_bytes=(join.size_bytes - quiet_bytes_per_ms * join.took_ms) / count,
-        platform_calls_per_s=rest.calls / rest_s,
+        messages_per_s=idle.messages / count / idle_s,
+        bytes_per_s=idle.size_bytes / count / idle_s,
+        cpu_percent=100 * idle.cpu_s / count / idle_s,
+        edit_ms=edit.duration_ms,
+        edit_bytes=(edit.size_bytes - idle_bytes_per_ms * edit.duration_ms) / count,
+        join_bytes=(join.size_bytes - idle_bytes_per_ms * join.duration_ms) / count,
+        platform_calls_per_s=idle.calls / idle_s,
     )
 
 
-async def _spent_during(
+async def _measure_usage(
     cluster: SharedStateCluster, run: Callable[[], Awaitable[None]]
-) -> _Spent:
+) -> _Usage:
     nodes = list(cluster.nodes.values())
     started_ms = cluster.clock.now_ms()
     started_cpu_s = time.process_time()
-    messages = _counted(nodes, CounterKind.PEER_MESSAGES)
-    size_bytes = _counted(nodes, CounterKind.PEER_BYTES)
+    messages = _total_sent(nodes, CounterKind.PEER_MESSAGES)
+    size_bytes = _total_sent(nodes, CounterKind.PEER_BYTES)
     calls = cluster.platform.state().reads.total
     await run()
-    return _Spent(
-        took_ms=cluster.clock.now_ms() - started_ms,
-        messages=_counted(nodes, CounterKind.PEER_MESSAGES) - messages,
-        size_bytes=_counted(nodes, CounterKind.PEER_BYTES) - size_bytes,
+    return _Usage(
+        duration_ms=cluster.clock.now_ms() - started_ms,
+        messages=_total_sent(nodes, CounterKind.PEER_MESSAGES) - messages,
+        size_bytes=_total_sent(nodes, CounterKind.PEER_BYTES) - size_bytes,
         cpu_s=time.process_time() - started_cpu_s,
         calls=cluster.platform.state().reads.total - calls,
     )
 
 
-def _counted(nodes: list[SharedStateNode], kind: CounterKind) -> int:
+def _total_sent(nodes: list[SharedStateNode], kind: CounterKind) -> int:
     return sum(node.counters.value(kind, "sent") for node in nodes)
 
 
@@ -189,7 +191,7 @@
     nodes = cluster.nodes.values()
     await cluster.wait_until(
         lambda: all(node.catalogue.table_version == version for node in nodes),
-        within_ms=_GIVE_UP_MS,
+        within_ms=_CONVERGENCE_TIMEOUT_MS,
     )
 
 
@@ -198,11 +200,13 @@
     await cluster.kill(name)
     await cluster.clock.sleep_ms(_SETTLE_MS)
     cluster.start(int(name.removeprefix("i")))
-    await cluster.wait_until(partial(_whole, cluster), within_ms=_GIVE_UP_MS)
+    await cluster.wait_until(
+        partial(_has_converged, cluster), within_ms=_CONVERGENCE_TIMEOUT_MS
+    )
     await cluster.clock.sleep_ms(_SETTLE_MS)
 
 
-def _whole(cluster: SharedStateCluster) -> bool:
+def _has_converged(cluster: SharedStateCluster) -> bool:
     nodes = list(cluster.nodes.values())
     digest = nodes[0].members.digest
     return all(
@@ -214,7 +218,7 @@
 
 
 def _table(weight: float) -> Table:
-    """Return a table of nine rows, as our users have."""
+    """Return a table of nine rows, a typical size."""
     purposes = tuple(
         Purpose(name, "search", index="register")
         for name in ("name-check", "bulk-lookup", "archive")
@@ -227,8 +231,8 @@
     return Table(purposes=purposes, rows=rows)
 
 
-def measure_view(count: int, zones: int) -> View:
-    """Return what the view of a large tier costs one instance."""
+def measure_view(count: int, zones: int) -> ViewCost:
+    """Return the cost of the membership view of a tier."""
     members = [
         Member(
             name=f"instance-{number:05d}",
@@ -248,33 +252,33 @@
         for frame in FrameBuffer().feed(data):
             if isinstance(frame.message, MemberUpdate):
                 view.merge(frame.message.members[0])
-    merged_s = time.process_time() - started_s
+    merge_s = time.process_time() - started_s
     state_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     started_s = time.process_time()
     neighbours = neighbour_names(view.own, view.live())
-    chosen_s = time.process_time() - started_s
-    return View(
+    neighbours_s = time.process_time() - started_s
+    return ViewCost(
         members=count,
         state_bytes=state_bytes,
-        news_bytes=sum(map(len, wire)) / count,
-        merge_ms=merged_s / count * MILLISECONDS_PER_SECOND,
-        choose_ms=chosen_s * MILLISECONDS_PER_SECOND,
+        update_bytes=sum(map(len, wire)) / count,
+        merge_ms=merge_s / count * MILLISECONDS_PER_SECOND,
+        neighbours_ms=neighbours_s * MILLISECONDS_PER_SECOND,
         dialled=len(neighbours),
     )
 
 
-def _line(slope: Slope) -> str:
+def _table_line(cost: InstanceCost) -> str:
     return (
-        f"{slope.members:7d} {slope.streams:8.1f} {slope.state_bytes / 1024:9.0f} "
-        f"{slope.messages_per_s:8.1f} {slope.bytes_per_s:8.0f} "
-        f"{slope.cpu_percent:8.2f} {slope.edit_ms:8.0f} {slope.edit_bytes:10.0f} "
-        f"{slope.join_bytes:10.0f} {slope.platform_calls_per_s:9.2f}"
+        f"{cost.members:7d} {cost.streams:8.1f} {cost.state_bytes / 1024:9.0f} "
+        f"{cost.messages_per_s:8.1f} {cost.bytes_per_s:8.0f} "
+        f"{cost.cpu_percent:8.2f} {cost.edit_ms:8.0f} {cost.edit_bytes:10.0f} "
+        f"{cost.join_bytes:10.0f} {cost.platform_calls_per_s:9.2f}"
     )
 
 
 def main() -> None:
-    """Measure and print the slopes."""
+    """Measure and print the costs."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.membership_slopes")
     parser.add_argument("--members", type=int, action="append")
     options = parser.parse_args()
@@ -283,12 +287,12 @@
         "join bytes   calls/s"
     )
     for count in options.members or COUNTS:
-        print(_line(measure(count)), flush=True)
+        print(_table_line(measure(count)), flush=True)
     view = measure_view(*VIEW_SIZE)
     print(
         f"view of {view.members} members: {view.state_bytes / 1024:.0f} KiB, "
-        f"{view.news_bytes:.0f} bytes of news each, {view.merge_ms:.3f} ms to take "
-        f"one in, {view.choose_ms:.1f} ms to choose neighbours, {view.dialled} dialled"
+        f"{view.update_bytes:.0f} bytes per update, {view.merge_ms:.3f} ms to merge "
+        f"one, {view.neighbours_ms:.1f} ms to select neighbours, {view.dialled} dialled"
     )
 
 
--- a/benchmarks/overlay_hops.py
+++ b/benchmarks/overlay_hops.py
@@ -1,9 +1,9 @@
-"""How far a change travels among many instances, and who holds how many streams.
+"""Propagation distance of a change in a large tier, and streams per instance.
 
-Run ``python -m benchmarks.overlay_hops``. Everybody's neighbours are chosen by
-the code in use, and the streams between them are walked outwards from one
-instance, or from all watchers of the platform at once. Nothing runs, so the
-figures are counts and the same in each run; half a minute at the full size.
+Run ``python -m benchmarks.overlay_hops``. The production code selects the
+neighbours of every instance, and a breadth-first search follows the streams from
+one instance, or from all watchers of the platform at once. No instance runs, so
+the figures are deterministic counts. It takes half a minute at full size.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["Reach", "main", "measure"]
+__all__ = ["OverlayFigures", "main", "measure"]
 
 INSTANCES = 5_800
 ZONES = 19
 
 
-class Reach(msgspec.Struct, frozen=True):
-    """The streams of a tier, and how far they carry a change.
+class OverlayFigures(msgspec.Struct, frozen=True):
+    """Streams of a tier, and propagation distance over them.
 
     Attributes
     ----------
     streams_mean, streams_most : float
-        The streams of one instance, dialled by either end.
+        Streams per instance, opened by either end.
     watchers : int
-        The instances that watch the platform.
+        Instances that watch the platform.
     hops_from_one, hops_from_watchers : int
-        The streams in line until the last instance has heard of a change.
+        Hops until a change has reached the last instance.
     reached : int
-        How many instances one of them reaches.
+        Instances reachable from one instance.
     """
 
     streams_mean: float
@@ -51,7 +51,7 @@
     reached: int
 
 
-def measure(instances: int, zones: int) -> Reach:
+def measure(instances: int, zones: int) -> OverlayFigures:
     """Count the streams and hops of a tier."""
     members = [_member(number, zones) for number in range(instances)]
     streams = _streams(members)
@@ -65,7 +65,7 @@
     }
     counts = [len(neighbours) for neighbours in streams.values()]
     from_one = _hops(streams, {members[0].name})
-    return Reach(
+    return OverlayFigures(
         streams_mean=sum(counts) / instances,
         streams_most=max(counts),
         watchers=len(watchers),
@@ -96,13 +96,13 @@
 
 def _hops(streams: dict[str, set[str]], first: Iterable[str]) -> dict[str, int]:
     hops = dict.fromkeys(first, 0)
-    waiting = deque(hops)
-    while waiting:
-        name = waiting.popleft()
+    pending = deque(hops)
+    while pending:
+        name = pending.popleft()
         for neighbour in streams[name]:
             if neighbour not in hops:
                 hops[neighbour] = hops[name] + 1
-                waiting.append(neighbour)
+                pending.append(neighbour)
     return hops
 
 
@@ -112,9 +112,9 @@
     parser.add_argument("--instances", type=int, default=INSTANCES)
     parser.add_argument("--zones", type=int, default=ZONES)
     options = parser.parse_args()
-    reach = measure(options.instances, options.zones)
+    figures = measure(options.instances, options.zones)
     for name, value in zip(
-        Reach.__struct_fields__, msgspec.structs.astuple(reach), strict=True
+        OverlayFigures.__struct_fields__, msgspec.structs.astuple(figures), strict=True
     ):
         sys.stdout.write(f"{name:20}{value:10.1f}\n")
 
--- a/benchmarks/peer_message_cost.py
+++ b/benchmarks/peer_message_cost.py
@@ -1,8 +1,8 @@
-"""Processor time of a question between two peers and its reply, over TCP.
+"""Processor time of a request between two peers and its response, over TCP.
 
 Run ``python -m benchmarks.peer_message_cost``. Both ends are in this process,
-so that a figure is the sum of what the asking and the answering instance
-spend. Questions go one by one, or many at a time as under load.
+so that a figure is the sum over the requesting and the responding instance.
+Requests are sent one at a time, or concurrently as under load.
 """
 
 from __future__ import annotations
@@ -37,40 +37,40 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ["QuestionCost", "main", "measure"]
+__all__ = ["RequestCost", "main", "measure"]
 
-AT_ONCE = (1, 8, 64)
+CONCURRENCIES = (1, 8, 64)
 ITEMS = (1, 24)
-QUESTIONS = 1_024
+REQUESTS = 1_024
 ROUNDS = 3
 TIMEOUT_MS = 10_000.0
-CONNECT_S = 10.0
+CONNECT_TIMEOUT_S = 10.0
 MICROSECONDS_PER_SECOND = 1e6
 
 
-class QuestionCost(msgspec.Struct, frozen=True):
-    """What one question and its reply cost both ends together.
+class RequestCost(msgspec.Struct, frozen=True):
+    """Cost of one request and its response to both ends together.
 
     Attributes
     ----------
-    at_once : int
-        How many questions are under way at once.
+    concurrency : int
+        Requests in flight at a time.
     items : int
-        How many parts a question and its reply have.
-    question_bytes : int
-        The frame of a question.
+        Rows in a request and in its response.
+    request_bytes : int
+        Frame size of a request.
     both_us : float
-        Processor time of both ends, the best round.
+        Processor time of both ends per request, in the best round.
     """
 
-    at_once: int
+    concurrency: int
     items: int
-    question_bytes: int
+    request_bytes: int
     both_us: float
 
 
 class _Node:
-    """One end: streams to the members that it knows."""
+    """One end, with streams to the other members."""
 
     def __init__(self, own: Member, others: Sequence[Member], clock: Clock) -> None:
         counters = Counters()
@@ -88,16 +88,16 @@
         self.membership = Membership(
             members, peers=self.peers, clock=clock, counters=counters, random=random
         )
-        self.peers.respond(ShareReport, _answer)
+        self.peers.respond(ShareReport, _respond)
 
 
-def _answer(name: str, report: ShareReport) -> ShareGrants:
+def _respond(name: str, report: ShareReport) -> ShareGrants:
     del name
     rows = tuple(RowGrant(item.row, item.demand) for item in report.buckets[0].rows)
     return ShareGrants(1, 1, rows)
 
 
-def _question(items: int) -> ShareReport:
+def _make_request(items: int) -> ShareReport:
     rows = tuple(
         RowDemand(RowKey(f"branch-{number:04d}", "purpose-01"), Share(10.5, 3), 2)
         for number in range(items)
@@ -105,8 +105,8 @@
     return ShareReport(2, 0, (BucketReport(3, 1, True, rows),))
 
 
-async def measure() -> list[QuestionCost]:
-    """Measure every number of questions at once and every size."""
+async def measure() -> list[RequestCost]:
+    """Measure every combination of concurrency and size."""
     members = [
         Member(f"i{number}", "z1", free_address(), "127.0.0.1:1", incarnation=1)
         for number in range(2)
@@ -125,48 +125,48 @@
                 greeted=lambda member: connected.set(),
             )
             await nursery.start(run)
-        with trio.fail_after(CONNECT_S):
+        with trio.fail_after(CONNECT_TIMEOUT_S):
             await connected.wait()
         costs = [
-            await _cost(first.peers, members[1].name, at_once, items)
+            await _cost(first.peers, members[1].name, concurrency, items)
             for items in ITEMS
-            for at_once in AT_ONCE
+            for concurrency in CONCURRENCIES
         ]
         nursery.cancel_scope.cancel()
     return costs
 
 
 async def _cost(
-    peers: PeerStreams, name: str, at_once: int, items: int
-) -> QuestionCost:
-    question = _question(items)
+    peers: PeerStreams, name: str, concurrency: int, items: int
+) -> RequestCost:
+    request = _make_request(items)
 
-    async def ask() -> None:
-        if await peers.request(name, question, timeout_ms=TIMEOUT_MS) is None:
-            raise RuntimeError("no reply")
+    async def send_request() -> None:
+        if await peers.request(name, request, timeout_ms=TIMEOUT_MS) is None:
+            raise RuntimeError("no response")
 
     spent_s = []
     for _ in range(ROUNDS):
         started_s = time.process_time()
-        for _ in range(QUESTIONS // at_once):
+        for _ in range(REQUESTS // concurrency):
             async with trio.open_nursery() as nursery:
-                for _ in range(at_once):
-                    nursery.start_soon(ask)
+                for _ in range(concurrency):
+                    nursery.start_soon(send_request)
         spent_s.append(time.process_time() - started_s)
-    return QuestionCost(
-        at_once=at_once,
+    return RequestCost(
+        concurrency=concurrency,
         items=items,
-        question_bytes=len(encode(question)),
-        both_us=min(spent_s) / QUESTIONS * MICROSECONDS_PER_SECOND,
+        request_bytes=len(encode(request)),
+        both_us=min(spent_s) / REQUESTS * MICROSECONDS_PER_SECOND,
     )
 
 
 def main() -> None:
     """Print the costs."""
-    sys.stdout.write("parts  at once  question bytes  us of both ends\n")
+    sys.stdout.write("items  at once   request bytes  us of both ends\n")
     for cost in trio.run(measure):
         sys.stdout.write(
-            f"{cost.items:5}  {cost.at_once:7}  {cost.question_bytes:14}  "
+            f"{cost.items:5}  {cost.concurrency:7}  {cost.request_bytes:14}  "
             f"{cost.both_us:15.1f}\n"
         )
 
--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -1,4 +1,4 @@
-"""What the load process is told, and what it tells back."""
+"""Input and output of the load process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One entry instance, as the balancer's stand-in sees it."""
+    """One entry instance, as the fake load balancer sees it."""
 
     name: str
     zone: str
@@ -23,21 +23,21 @@
     Attributes
     ----------
     name : str
-        Its name in the report.
+        Name in the report.
     branch, purpose : str
-        The row that it counts against.
+        Row of the table that the requests count against.
     kind : {"search", "perform"}
-        What it sends.
+        Kind of the requests.
     rate_per_s : float
-        Arrivals a second, Poisson.
+        Mean rate of the Poisson arrivals.
     start_s, end_s : float
-        From when to when, within the run; ``end_s`` of 0 is the run's end.
+        Interval within the run; ``end_s`` of 0 is the end of the run.
     deadline_ms : int
-        The budget of each request.
+        Deadline of each request, from when it is sent.
     marker : str
-        Put into each body, for a fault that a certain request sets off.
+        Marker in each body, for a fault that a particular request triggers.
     copies : int
-        How often each request is sent, with one idempotency key.
+        Number of times each request is sent, with the same idempotency key.
     """
 
     name: str
@@ -67,11 +67,11 @@
     Attributes
     ----------
     load_class : str
-        The stream that it belongs to.
+        Name of its load class.
     at_ms : float
         When it was due, from the start of the run.
     latency_ms : float
-        From when it was due to its answer's end; so a late start counts.
+        Time from when it was due to the end of its answer, including a late start.
     status : int
         The HTTP status; 0 if the connection failed.
     code : str
@@ -79,13 +79,13 @@
     answered, total : int
         The coverage of an answer.
     wrong : str
-        What was wrong with an answer; empty if nothing was.
+        What was wrong with an answer; empty if it was correct.
     ran : str
-        What an error said about having run.
+        Whether the request ran, as reported by an error.
     key : str
         The idempotency key, if any.
     name : str
-        The request's own name, the marker in its body.
+        Unique name of the request, the marker in its body.
     zone : str
         The zone of the entry instance that it was sent to.
     """
@@ -105,7 +105,7 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True):
-    """What the load process prints."""
+    """Output of the load process."""
 
     observations: tuple[Observation, ...]
     late_starts: int
--- a/benchmarks/recorded.py
+++ b/benchmarks/recorded.py
@@ -1,4 +1,4 @@
-"""The figures of the last recorded version, shown beside those of a run."""
+"""Recorded figures of an earlier version, reported next to those of a run."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def record(runs: Sequence[Run], path: Path = RECORDED_PATH) -> None:
-    """Keep our figures, without what the charts need."""
+    """Save the figures of our policy, without the data for the charts."""
     kept = [
         replace(run, policy=RECORDED, figures=replace(run.figures, buckets=()))
         for run in runs
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""The bench's report: a table, a JSON file and an HTML page."""
+"""Benchmark report as a text table and an HTML page."""
 
 from __future__ import annotations
 
@@ -58,14 +58,14 @@
     )
 
 
-def html_page(runs: Sequence[Run], broken: Sequence[str]) -> str:
+def html_page(runs: Sequence[Run], violations: Sequence[str]) -> str:
     """Return the figures of all runs, with charts, as one HTML page."""
     return "\n".join(
         [
             "<!doctype html><html lang='en'><meta charset='utf-8'>",
-            "<title>ibisfront bench</title>",
-            f"<style>{_STYLE}</style><h1>ibisfront bench</h1>",
-            _verdict(broken),
+            "<title>ibisfront benchmarks</title>",
+            f"<style>{_STYLE}</style><h1>ibisfront benchmarks</h1>",
+            _verdict(violations),
             "<p>Latencies in milliseconds, from when each request was due.</p>",
             _html_table(runs),
             *_charts(runs),
@@ -98,11 +98,11 @@
     return " ".join(f"{code}={count}" for code, count in figures.refusals.items())
 
 
-def _verdict(broken: Sequence[str]) -> str:
-    if not broken:
-        return "<p class='kept'>Every bound is kept.</p>"
-    items = "".join(f"<li>{html.escape(line)}</li>" for line in broken)
-    return f"<div class='broken'>Broken bounds:<ul>{items}</ul></div>"
+def _verdict(violations: Sequence[str]) -> str:
+    if not violations:
+        return "<p class='kept'>All bounds hold.</p>"
+    items = "".join(f"<li>{html.escape(line)}</li>" for line in violations)
+    return f"<div class='broken'>Violated bounds:<ul>{items}</ul></div>"
 
 
 def _html_table(runs: Sequence[Run]) -> str:
--- a/benchmarks/runner.py
+++ b/benchmarks/runner.py
@@ -1,4 +1,4 @@
-"""Running one scenario: a deployment, the load process and the fault."""
+"""Runs one scenario: a deployment, the load process and the fault."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 OURS = "ours"
 BASELINE = "baseline"
 
-_RESULT = "{"
-_AFTER_LOAD_S = 40.0
+_RESULT_PREFIX = "{"
+_LOAD_GRACE_S = 40.0
 _POLICY_SETTINGS = {
     OURS: "",
     BASELINE: '[query]\npolicy = "baseline"\n',
@@ -44,13 +44,13 @@
     Parameters
     ----------
     scenario : Scenario
-        What is sent and what goes wrong.
+        Load and fault.
     user : {"mailing", "listing"}
-        Whose deployment.
+        User whose deployment is run.
     policy : {"ours", "baseline"}
-        Which query policy the instances run.
+        Query policy of the instances.
     seed : int
-        Decides the arrivals.
+        Seed of the random arrivals.
     """
     shape = shape_of(
         user, settings_text=_POLICY_SETTINGS[policy], relayed=scenario.relayed
@@ -81,9 +81,9 @@
         trio.open_nursery() as nursery,
     ):
         nursery.start_soon(scenario.fault, deployment)
-        with trio.fail_after(scenario.duration_s + _AFTER_LOAD_S):
-            printed = await load.printed(_RESULT)
-    return msgspec.json.decode(_RESULT + printed, type=LoadResult)
+        with trio.fail_after(scenario.duration_s + _LOAD_GRACE_S):
+            printed = await load.printed(_RESULT_PREFIX)
+    return msgspec.json.decode(_RESULT_PREFIX + printed, type=LoadResult)
 
 
 async def _totals(deployment: Deployment) -> BackendTotals:
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,4 +1,4 @@
-"""The faults that the bench runs the deployments under."""
+"""Benchmark scenarios: the load on a deployment and its faults."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 Fault: TypeAlias = Callable[["Deployment"], Awaitable[None]]
 
 _FAULT_AT_S = 2.0
-_FAULT_FOR_S = 2.0
-_STOP_PAUSE_S = 0.3
+_FAULT_DURATION_S = 2.0
+_RESTART_PAUSE_S = 0.3
 _CRASH_MARKER = "crash-this-server"
 _BASE_RATE_PER_S = 8.0
-_FLOOD_FACTOR = 10.0
+_FLOOD_RATE_FACTOR = 10.0
 _OVERLOAD_RATE_PER_S = 60.0
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """One run: what is sent and what goes wrong.
+    """Load and fault of one run.
 
     Attributes
     ----------
     name : str
-        Its name in the report.
+        Name in the report.
     classes : tuple of LoadClass
-        What is sent.
+        Classes of requests to send.
     fault : callable
-        Runs beside the load from the start of the run.
+        Task that runs concurrently with the load from the start of the run.
     duration_s : float
-        How long requests are sent.
+        Duration of the load.
     relayed : bool
-        Whether the deployment's zones can be cut off from each other.
+        Whether the zones of the deployment can be partitioned.
     """
 
     name: str
@@ -63,7 +63,7 @@
         for branch in (FLOODED_BRANCH, "branch-b", "branch-c")
         for purpose in ("urgent", "bulk")
     )
-    once = LoadClass(
+    performs = LoadClass(
         name="once",
         branch="branch-b",
         purpose="once",
@@ -72,14 +72,14 @@
         copies=2,
         deadline_ms=2000,
     )
-    return (*searches, once)
+    return (*searches, performs)
 
 
 async def _no_fault(deployment: Deployment) -> None:
-    """Let everything run well."""
+    """Inject no fault."""
 
 
-def _on_servers(*servers: str, **faults: object) -> Fault:
+def _fault_on_servers(*servers: str, **faults: object) -> Fault:
     async def fault(deployment: Deployment) -> None:
         await trio.sleep(_FAULT_AT_S)
         for server in servers:
@@ -88,7 +88,7 @@
     return fault
 
 
-async def _straggle(deployment: Deployment) -> None:
+async def _slow_requests(deployment: Deployment) -> None:
     for servers in deployment.backend_servers.values():
         for server in servers:
             await deployment.command_backend(
@@ -110,14 +110,14 @@
 async def _platform_outage(deployment: Deployment) -> None:
     await trio.sleep(_FAULT_AT_S)
     await deployment.set_platform_faults(outage="hang")
-    await trio.sleep(_FAULT_FOR_S)
+    await trio.sleep(_FAULT_DURATION_S)
     await deployment.set_platform_faults(outage="none")
 
 
-async def _zone_cut(deployment: Deployment) -> None:
+async def _partition_zone(deployment: Deployment) -> None:
     await trio.sleep(_FAULT_AT_S)
     await deployment.cut_zone(deployment.shape.zones[-1])
-    await trio.sleep(_FAULT_FOR_S)
+    await trio.sleep(_FAULT_DURATION_S)
     await deployment.mend_cuts()
 
 
@@ -133,7 +133,7 @@
     await trio.sleep(1.0)
     for instance in list(deployment.instances):
         await deployment.replace_instance(instance)
-        await trio.sleep(_STOP_PAUSE_S)
+        await trio.sleep(_RESTART_PAUSE_S)
 
 
 async def _kill_instance(deployment: Deployment) -> None:
@@ -144,23 +144,23 @@
 async def _freeze_instance(deployment: Deployment) -> None:
     await trio.sleep(_FAULT_AT_S)
     deployment.instances[0].process.send(signal.SIGSTOP)
-    await trio.sleep(_FAULT_FOR_S)
+    await trio.sleep(_FAULT_DURATION_S)
     deployment.instances[0].process.send(signal.SIGCONT)
 
 
-def _load_of(name: str, *, rate_per_s: float) -> LoadClass:
+def _burst_load(name: str, *, rate_per_s: float) -> LoadClass:
     return LoadClass(
         name=name,
         branch=FLOODED_BRANCH,
         purpose="bulk",
         rate_per_s=rate_per_s,
         start_s=_FAULT_AT_S,
-        end_s=_FAULT_AT_S + _FAULT_FOR_S,
+        end_s=_FAULT_AT_S + _FAULT_DURATION_S,
         deadline_ms=500,
     )
 
 
-_CRASHING = LoadClass(
+_CRASHING_LOAD = LoadClass(
     name="crashing",
     branch="branch-c",
     purpose="bulk",
@@ -168,50 +168,57 @@
     marker=_CRASH_MARKER,
 )
 
-_ORDINARY = _ordinary_load()
+_ORDINARY_LOAD = _ordinary_load()
 
 SCENARIOS = (
-    Scenario("healthy", _ORDINARY, _no_fault),
-    Scenario("stragglers", _ORDINARY, _straggle),
-    Scenario("server killed", _ORDINARY, _kill_server),
-    Scenario("server frozen", _ORDINARY, _on_servers("part-00-0", frozen=True)),
-    Scenario("server silent", _ORDINARY, _silence_server),
-    Scenario("server drained", _ORDINARY, _on_servers("part-00-0", draining=True)),
+    Scenario("healthy", _ORDINARY_LOAD, _no_fault),
+    Scenario("stragglers", _ORDINARY_LOAD, _slow_requests),
+    Scenario("server killed", _ORDINARY_LOAD, _kill_server),
+    Scenario(
+        "server frozen", _ORDINARY_LOAD, _fault_on_servers("part-00-0", frozen=True)
+    ),
+    Scenario("server silent", _ORDINARY_LOAD, _silence_server),
+    Scenario(
+        "server drained", _ORDINARY_LOAD, _fault_on_servers("part-00-0", draining=True)
+    ),
     Scenario(
         "service out",
-        _ORDINARY,
-        _on_servers("part-00-0", "part-00-1", frozen=True),
+        _ORDINARY_LOAD,
+        _fault_on_servers("part-00-0", "part-00-1", frozen=True),
     ),
-    Scenario("crashing request", (*_ORDINARY, _CRASHING), _crashing_request),
-    Scenario("platform out", _ORDINARY, _platform_outage),
-    Scenario("zone cut off", _ORDINARY, _zone_cut, relayed=True),
-    Scenario("instance killed", _ORDINARY, _kill_instance),
-    Scenario("instance frozen", _ORDINARY, _freeze_instance),
-    Scenario("rolling restart", _ORDINARY, _rolling_restart, 12.0),
+    Scenario("crashing request", (*_ORDINARY_LOAD, _CRASHING_LOAD), _crashing_request),
+    Scenario("platform out", _ORDINARY_LOAD, _platform_outage),
+    Scenario("zone cut off", _ORDINARY_LOAD, _partition_zone, relayed=True),
+    Scenario("instance killed", _ORDINARY_LOAD, _kill_instance),
+    Scenario("instance frozen", _ORDINARY_LOAD, _freeze_instance),
+    Scenario("rolling restart", _ORDINARY_LOAD, _rolling_restart, 12.0),
     Scenario(
         "branch floods",
-        (*_ORDINARY, _load_of("flood", rate_per_s=_FLOOD_FACTOR * _BASE_RATE_PER_S)),
+        (
+            *_ORDINARY_LOAD,
+            _burst_load("flood", rate_per_s=_FLOOD_RATE_FACTOR * _BASE_RATE_PER_S),
+        ),
         _no_fault,
     ),
     Scenario(
         "overload and end",
-        (*_ORDINARY, _load_of("overload", rate_per_s=_OVERLOAD_RATE_PER_S)),
-        _on_servers(),
+        (*_ORDINARY_LOAD, _burst_load("overload", rate_per_s=_OVERLOAD_RATE_PER_S)),
+        _fault_on_servers(),
         8.0,
     ),
 )
 
 
 def scenario_named(name: str) -> Scenario:
-    """Return the scenario of a name.
+    """Return the scenario with a name.
 
     Raises
     ------
     ValueError
-        If there is none.
+        If there is no such scenario.
     """
     for scenario in SCENARIOS:
         if scenario.name == name:
             return scenario
-    known = ", ".join(repr(scenario.name) for scenario in SCENARIOS)
-    raise ValueError(f"no scenario {name!r}; there are {known}")
+    names = ", ".join(repr(scenario.name) for scenario in SCENARIOS)
+    raise ValueError(f"unknown scenario {name!r}; the scenarios are {names}")
--- a/benchmarks/shapes.py
+++ b/benchmarks/shapes.py
@@ -12,17 +12,17 @@
 __all__ = ["FLOODED_BRANCH", "LISTING", "MAILING", "shape_of"]
 
 MAILING = "mailing"
-"""Parish mailing houses: 20 services of the register, 2 servers of 2 slots."""
+"""Parish mailing houses: 20 register services, each 2 servers of 2 slots."""
 
 LISTING = "listing"
-"""Breeders' listings: 20 services of buyer search, 2 servers of 2 slots."""
+"""Breeders' listings: 20 buyer search services, each 2 servers of 2 slots."""
 
 FLOODED_BRANCH = "branch-a"
 
 _SERVICES = 20
 _INSTANCES = 6
 _BRANCHES = (FLOODED_BRANCH, "branch-b", "branch-c")
-_BALANCER_LAG_MS = 1200
+_BALANCER_DELAY_MS = 1200
 _LIMIT_PER_S = 400.0
 _MAX_IN_FLIGHT = 300
 
@@ -33,11 +33,11 @@
     Parameters
     ----------
     user : {"mailing", "listing"}
-        Whose.
+        The user.
     settings_text : str
-        Further settings of every instance, as TOML.
+        Additional settings of every instance, as TOML.
     relayed : bool
-        Whether its zones can be cut off from each other.
+        Whether its zones can be partitioned.
     """
     names = tuple(f"part-{number:02d}" for number in range(_SERVICES))
     queue_servers = 5 if user == MAILING else 3
@@ -56,7 +56,7 @@
         instances=_INSTANCES,
         settings_text=settings_text,
         relayed=relayed,
-        balancer_lag_ms=_BALANCER_LAG_MS,
+        balancer_lag_ms=_BALANCER_DELAY_MS,
     )
 
 
--- a/benchmarks/share_costs.py
+++ b/benchmarks/share_costs.py
@@ -1,8 +1,8 @@
-"""What sharing the table's limits costs: messages, and an owner's work.
+"""Cost of sharing the table's limits: message sizes and the owner's processor time.
 
-Run ``python -m benchmarks.share_costs``. One owner of one bucket answers the
-reports of more and more instances, each of which wants some rows. Lengths are
-of the frames as they are sent.
+Run ``python -m benchmarks.share_costs``. The owner of one bucket handles the
+reports of an increasing number of instances, each with demand for some rows.
+Lengths are of the frames sent.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 __all__ = ["ShareCost", "main", "measure", "measure_lookup"]
 
 SIZES = ((9, 1), (30, 1), (100, 1), (305, 1), (100, 3), (100, 10))
-"""Instances that report to one owner, and rows that each of them wants."""
+"""Instances that report to one owner, and rows that each of them requests."""
 
 TABLE_ROWS = (100, 1_000, 3_000)
 LOOKUPS = 2_000
@@ -45,35 +45,35 @@
 
 
 class ShareCost(msgspec.Struct, frozen=True):
-    """What one bucket costs its owner.
+    """Cost of one bucket to its owner.
 
     Attributes
     ----------
     instances, rows : int
-        How many report, and how many rows each wants.
+        Number of reporting instances, and of rows that each requests.
     report_bytes, grants_bytes : int
-        A report of one bucket and its reply.
-    answer_us : float
-        The processor time of one answer, without the codec and the stream.
+        Frame sizes of a report of one bucket and of its response.
+    handling_us : float
+        Processor time to handle one report, without the codec and the stream.
     """
 
     instances: int
     rows: int
     report_bytes: int
     grants_bytes: int
-    answer_us: float
+    handling_us: float
 
     @property
     def owner_percent(self) -> float:
-        """The owner's work for all reports, of one core."""
+        """Processor time of the owner for all reports, of one core."""
         reports_per_s = self.instances * MILLISECONDS_PER_SECOND / REPORT_MS
-        return PERCENT * reports_per_s * self.answer_us / MICROSECONDS_PER_SECOND
+        return PERCENT * reports_per_s * self.handling_us / MICROSECONDS_PER_SECOND
 
 
 async def measure(
     instances: int, rows: int, mock_clock: trio.testing.MockClock
 ) -> ShareCost:
-    """Measure one owner with some instances, their reports evenly spread."""
+    """Measure one owner, with reports evenly spaced in time."""
     table = _table(rows)
     owner = ShareOwner(
         clock=Clock(),
@@ -96,18 +96,18 @@
         rows=rows,
         report_bytes=len(encode(report)),
         grants_bytes=len(encode(grants)),
-        answer_us=min(spent_s[1:]) / instances * MICROSECONDS_PER_SECOND,
+        handling_us=min(spent_s[1:]) / instances * MICROSECONDS_PER_SECOND,
     )
 
 
 def _report(
     table: Table, number: int, instances: int, acknowledged: int
 ) -> ShareReport:
-    wanted = tuple(
+    demands = tuple(
         RowDemand(RowKey(row.branch, row.purpose), Share(10.5 + number, 3), 2)
         for row in table.rows
     )
-    bucket = BucketReport(3, acknowledged, True, wanted)
+    bucket = BucketReport(3, acknowledged, True, demands)
     return ShareReport(instances, number, (bucket,))
 
 
@@ -120,7 +120,7 @@
 
 
 def measure_lookup(rows: int) -> float:
-    """Return the microseconds to find the middle row of a table."""
+    """Return the microseconds to look up the middle row of a table."""
     table = _table(rows)
     middle = table.rows[rows // 2]
     return _best_us(lambda: table.row(middle.branch, middle.purpose))
@@ -139,16 +139,16 @@
 def main() -> None:
     """Print the costs."""
     write = sys.stdout.write
-    write("instances  rows  report bytes  grants bytes  answer us  owner cpu %\n")
+    write("instances  rows  report bytes  grants bytes  handle us  owner cpu %\n")
     for instances, rows in SIZES:
         mock_clock = trio.testing.MockClock()
         cost = trio.run(measure, instances, rows, mock_clock, clock=mock_clock)
         write(
             f"{cost.instances:9}  {cost.rows:4}  {cost.report_bytes:12}  "
-            f"{cost.grants_bytes:12}  {cost.answer_us:9.1f}  "
+            f"{cost.grants_bytes:12}  {cost.handling_us:9.1f}  "
             f"{cost.owner_percent:11.2f}\n"
         )
-    write("\nrows of the table  us to find a row\n")
+    write("\nrows of the table  us per row lookup\n")
     for rows in TABLE_ROWS:
         write(f"{rows:17}  {measure_lookup(rows):16.1f}\n")
 
--- a/benchmarks/share_policies.py
+++ b/benchmarks/share_policies.py
@@ -1,13 +1,14 @@
-"""Ways of sharing a limit over the instances, compared under mock time.
+"""Comparison of policies for sharing a limit among instances, under mock time.
 
 Run ``python -m benchmarks.share_policies``. Nine instances behind an uneven
-balancer, a row of 90 requests a second and 20 places, and the same changes of
-membership for each way. For each it prints the most started in a second and
-in five, and the most running, over the limit (1.00 is the limit itself), and
-the part of the limit in use, over the whole run and in its worst second.
-
-Nothing here depends on the machine's speed. trio runs tasks that are ready
-together in random order, so that figures move by a few hundredths.
+load balancer share a row limited to 90 requests per second and 20 in flight, and
+each policy is subjected to the same membership changes. The output is, relative
+to the limit, the maximum number of requests started in one second and in five
+seconds, the maximum number running, and the utilization over the whole run and
+in its worst second.
+
+The results do not depend on the speed of the machine, but vary by a few
+hundredths, because trio runs tasks that are ready together in random order.
 """
 
 from __future__ import annotations
@@ -40,28 +41,28 @@
 LOADS_PER_S = [120.0, 40.0, 20.0, 10.0, 10.0, 10.0, 0.0, 0.0, 0.0]
 RUN_MS = 120.0
 SETTLE_MS = 4_000.0
-MEASURED_S = 10
-FRESH_MS = 2_000.0
+MEASUREMENT_S = 10
+DEMAND_LIFETIME_MS = 2_000.0
 
 NewShares: TypeAlias = Callable[[ShareCluster, Members], Shares]
 Change: TypeAlias = Callable[[ShareCluster], Awaitable[None]]
 
 
 class _Demand(PeerMessage, frozen=True, tag="demand"):
-    """What one instance wants of the one row."""
+    """Demand of one instance for the row."""
 
     wanted: Share
 
 
-class _Heard(msgspec.Struct):
-    """The demand of another instance, and when it was heard."""
+class _ReceivedDemand(msgspec.Struct):
+    """Demand of another instance, and when it was received."""
 
-    wanted: Share
+    demand: Share
     at_ms: float
 
 
 class EqualShares(Shares):
-    """Each instance keeps the limit over the number of instances."""
+    """Each instance uses the limit divided by the number of instances."""
 
     __slots__ = ()
 
@@ -72,41 +73,41 @@
 
 
 class DemandShares(Shares):
-    """Each instance takes its part of the demand that it has heard of."""
+    """Each instance uses a share in proportion to the demands that it received."""
 
-    __slots__ = ("_heard",)
+    __slots__ = ("_received",)
 
     async def run(self, peers: Peers | None = None) -> None:
-        """Tell everybody the demand; see ``Shares.run``."""
+        """Send the demand to the neighbours periodically; see ``Shares.run``."""
         assert peers is not None
-        self._heard: dict[str, _Heard] = {}
-        peers.handle(_Demand, self._hear)
+        self._received: dict[str, _ReceivedDemand] = {}
+        peers.handle(_Demand, self._receive)
         while True:
-            peers.send_neighbours(_Demand(self._wanted()))
+            peers.send_neighbours(_Demand(self._own_demand()))
             await self._clock.sleep_ms(self._times.report_ms)
 
     def usable(self, row: Row) -> Share:
-        """Return the part that the demand gives; see ``Shares.usable``."""
-        own = self._wanted()
-        fresh_from_ms = self._clock.now_ms() - FRESH_MS
-        heard = [
-            item.wanted
-            for item in getattr(self, "_heard", {}).values()
-            if item.at_ms >= fresh_from_ms
+        """Return the share in proportion to demand; see ``Shares.usable``."""
+        own = self._own_demand()
+        oldest_ms = self._clock.now_ms() - DEMAND_LIFETIME_MS
+        received = [
+            item.demand
+            for item in getattr(self, "_received", {}).values()
+            if item.at_ms >= oldest_ms
         ]
-        rate = own.rate_per_s + sum(item.rate_per_s for item in heard)
-        places = own.in_flight + sum(item.in_flight for item in heard)
+        rate = own.rate_per_s + sum(item.rate_per_s for item in received)
+        in_flight = own.in_flight + sum(item.in_flight for item in received)
         return Share(
             row.limit_per_s * own.rate_per_s / rate,
-            round(row.max_in_flight * own.in_flight / places),
+            round(row.max_in_flight * own.in_flight / in_flight),
         )
 
-    def _wanted(self) -> Share:
+    def _own_demand(self) -> Share:
         key = row_key(ROW)
         return self._limit(key).demand(key, now_ms=self._clock.now_ms()).demand
 
-    def _hear(self, name: str, message: _Demand) -> None:
-        self._heard[name] = _Heard(message.wanted, self._clock.now_ms())
+    def _receive(self, name: str, message: _Demand) -> None:
+        self._received[name] = _ReceivedDemand(message.wanted, self._clock.now_ms())
 
 
 def _policy(shares_type: type[Shares], times: ShareTimes) -> NewShares:
@@ -130,41 +131,41 @@
 }
 
 
-async def _nothing(tier: ShareCluster) -> None:
+async def _no_change(tier: ShareCluster) -> None:
     del tier
 
 
-async def _join(tier: ShareCluster) -> None:
+async def _join_three(tier: ShareCluster) -> None:
     for number in range(3):
         tier.join(f"j{number}").load = Load(60.0, RUN_MS)
         await tier.clock.sleep_ms(500.0)
 
 
-async def _die(tier: ShareCluster) -> None:
+async def _kill_owner(tier: ShareCluster) -> None:
     tier.kill(_owner(tier))
 
 
-async def _leave(tier: ShareCluster) -> None:
+async def _stop_owner(tier: ShareCluster) -> None:
     await tier.leave(_owner(tier))
 
 
-async def _cut(tier: ShareCluster) -> None:
+async def _partition_and_heal(tier: ShareCluster) -> None:
     tier.partition({"i1", "i2", "i9"})
     await tier.clock.sleep_ms(6_000.0)
     tier.heal()
 
 
-async def _pause(tier: ShareCluster) -> None:
+async def _freeze_instance(tier: ShareCluster) -> None:
     await tier.pause("i1", 3_000.0)
 
 
 CHANGES: dict[str, Change] = {
-    "none": _nothing,
-    "3 join": _join,
-    "owner dies": _die,
-    "owner leaves": _leave,
-    "cut and mend": _cut,
-    "i1 frozen": _pause,
+    "none": _no_change,
+    "3 join": _join_three,
+    "owner dies": _kill_owner,
+    "owner leaves": _stop_owner,
+    "cut and mend": _partition_and_heal,
+    "i1 frozen": _freeze_instance,
 }
 
 
@@ -174,13 +175,13 @@
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """What one run gave; all over the limit."""
+    """Figures of one run, relative to the limit."""
 
     worst_second: float
     worst_five_seconds: float
-    most_running: float
+    peak_running: float
     in_use: float
-    least_in_use: float
+    minimum_in_use: float
 
 
 async def _measure(new_shares: NewShares, change: Change) -> Figures:
@@ -192,17 +193,17 @@
         await tier.clock.sleep_ms(SETTLE_MS)
         from_ms = tier.clock.now_ms()
         nursery.start_soon(change, tier)
-        await tier.clock.sleep_ms(MEASURED_S * 1_000.0)
+        await tier.clock.sleep_ms(MEASUREMENT_S * 1_000.0)
         seconds = [
             tier.count(from_ms + second * 1_000.0, from_ms + (second + 1) * 1_000.0)
-            for second in range(MEASURED_S)
+            for second in range(MEASUREMENT_S)
         ]
         figures = Figures(
             worst_second=tier.peak_rate_ratio(1_000.0, from_ms=from_ms),
             worst_five_seconds=tier.peak_rate_ratio(5_000.0, from_ms=from_ms),
-            most_running=tier.max_running / ROW.max_in_flight,
-            in_use=sum(seconds) / MEASURED_S / ROW.limit_per_s,
-            least_in_use=min(seconds) / ROW.limit_per_s,
+            peak_running=tier.max_running / ROW.max_in_flight,
+            in_use=sum(seconds) / MEASUREMENT_S / ROW.limit_per_s,
+            minimum_in_use=min(seconds) / ROW.limit_per_s,
         )
         nursery.cancel_scope.cancel()
     return figures
@@ -217,8 +218,8 @@
             figures = trio.run(_measure, new_shares, change, clock=clock)
             print(
                 f"{policy:12} {name:13} {figures.worst_second:7.2f}"
-                f" {figures.worst_five_seconds:7.2f} {figures.most_running:7.2f}"
-                f" {figures.in_use:7.2f} {figures.least_in_use:8.2f}"
+                f" {figures.worst_five_seconds:7.2f} {figures.peak_running:7.2f}"
+                f" {figures.in_use:7.2f} {figures.minimum_in_use:8.2f}"
             )
 
 
--- a/benchmarks/state_sizes.py
+++ b/benchmarks/state_sizes.py
@@ -1,8 +1,8 @@
-"""Memory and processor time of what each instance holds, by kind.
+"""Memory and processor time of the state of an instance, by kind.
 
-Run ``python -m benchmarks.state_sizes``. Sizes are what Python allocated
-(``tracemalloc``) or the length of an encoded value; both are the same in each
-run but for a few bytes. Processor time is measured apart, without tracing.
+Run ``python -m benchmarks.state_sizes``. Sizes are Python allocations
+(``tracemalloc``) or the length of an encoded value; both vary by a few bytes
+between runs. Processor time is measured separately, without tracing.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-__all__ = ["Held", "Item", "main", "measure_objects", "size_of_each"]
+__all__ = ["ItemSize", "ObjectsCost", "main", "measure_objects", "size_of_each"]
 
 SERVICES = 17_500
 SERVERS_PER_SERVICE = 2
@@ -54,27 +54,27 @@
 MERGE_ROUNDS = 3
 LEDGER_RECORDS = 1_000
 SAMPLES = 200
-LONGEST_DURATION_US = 60_000_000
+MAXIMUM_DURATION_US = 60_000_000
 MICROSECONDS_PER_SECOND = 1e6
 
-_Made = TypeVar("_Made")
+_Value = TypeVar("_Value")
 
 
-class Held(msgspec.Struct, frozen=True):
-    """What objects cost the instance that holds them.
+class ObjectsCost(msgspec.Struct, frozen=True):
+    """Cost of a set of objects to the instance that stores them.
 
     Attributes
     ----------
     name : str
-        What they are.
+        Name of the set.
     count : int
-        How many.
+        Number of objects.
     value_bytes : int
-        Their values as the platform holds them.
+        Size of their values as stored on the platform.
     state_bytes : int
-        What the store and the catalogue allocated for them.
+        Memory allocated for them by the store and the catalogue.
     merge_us : float
-        The processor time to take one in, the quickest of some rounds.
+        Processor time to merge one, in the best round.
     """
 
     name: str
@@ -84,8 +84,8 @@
     merge_us: float
 
 
-class Item(msgspec.Struct, frozen=True):
-    """The size of one of many like things."""
+class ItemSize(msgspec.Struct, frozen=True):
+    """Mean size of one of many similar items."""
 
     name: str
     size_bytes: float
@@ -93,45 +93,47 @@
 
 def measure_objects(
     name: str, make_objects: Callable[[], Sequence[VersionedObject]]
-) -> Held:
-    """Measure the store and the catalogue with some objects in force."""
+) -> ObjectsCost:
+    """Measure the store and the catalogue with a set of objects."""
     objects = make_objects()
     spent_s = []
     for _ in range(MERGE_ROUNDS):
         started_s = time.process_time()
-        _in_force(objects)
+        _load(objects)
         spent_s.append(time.process_time() - started_s)
     values = [item.value_json or b"" for item in objects]
-    return Held(
+    return ObjectsCost(
         name=name,
         count=len(objects),
         value_bytes=sum(map(len, values)),
-        state_bytes=_allocated_by(lambda: _in_force(make_objects())),
+        state_bytes=_allocated_by(lambda: _load(make_objects())),
         merge_us=min(spent_s) / len(objects) * MICROSECONDS_PER_SECOND,
     )
 
 
-def _in_force(objects: Sequence[VersionedObject]) -> tuple[ObjectStore, Catalogue]:
+def _load(objects: Sequence[VersionedObject]) -> tuple[ObjectStore, Catalogue]:
     store = ObjectStore()
     catalogue = Catalogue(store)
     store.merge(objects)
     return store, catalogue
 
 
-def _allocated_by(make: Callable[[], _Made]) -> int:
+def _allocated_by(make: Callable[[], _Value]) -> int:
     gc.collect()
     tracemalloc.start()
-    made = make()
+    value = make()
     gc.collect()
     allocated_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del made
+    del value
     return allocated_bytes
 
 
-def size_of_each(name: str, make: Callable[[], object]) -> Item:
-    """Measure one of many that are made alike."""
-    return Item(name, _allocated_by(lambda: [make() for _ in range(SAMPLES)]) / SAMPLES)
+def size_of_each(name: str, make: Callable[[], object]) -> ItemSize:
+    """Return the mean size of values created alike."""
+    return ItemSize(
+        name, _allocated_by(lambda: [make() for _ in range(SAMPLES)]) / SAMPLES
+    )
 
 
 def _services() -> list[VersionedObject]:
@@ -196,25 +198,25 @@
     return len(msgspec.json.encode(Bucket(1, records))) / LEDGER_RECORDS
 
 
-def _items() -> list[Item]:
+def _item_sizes() -> list[ItemSize]:
     settings = QuerySettings()
-    of_index = RecentLatency(settings)
+    index_latency = RecentLatency(settings)
     change = ObjectsChanged(1, 2, 2, (_service(1),))
     return [
         size_of_each("latency histogram, 2 digits, a row", LatencyHistogram),
         size_of_each(
-            "the same with 1 digit", lambda: HdrHistogram(1, LONGEST_DURATION_US, 1)
+            "the same with 1 digit", lambda: HdrHistogram(1, MAXIMUM_DURATION_US, 1)
         ),
         size_of_each(
             "latencies of one service",
-            lambda: ServiceState(settings, index_latency=of_index),
+            lambda: ServiceState(settings, index_latency=index_latency),
         ),
-        Item("heartbeat, frame", len(encode(Heartbeat(1_000_000, 1 << 60)))),
-        Item("changed service, frame", len(encode(change))),
-        Item("edit of one row, JSON", len(msgspec.json.encode(_edit()))),
-        Item("ledger record, claimed", _record_bytes(ClaimState.CLAIMED)),
-        Item("ledger record, ran", _record_bytes(ClaimState.RAN, '{"result":1}')),
-        Item("ledger object at most", OBJECT_CLAIM_LIMIT_BYTES),
+        ItemSize("heartbeat, frame", len(encode(Heartbeat(1_000_000, 1 << 60)))),
+        ItemSize("changed service, frame", len(encode(change))),
+        ItemSize("edit of one row, JSON", len(msgspec.json.encode(_edit()))),
+        ItemSize("ledger record, claimed", _record_bytes(ClaimState.CLAIMED)),
+        ItemSize("ledger record, ran", _record_bytes(ClaimState.RAN, '{"result":1}')),
+        ItemSize("ledger object at most", OBJECT_CLAIM_LIMIT_BYTES),
     ]
 
 
@@ -226,7 +228,7 @@
     )
 
 
-def _held() -> list[Held]:
+def _object_costs() -> list[ObjectsCost]:
     tables = [
         measure_objects(f"table of {rows} rows", partial(_tables, rows))
         for rows in TABLE_ROWS
@@ -242,13 +244,13 @@
     """Print the sizes."""
     write = sys.stdout.write
     write("objects                 count  value KiB  state KiB  merge us each\n")
-    for held in _held():
+    for cost in _object_costs():
         write(
-            f"{held.name:20} {held.count:8}  {held.value_bytes / 1024:9.1f}  "
-            f"{held.state_bytes / 1024:9.1f}  {held.merge_us:13.1f}\n"
+            f"{cost.name:20} {cost.count:8}  {cost.value_bytes / 1024:9.1f}  "
+            f"{cost.state_bytes / 1024:9.1f}  {cost.merge_us:13.1f}\n"
         )
     write("\neach                                     bytes\n")
-    for item in _items():
+    for item in _item_sizes():
         write(f"{item.name:36} {item.size_bytes:9.1f}\n")
 
 
--- a/benchmarks/zone_spill.py
+++ b/benchmarks/zone_spill.py
@@ -1,8 +1,8 @@
-"""Comparing rules for spilling to another zone, under trio's mock clock.
+"""Comparison of rules for spilling to another zone, under trio's mock clock.
 
 Two zones, each with one instance and one server of two slots. For five
-seconds zone 1 is offered 1.4 times what its server can do, then the overload
-moves to zone 2, then both are back at half load. Run
+seconds zone 1 receives 1.4 times the capacity of its server, then the overload
+moves to zone 2, then both are at half load. Run
 ``python -m benchmarks.zone_spill``.
 """
 
@@ -28,12 +28,12 @@
 CROSS_ZONE_MS = 3.0
 PHASE_MS = 5_000.0
 LOADS = ((1.4, 0.5), (0.5, 1.4), (0.5, 0.5))
-RELEASE = 1
+RELEASE_THRESHOLD = 1
 SAMPLE_MS = 100.0
 SWITCHES_PER_S_SCALE = 1_000.0
 
 Rule: TypeAlias = Callable[["Zones", int], bool]
-"""Whether a request of a zone goes to the other one."""
+"""Decides whether a request of a zone is sent to the other zone."""
 
 
 class Server:
@@ -48,63 +48,70 @@
 
 
 class Zones:
-    """Both zones, and how many requests of each are at the other one.
+    """Both zones and their requests in flight.
 
     Attributes
     ----------
     servers : list of Server
-        One for each zone.
-    away : list of int
-        Requests of a zone that are at the other zone now.
-    own : list of list of int
-        What a zone's instance has at each server; the rest it cannot see.
+        One server per zone.
+    spilled_in_flight : list of int
+        Requests in flight of each zone that were sent to the other zone.
+    own_in_flight : list of list of int
+        Requests in flight of a zone's instance, by server. An instance cannot see
+        those of other instances.
     """
 
     def __init__(self) -> None:
         self.servers = [Server(), Server()]
-        self.away = [0, 0]
-        self.own = [[0, 0], [0, 0]]
+        self.spilled_in_flight = [0, 0]
+        self.own_in_flight = [[0, 0], [0, 0]]
 
 
-def never(zones: Zones, zone: int) -> bool:
-    """Stay in the own zone."""
+def never_spill(zones: Zones, zone: int) -> bool:
+    """Use the own zone only."""
     return False
 
 
 def least_wait(zones: Zones, zone: int) -> bool:
-    """Go where the expected wait, the way included, is shorter (ours)."""
+    """Use the zone with the shorter expected wait, network time included (ours)."""
     own, other = zones.servers[zone], zones.servers[1 - zone]
-    near_ms = own.latency_ms * (1 + zones.own[zone][zone] / SLOTS)
-    far_ms = other.latency_ms * (1 + zones.own[zone][1 - zone] / SLOTS)
-    return near_ms > far_ms + CROSS_ZONE_MS
+    own_wait_ms = own.latency_ms * (1 + zones.own_in_flight[zone][zone] / SLOTS)
+    other_wait_ms = other.latency_ms * (1 + zones.own_in_flight[zone][1 - zone] / SLOTS)
+    return own_wait_ms > other_wait_ms + CROSS_ZONE_MS
 
 
 def threshold(activation: int) -> Rule:
-    """Spill while the own requests here outnumber those there by a threshold."""
+    """Spill while the own zone has more own requests than the other, by a threshold."""
 
     def rule(zones: Zones, zone: int) -> bool:
-        return zones.own[zone][zone] - zones.own[zone][1 - zone] > activation
+        return (
+            zones.own_in_flight[zone][zone] - zones.own_in_flight[zone][1 - zone]
+            > activation
+        )
 
     return rule
 
 
 def two_thresholds(activation: int) -> Rule:
-    """Spill above an activation threshold, one way only, until released.
+    """Spill above an activation threshold, in one direction at a time.
 
-    The paper's control, which lets two systems see each other's queues:
-    sharing starts when their difference passes the activation threshold, and
-    only while hardly any request of the other zone is still here.
+    A published control, in which both zones see each other's queues:
+    a zone spills while the difference exceeds the activation threshold and the
+    requests spilled from the other zone do not exceed the release threshold.
     """
 
     def rule(zones: Zones, zone: int) -> bool:
         difference = zones.servers[zone].in_flight - zones.servers[1 - zone].in_flight
-        return difference > activation and zones.away[1 - zone] <= RELEASE
+        return (
+            difference > activation
+            and zones.spilled_in_flight[1 - zone] <= RELEASE_THRESHOLD
+        )
 
     return rule
 
 
 def threshold_or_slow(activation: int, factor: float) -> Rule:
-    """Spill by the threshold, or while the own server is that much slower."""
+    """Spill by the threshold, or while the own server is slower by a factor."""
     by_count = threshold(activation)
 
     def rule(zones: Zones, zone: int) -> bool:
@@ -116,7 +123,7 @@
 
 
 RULES: dict[str, Rule] = {
-    "never": never,
+    "never": never_spill,
     "least wait": least_wait,
     **{f"threshold {count}": threshold(count) for count in (1, 3, 6, 10)},
     "threshold 6 or 4 times slower": threshold_or_slow(6, 4.0),
@@ -125,7 +132,7 @@
 
 
 class RuleFigures(msgspec.Struct, frozen=True):
-    """What one rule did.
+    """Figures of one rule.
 
     Attributes
     ----------
@@ -134,9 +141,9 @@
     recovered_p99_ms : float
         Latency in the last phase, after the overload.
     spilled : float
-        The share of requests that went to the other zone.
+        Fraction of requests sent to the other zone.
     needless : float
-        That share in the last phase, when no zone is overloaded.
+        That fraction in the last phase, when no zone is overloaded.
     """
 
     p50_ms: float
@@ -154,73 +161,73 @@
     Parameters
     ----------
     rule : callable
-        The rule.
+        Rule that decides on spilling.
     seed : int
-        Decides arrivals and service times.
+        Seed of arrivals and service times.
     cost_factor : float
-        How much longer the other zone's server takes for a foreign request.
+        Factor on the service time of a spilled request.
     """
     clock = Clock()
     generator = random.Random(seed)
     zones = Zones()
-    whole, last = LatencyHistogram(), LatencyHistogram()
+    overall, final = LatencyHistogram(), LatencyHistogram()
     counts = {"all": 0, "spilled": 0, "last": 0, "last_spilled": 0}
 
     async def serve(zone: int, target: int) -> None:
         server = zones.servers[target]
         server.in_flight += 1
-        zones.own[zone][target] += 1
+        zones.own_in_flight[zone][target] += 1
         started_ms = clock.now_ms()
         async with server.slots:
             service_ms = generator.lognormvariate(math.log(SERVICE_MS), 0.3)
             await clock.sleep_ms(service_ms * (cost_factor if zone != target else 1.0))
         server.in_flight -= 1
-        zones.own[zone][target] -= 1
+        zones.own_in_flight[zone][target] -= 1
         server.latency_ms += 0.2 * (clock.now_ms() - started_ms - server.latency_ms)
 
     async def request(zone: int, is_last: bool) -> None:
         started_ms = clock.now_ms()
-        away = rule(zones, zone)
+        is_spilled = rule(zones, zone)
         counts["all"] += 1
-        counts["spilled"] += away
+        counts["spilled"] += is_spilled
         counts["last"] += is_last
-        counts["last_spilled"] += is_last and away
-        if away:
-            zones.away[zone] += 1
+        counts["last_spilled"] += is_last and is_spilled
+        if is_spilled:
+            zones.spilled_in_flight[zone] += 1
             await clock.sleep_ms(CROSS_ZONE_MS)
             await serve(zone, 1 - zone)
-            zones.away[zone] -= 1
+            zones.spilled_in_flight[zone] -= 1
         else:
             await serve(zone, zone)
         duration_ms = clock.now_ms() - started_ms
-        whole.record_ms(duration_ms)
+        overall.record_ms(duration_ms)
         if is_last:
-            last.record_ms(duration_ms)
+            final.record_ms(duration_ms)
 
     async def arrive(zone: int, nursery: trio.Nursery) -> None:
         for phase, loads in enumerate(LOADS):
-            ends_ms = (phase + 1) * PHASE_MS
+            end_ms = (phase + 1) * PHASE_MS
             rate_per_ms = loads[zone] * SLOTS / SERVICE_MS
-            while clock.now_ms() - begun_ms < ends_ms:
+            while clock.now_ms() - start_ms < end_ms:
                 nursery.start_soon(request, zone, phase == len(LOADS) - 1)
                 await clock.sleep_ms(generator.expovariate(rate_per_ms))
 
-    begun_ms = clock.now_ms()
+    start_ms = clock.now_ms()
     async with trio.open_nursery() as nursery:
         for zone in (0, 1):
             nursery.start_soon(arrive, zone, nursery)
     return RuleFigures(
-        p50_ms=whole.percentile_ms(50.0),
-        p99_ms=whole.percentile_ms(99.0),
-        recovered_p99_ms=last.percentile_ms(99.0),
+        p50_ms=overall.percentile_ms(50.0),
+        p99_ms=overall.percentile_ms(99.0),
+        recovered_p99_ms=final.percentile_ms(99.0),
         spilled=counts["spilled"] / counts["all"],
         needless=counts["last_spilled"] / counts["last"],
     )
 
 
 async def _measure_all() -> None:
-    heads = "cost  rule                            p50     p99  p99 after"
-    sys.stdout.write(f"{heads}  spilled  needless\n")
+    header = "cost  rule                            p50     p99  p99 after"
+    sys.stdout.write(f"{header}  spilled  needless\n")
     for cost_factor in (1.0, 2.0):
         for name, rule in RULES.items():
             figures = await measure_rule(rule, cost_factor=cost_factor)
@@ -232,7 +239,7 @@
 
 
 def main() -> None:
-    """Print each rule's figures."""
+    """Print the figures of each rule."""
     trio.run(_measure_all, clock=trio.testing.MockClock(autojump_threshold=0.0))
 
 
--- a/properties/__init__.py
+++ b/properties/__init__.py
@@ -1,1 +1,1 @@
-"""Property tests: random sequences of events against invariants."""
+"""Property tests: random sequences of events checked against invariants."""
