--- a/benchmarks/exchange_floor.py
+++ b/benchmarks/exchange_floor.py
@@ -52,7 +52,7 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """Cost of one sub-request for one way of sending it.
+    """Cost of one sub-request in one variant of sending it.
 
     Attributes
     ----------
