--- a/benchmarks/exchange_floor.py
+++ b/benchmarks/exchange_floor.py
@@ -184,7 +184,7 @@
 
 async def _measure_all(rounds: int) -> list[Variant]:
     async with RunningProcess(["-m", "benchmarks.exchange_floor", "--serve"]) as child:
-        line = await child.printed(LISTENING)
+        line = await child.read_prefixed(LISTENING)
         host, _, port = line.strip().rpartition(":")
         return await measure((host, int(port)), rounds=rounds)
 
--- a/benchmarks/runner.py
+++ b/benchmarks/runner.py
@@ -82,7 +82,7 @@
     ):
         nursery.start_soon(scenario.fault, deployment)
         with trio.fail_after(scenario.duration_s + _LOAD_GRACE_S):
-            printed = await load.printed(_RESULT_PREFIX)
+            printed = await load.read_prefixed(_RESULT_PREFIX)
     return msgspec.json.decode(_RESULT_PREFIX + printed, type=LoadResult)
 
 
