--- a/ibisfront/testing/soak/world.py
+++ b/ibisfront/testing/soak/world.py
@@ -261,9 +261,9 @@
 
     async def _inject_store_fault(self, fault: Fault) -> None:
         store = self._store
-        if fault.kind is FaultKind.STORE_FORGETS:
+        if fault.kind is FaultKind.STORE_COMPACTED:
             store.compact()
-        elif fault.kind is FaultKind.STORE_LOSES:
+        elif fault.kind is FaultKind.STORE_RESPONSE_LOST:
             store.lost_write_responses += 1
         elif fault.kind is FaultKind.STORE_SILENT:
             store.is_silent = True
