--- a/ibisfront/tests/test_gateway_server_event_log.py
+++ b/ibisfront/tests/test_gateway_server_event_log.py
@@ -22,7 +22,7 @@
         event_log = ServerEventLog(Clock())
         for number in range(300):
             event_log.record("Listed", f"i-{number}", "s")
-        event_log.record("Cannot be reached, timed out", "i-7", "s", is_fault=True)
+        event_log.record("Unreachable, timed out", "i-7", "s", is_fault=True)
         with self.assertLogs("ibisfront", "INFO") as logs:
             event_log.flush()
         listed, failed = logs.records
