--- a/ibisfront/testing/soak/checks.py
+++ b/ibisfront/testing/soak/checks.py
@@ -194,8 +194,8 @@
     failures = []
     for outcome, generation in seen:
         earlier = [
-            version
-            for other, version in ended
+            earlier_generation
+            for other, earlier_generation in ended
             if other.ended_at_ms < outcome.sent_at_ms
         ]
         if earlier and max(earlier) > generation:
