--- a/ibisfront/core/ledger_writer.py
+++ b/ibisfront/core/ledger_writer.py
@@ -119,8 +119,8 @@
     Attributes
     ----------
     is_platform_unavailable : bool
-        Whether the platform failed several calls in a row, so that a new
-        claim is better rejected at once than left to wait for its deadline.
+        Whether the platform failed several calls in a row; new claims are
+        then rejected at once instead of waiting for their deadlines.
     """
 
     __slots__ = (
@@ -166,7 +166,7 @@
         change : Change
             The change; its ``resolve`` is called once it is in force.
         fresh : bool
-            Whether to read the object again first.
+            Whether to read the object again before the write.
         """
         queue = self._queue(bucket_name(change.key))
         if fresh:
@@ -290,7 +290,7 @@
         )
         if is_unavailable and not self.is_platform_unavailable:
             self.is_platform_unavailable = True
-            _LOG.warning("The platform does not answer; new claims are refused.")
+            _LOG.warning("The platform is unavailable; new claims are rejected.")
             self._nursery.start_soon(self._probe)
 
     def _record_success(self) -> None:
@@ -298,10 +298,10 @@
         self._last_response_at_ms = self._clock.now_ms()
         if self.is_platform_unavailable:
             self.is_platform_unavailable = False
-            _LOG.info("The platform answers again; claims are taken.")
+            _LOG.info("The platform is available again; claims are accepted.")
 
     async def _probe(self) -> None:
-        """Poll the platform until it answers again."""
+        """Poll the platform until it is available again."""
         wait_ms = _FIRST_PROBE_DELAY_MS
         while self.is_platform_unavailable:
             await self._clock.sleep_ms(self._jittered(wait_ms))
@@ -320,7 +320,7 @@
     Raises
     ------
     IbisfrontError
-        ``platform_unavailable``.
+        ``platform_unavailable``, also if the value cannot be decoded.
     """
     found = await platform.get(ObjectKind.LEDGER, name)
     if found is None or found.value_json is None:
