--- a/ibisfront/core/attempts.py
+++ b/ibisfront/core/attempts.py
@@ -113,7 +113,7 @@
         return may_send
 
     def reopen(self) -> None:
-        """Return to ``open``: the backend server reported that it did not run it."""
+        """Return to ``open`` after a server reported that it did not run it."""
         if self.state is AttemptState.SENT:
             self.state = AttemptState.OPEN
 
@@ -132,7 +132,7 @@
             self.ended.set()
 
     def discard_large_result(self) -> None:
-        """Keep no more of the outcome than the ledger stores."""
+        """Drop a result that is too large for the ledger."""
         if self.outcome is not None:
             self.outcome = stored_record(self.outcome)
 
--- a/ibisfront/core/claimed_run.py
+++ b/ibisfront/core/claimed_run.py
@@ -106,8 +106,8 @@
     such as a reset, nothing is sent again: the request may have run.
     """
     attempt = run.attempt
-    left_ms = attempt.deadline_at_ms - clock.now_ms() + _ANSWER_GRACE_MS
-    with clock.timeout_ms(left_ms):
+    remaining_ms = attempt.deadline_at_ms - clock.now_ms() + _ANSWER_GRACE_MS
+    with clock.timeout_ms(remaining_ms):
         return await _try_servers(run, send_once)
     return _record_without_reply(attempt, MissingReason.TIMED_OUT)
 
--- a/ibisfront/core/claimer.py
+++ b/ibisfront/core/claimer.py
@@ -67,37 +67,43 @@
         self.writer: LedgerWriter | None = None
 
     def until_deadline(self, waiting: Attempt | CallerRequest) -> trio.CancelScope:
-        """Return a cancel scope that ends at the caller's deadline."""
+        """Return a cancel scope that expires at the caller's deadline."""
         return self._clock.timeout_ms(waiting.deadline_at_ms - self._clock.now_ms())
 
     async def acquire(self, attempt: Attempt) -> ClaimRecord:
         """Claim the key; return this attempt's record or another copy's final one.
 
-        A claim of another attempt is replaced only once that attempt is proved
-        dead. Elapsed time is no proof: its instance may be paused right before
-        the send.
+        A claim of another attempt is replaced only once it is proved that the
+        attempt will never run. Elapsed time is no proof: its instance may be
+        paused right before the send.
+
+        Raises
+        ------
+        IbisfrontError
+            If the key is not claimed in time, has expired or was used for another
+            request; ``outcome_unknown`` if another copy may be running.
         """
-        dead: ClaimRecord | None = None
+        replaceable: ClaimRecord | None = None
         poll_ms = _FIRST_POLL_MS
-        found = await self._claim(attempt, dead=None, fresh=False)
+        found = await self._claim(attempt, replaceable=None, fresh=False)
         while found.attempt != attempt.attempt_id and not found.is_final:
             status = await self.query_attempt(found.attempt)
-            if status.is_dead:
+            if status.cannot_run:
                 self._counters.add(CounterKind.CLAIMS, "taken_over")
-                dead = found
+                replaceable = found
             elif status.outcome is not None:
                 return status.outcome
             else:
                 await self._wait_for_other_copy(attempt, poll_ms)
                 poll_ms = min(2 * poll_ms, _MAXIMUM_POLL_MS)
-            found = await self._claim_again(attempt, dead)
+            found = await self._claim_again(attempt, replaceable)
         return found
 
     async def _claim_again(
-        self, attempt: Attempt, dead: ClaimRecord | None
+        self, attempt: Attempt, replaceable: ClaimRecord | None
     ) -> ClaimRecord:
         try:
-            return await self._claim(attempt, dead=dead, fresh=True)
+            return await self._claim(attempt, replaceable=replaceable, fresh=True)
         except IbisfrontError as error:
             if error.kind is ErrorKind.CLAIM_UNAVAILABLE:
                 raise outcome_unknown_error(
@@ -106,16 +112,16 @@
             raise
 
     async def _wait_for_other_copy(self, attempt: Attempt, wait_ms: float) -> None:
-        left_ms = attempt.deadline_at_ms - self._clock.now_ms()
-        if left_ms <= wait_ms:
-            await self._clock.sleep_ms(left_ms)
+        remaining_ms = attempt.deadline_at_ms - self._clock.now_ms()
+        if remaining_ms <= wait_ms:
+            await self._clock.sleep_ms(remaining_ms)
             raise outcome_unknown_error(
                 attempt.key.text, "another copy holds the claim and has no outcome yet"
             )
         await self._clock.sleep_ms(wait_ms)
 
     async def _claim(
-        self, attempt: Attempt, *, dead: ClaimRecord | None, fresh: bool
+        self, attempt: Attempt, *, replaceable: ClaimRecord | None, fresh: bool
     ) -> ClaimRecord:
         """Claim a key for an attempt; return the record then in force.
 
@@ -123,8 +129,8 @@
         ----------
         attempt : Attempt
             The attempt.
-        dead : ClaimRecord or None
-            A record that may be replaced, since its attempt is proved dead.
+        replaceable : ClaimRecord or None
+            A record that may be replaced, since its attempt will never run.
         fresh : bool
             Whether to read the object again. A first claim may use a stale
             view, since its write then fails on the version; a repeated one
@@ -142,7 +148,7 @@
         def update(found: ClaimRecord | None) -> ClaimRecord | None:
             if not attempt.is_active:
                 return found
-            return _record_after_claim(attempt, found, dead)
+            return _record_after_claim(attempt, found, replaceable)
 
         def resolve(result: ChangeResult) -> None:
             results.append(result)
@@ -183,7 +189,7 @@
         return record
 
     async def query_attempt(self, attempt_id: AttemptId) -> AttemptStatusReply:
-        """Return the status of an attempt from the process that made it."""
+        """Request an attempt's status from its process; no state without a reply."""
         if attempt_id.process == self._attempts.process:
             return attempt_status(self._attempts.get(attempt_id))
         if self.peers is None:
@@ -198,14 +204,14 @@
     def report_attempt(
         self, sender: str, request: AttemptStatusRequest
     ) -> AttemptStatusReply:
-        """Return the status of an attempt of this process."""
+        """Reply to a peer's request for the status of an attempt."""
         return attempt_status(self._attempts.get(request.attempt))
 
     def record_outcome(
         self, attempt: Attempt, record: ClaimRecord, *, timeout_ms: float
     ) -> None:
         """Write the outcome of an attempt as soon as possible."""
-        give_up_at_ms = self._clock.now_ms() + timeout_ms
+        expires_at_ms = self._clock.now_ms() + timeout_ms
 
         def update(found: ClaimRecord | None) -> ClaimRecord | None:
             # Without a record, a claim of this attempt may still be in transit.
@@ -220,7 +226,7 @@
                     attempt.key,
                     update,
                     lambda result: None,
-                    lambda: self._clock.now_ms() > give_up_at_ms,
+                    lambda: self._clock.now_ms() > expires_at_ms,
                     is_urgent=False,
                 )
             )
@@ -246,10 +252,10 @@
 
 
 def _record_after_claim(
-    attempt: Attempt, found: ClaimRecord | None, dead: ClaimRecord | None
+    attempt: Attempt, found: ClaimRecord | None, replaceable: ClaimRecord | None
 ) -> ClaimRecord:
     """Return the record of a key after an attempt claims it."""
-    if found is None or found == dead:
+    if found is None or found == replaceable:
         return attempt.claim_record()
     is_free = found.state is ClaimState.NOT_RUN
     if is_free and found.fingerprint == attempt.fingerprint:
--- a/ibisfront/core/ledger_messages.py
+++ b/ibisfront/core/ledger_messages.py
@@ -13,7 +13,7 @@
 
 
 class AttemptStatusRequest(PeerMessage, frozen=True, tag="attempt_question"):
-    """Asks the instance of an attempt for its status."""
+    """Requests the status of an attempt from its instance."""
 
     attempt: AttemptId
 
@@ -41,7 +41,7 @@
         return msgspec.json.decode(self.outcome_json, type=ClaimRecord)
 
     @property
-    def is_dead(self) -> bool:
+    def cannot_run(self) -> bool:
         """Whether it is certain that the attempt did not and will not run."""
         if self.state is AttemptState.DROPPED:
             return True
--- a/properties/ledger_variants.py
+++ b/properties/ledger_variants.py
@@ -159,10 +159,10 @@
 def take_over_from_unresponsive():
     """Take over the claim of an instance that does not answer."""
 
-    def is_dead(self):
+    def cannot_run(self):
         return self.state is None or self.state is AttemptState.DROPPED
 
-    return patch.object(AttemptStatusReply, "is_dead", property(is_dead))
+    return patch.object(AttemptStatusReply, "cannot_run", property(cannot_run))
 
 
 def ignore_process_name():
