--- a/ibisfront/core/dissemination.py
+++ b/ibisfront/core/dissemination.py
@@ -185,18 +185,18 @@
     def _objects_wanted(self, sender: str, message: ObjectsWanted) -> None:
         store = self._store
         missing = store.changes_after(message.after)
-        part = _first_batch(missing)
-        whole = len(part) == len(missing)
-        listed = message.after < store.floor
+        batch = _first_batch(missing)
+        is_complete = len(batch) == len(missing)
+        needs_list = message.after < store.floor
         self._peers.send(
             sender,
             ObjectsChanged(
                 after=message.after,
-                revision=store.revision if whole else part[-1].version,
+                revision=store.revision if is_complete else batch[-1].version,
                 newest=store.newest,
-                objects=part,
-                present=store.present() if listed else None,
-                present_at=store.revision if listed else 0,
+                objects=batch,
+                present=store.present() if needs_list else None,
+                present_at=store.revision if needs_list else 0,
             ),
         )
 
--- a/ibisfront/core/membership.py
+++ b/ibisfront/core/membership.py
@@ -79,7 +79,7 @@
         When the last message arrived, or when it became a neighbour.
     suspect_after_ms : float
         Silence after which it is suspected; doubled whenever it refutes a
-        suspicion by way of another instance.
+        suspicion via another instance.
     """
 
     received_at_ms: float
--- a/ibisfront/core/watch.py
+++ b/ibisfront/core/watch.py
@@ -104,19 +104,19 @@
     """
 
     __slots__ = (
+        "_cached_is_watcher",
         "_changed",
         "_clock",
         "_connected",
         "_counters",
         "_dissemination",
         "_failing",
-        "_listed",
+        "_has_read_list",
         "_members",
         "_platform",
         "_random",
         "_scope",
         "_wait_ms",
-        "_watcher",
     )
 
     def __init__(
@@ -139,9 +139,9 @@
         self._counters = counters
         self._random = random
         self._wait_ms = wait_ms
-        self._listed = False
+        self._has_read_list = False
         self._failing = False
-        self._watcher: bool | None = None
+        self._cached_is_watcher: bool | None = None
         self._changed = trio.Event()
         self._scope = trio.CancelScope()
         members.subscribe(self._member_changed)
@@ -152,10 +152,10 @@
 
         An instance without other members in its zone is always a watcher.
         """
-        if self._watcher is None:
+        if self._cached_is_watcher is None:
             own = self._members.own
-            self._watcher = own.name in watcher_names(self._members, own.zone)
-        return self._watcher
+            self._cached_is_watcher = own.name in watcher_names(self._members, own.zone)
+        return self._cached_is_watcher
 
     def restart(self) -> None:
         """Cancel the current call and read again."""
@@ -168,7 +168,7 @@
         )
         await self._wait_for_peers()
         while True:
-            await self._wait_to_be_watcher()
+            await self._wait_for_role()
             started_ms = self._clock.now_ms()
             before = self._dissemination.store.revision
             with trio.CancelScope() as self._scope:
@@ -178,10 +178,10 @@
                     self._failed(error)
                     await self._clock.sleep_ms(backoff.next_ms())
                     continue
-            spent_ms = self._clock.now_ms() - started_ms
+            elapsed_ms = self._clock.now_ms() - started_ms
             if (
                 self._dissemination.store.revision > before
-                or spent_ms >= self._wait_ms / 2
+                or elapsed_ms >= self._wait_ms / 2
             ):
                 backoff.reset()
             else:
@@ -191,11 +191,13 @@
                 await self._clock.sleep_ms(_MINIMUM_INTERVAL_MS + backoff.next_ms())
 
     async def _read(self) -> None:
-        # A call can become silent without closing: it is abandoned when there is
-        # no response well after its wait time.
+        # A call can hang on a connection that stays open, so it is cancelled if
+        # there is no response well after its wait time.
         with self._clock.timeout_ms(self._wait_ms + _RESPONSE_MARGIN_MS) as timeout:
             after = self._dissemination.store.revision
-            if not (self._listed or after > 0) or not await self._read_changes(after):
+            if not (self._has_read_list or after > 0) or not await self._read_changes(
+                after
+            ):
                 await self._read_list()
         if timeout.cancelled_caught:
             self._count("watch_silent")
@@ -218,19 +220,19 @@
         listed = await self._platform.list_objects(REPLICATED_KINDS)
         self._count("listed")
         self._succeeded()
-        self._listed = True
+        self._has_read_list = True
         self._dissemination.ingest_list(listed.objects, revision=listed.revision)
 
     async def _wait_for_peers(self) -> None:
         # Instances that start together, such as after a zone outage, would all
-        # list the platform. With peers connected, the objects come from them.
+        # list the platform's objects. Connected peers send them instead.
         end_ms = self._clock.now_ms() + FIRST_LIST_DELAY_MS
         while self._clock.now_ms() < end_ms and self._dissemination.store.revision == 0:
             if self._connected() and not self.is_watcher:
                 return
             await self._clock.sleep_ms(_MINIMUM_INTERVAL_MS)
 
-    async def _wait_to_be_watcher(self) -> None:
+    async def _wait_for_role(self) -> None:
         # All other members may be unreachable although they are not yet declared
         # dead, so an instance without any stream reads from the platform itself.
         while not self.is_watcher and self._connected():
@@ -238,7 +240,7 @@
                 await self._changed.wait()
 
     def _member_changed(self, member: Member) -> None:
-        self._watcher = None
+        self._cached_is_watcher = None
         self._changed.set()
         self._changed = trio.Event()
 
