--- a/ibisfront/applications.py
+++ b/ibisfront/applications.py
@@ -26,7 +26,7 @@
 def caller_application(
     instance: EntryInstance, *, settings: Settings, clock: Clock
 ) -> AsgiApplication:
-    """Return the application for callers and the balancer's health checks."""
+    """Return the application for callers and the load balancer's health checks."""
     application = asgi_application(
         (*caller_routes(instance, settings=settings.callers), *health_routes(instance)),
         clock=clock,
--- a/ibisfront/core/bounded_log.py
+++ b/ibisfront/core/bounded_log.py
@@ -143,7 +143,7 @@
             return self._clock.now_ms()
         except RuntimeError:
             # No clock is available before trio starts and after it ends; the few
-            # lines logged then are let through.
+            # lines logged then are accepted.
             return 0.0
 
     def _next_chunk(self) -> bytes:
--- a/ibisfront/core/clock.py
+++ b/ibisfront/core/clock.py
@@ -25,7 +25,7 @@
 
     Monotonic time comes from trio, so tests control it with trio's mock clock.
     It advances while the process is suspended, so that a resumed process can
-    tell for how long.
+    determine for how long.
 
     Parameters
     ----------
--- a/ibisfront/core/errors.py
+++ b/ibisfront/core/errors.py
@@ -155,11 +155,11 @@
     kind : ErrorKind
         Error code.
     detail : str
-        Description of the problem, with the value and the cure.
+        Description of the problem, with the value and how to fix it.
     retry_after_ms : int, optional
-        Delay before a retry, in milliseconds; by default that of the kind.
+        Delay before a retry, in milliseconds; defaults to that of the kind.
     ran : Ran, optional
-        Whether the request ran; by default that of the kind.
+        Whether the request ran; defaults to that of the kind.
     """
 
     def __init__(
--- a/ibisfront/core/metrics_text.py
+++ b/ibisfront/core/metrics_text.py
@@ -62,15 +62,15 @@
         name = f"{kind.value}_total"
         lines += _header_lines(name, COUNTER_HELP[kind], "counter")
         lines += [
-            _sample(name, value.value, MetricLabel("reason", value.reason))
+            _sample_line(name, value.value, MetricLabel("reason", value.reason))
             for value in values
         ]
     if latencies:
         lines += _header_lines(_LATENCY, _LATENCY_HELP, "summary")
-        lines += [line for value in latencies for line in _latency_lines(value)]
+        lines += [line for sample in latencies for line in _latency_lines(sample)]
     for gauge in gauges:
         lines += _header_lines(gauge.name, gauge.help_text, "gauge")
-        lines.append(_sample(gauge.name, gauge.value))
+        lines.append(_sample_line(gauge.name, gauge.value))
     return "\n".join([*lines, ""])
 
 
@@ -78,34 +78,36 @@
     return [f"# HELP {_PREFIX}{name} {help_text}", f"# TYPE {_PREFIX}{name} {kind}"]
 
 
-def _latency_lines(value: LatencySample) -> list[str]:
-    labels = value.labels
+def _latency_lines(sample: LatencySample) -> list[str]:
+    labels = sample.labels
     quantiles = {
-        "0.5": value.p50_ms,
-        "0.9": value.p90_ms,
-        "0.99": value.p99_ms,
-        "0.999": value.p999_ms,
+        "0.5": sample.p50_ms,
+        "0.9": sample.p90_ms,
+        "0.99": sample.p99_ms,
+        "0.999": sample.p999_ms,
     }
     return [
         *(
-            _sample(_LATENCY, duration_ms, *labels, MetricLabel("quantile", quantile))
+            _sample_line(
+                _LATENCY, duration_ms, *labels, MetricLabel("quantile", quantile)
+            )
             for quantile, duration_ms in quantiles.items()
         ),
-        _sample(f"{_LATENCY}_sum", value.sum_ms, *labels),
-        _sample(f"{_LATENCY}_count", value.count, *labels),
+        _sample_line(f"{_LATENCY}_sum", sample.sum_ms, *labels),
+        _sample_line(f"{_LATENCY}_count", sample.count, *labels),
     ]
 
 
-def _sample(name: str, value: float, *labels: MetricLabel) -> str:
+def _sample_line(name: str, value: float, *labels: MetricLabel) -> str:
     label_text = ",".join(f'{label.name}="{_escape(label.value)}"' for label in labels)
     return (
         f"{_PREFIX}{name}{{{label_text}}} {value}"
         if labels
-        else _unlabelled_sample(name, value)
+        else _unlabelled_line(name, value)
     )
 
 
-def _unlabelled_sample(name: str, value: float) -> str:
+def _unlabelled_line(name: str, value: float) -> str:
     return f"{_PREFIX}{name} {value}"
 
 
--- a/ibisfront/core/settings.py
+++ b/ibisfront/core/settings.py
@@ -232,7 +232,7 @@
     Raises
     ------
     SettingsError
-        ``bad_settings`` with all faults; each states the value and the cure.
+        ``bad_settings`` with all faults; each states the value and how to fix it.
     """
     parsed = parse_toml(text)
     if isinstance(parsed, SettingsFault):
--- a/ibisfront/core/stopping.py
+++ b/ibisfront/core/stopping.py
@@ -77,15 +77,15 @@
     async def wait_idle(self) -> None:
         """Wait until no request is in flight and none arrives for an idle period.
 
-        A load balancer that is slower than its configured lag still sends a few
-        requests, which a listener closed between them would reset.
+        A load balancer that is slower than its configured lag may send a few more
+        requests; closing the listener between them would reset these.
         """
         while True:
             while self._requests:
                 await self._idle.wait()
-            seen = self._started
+            started_before = self._started
             await self._clock.sleep_ms(IDLE_PERIOD_MS)
-            if seen == self._started:
+            if started_before == self._started:
                 return
 
     async def leave(self) -> None:
@@ -122,7 +122,7 @@
     Returns
     -------
     list of str
-        A line for each request cut off; empty if all finished in time.
+        A line for each aborted request; empty if all finished in time.
     """
     stopping.begin()
     _LOG.info(
@@ -136,16 +136,16 @@
             await clock.sleep_ms(settings.balancer_lag_ms)
             await stopping.wait_idle()
         nursery.cancel_scope.cancel()
-    cut_off = stopping.requests
+    aborted = stopping.requests
     if second_signal.is_set():
         _LOG.warning("A second signal ends the graceful shutdown immediately.")
     elif limit.cancelled_caught:
         _LOG.warning("The time limit of %d ms has expired.", limit_ms)
-    for line in cut_off:
+    for line in aborted:
         _LOG.warning("Aborted: %s.", line)
-    _LOG.info("Requests aborted: %d.", len(cut_off))
+    _LOG.info("Requests aborted: %d.", len(aborted))
     await stopping.leave()
-    return cut_off
+    return aborted
 
 
 async def _cancel_on(event: trio.Event, scope: trio.CancelScope) -> None:
--- a/ibisfront/core/table_changes.py
+++ b/ibisfront/core/table_changes.py
@@ -27,7 +27,7 @@
 
 
 def changes_between(old: Table, new: Table) -> tuple[TableChange, ...]:
-    """Return the changes that turn one table into another, purposes first."""
+    """Return the changes from one table to another, purposes first."""
     purposes = _changed_pairs(old.purposes, new.purposes, lambda item: item.name)
     rows = _changed_pairs(old.rows, new.rows, lambda item: (item.branch, item.purpose))
     return (
--- a/ibisfront/daemon.py
+++ b/ibisfront/daemon.py
@@ -87,7 +87,7 @@
         async with trio.open_nursery() as listeners:
             listeners.start_soon(serve_until, closing, caller_app, caller_socket)
             listeners.start_soon(serve_until, closing, admin_app, admin_socket)
-        # Shares are released only after the listeners are closed: a balancer
+        # Shares are released only after the listeners are closed: a load balancer
         # that is slower than its configured lag may still send requests, and
         # without shares each of them would be rejected.
         await instance.shares.release_all()
--- a/ibisfront/instance.py
+++ b/ibisfront/instance.py
@@ -165,7 +165,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send callers' requests here."""
+        """Whether the load balancer may send callers' requests here."""
         return (
             self.catalogue.table is not None
             and self.shares.joined
--- a/ibisfront/shared_state.py
+++ b/ibisfront/shared_state.py
@@ -84,7 +84,7 @@
         self._random = random
 
     async def leave(self) -> None:
-        """Notify the peers that this instance leaves, and wait until it is sent."""
+        """Notify the peers that this instance is leaving; wait until it is sent."""
         self.membership.leave()
         await self.peers.flush()
 
