--- a/ibisfront/core/claimer.py
+++ b/ibisfront/core/claimer.py
@@ -80,8 +80,8 @@
         Raises
         ------
         IbisfrontError
-            If the key is not claimed in time, has expired or was used for another
-            request; ``outcome_unknown`` if another copy may be running.
+            ``claim_unavailable``, ``key_expired`` or ``key_reused``;
+            ``outcome_unknown`` if another copy may run.
         """
         replaceable: ClaimRecord | None = None
         poll_ms = _FIRST_POLL_MS
@@ -139,7 +139,8 @@
         Raises
         ------
         IbisfrontError
-            If the record in force is not known in time.
+            ``claim_unavailable`` if the record in force is not known in time or
+            the object is full; ``key_expired`` or ``key_reused``.
         """
         writer = self._available_writer(attempt.key)
         results: list[ChangeResult] = []
--- a/ibisfront/core/conditional_platform.py
+++ b/ibisfront/core/conditional_platform.py
@@ -15,7 +15,13 @@
     """Reads objects, and writes them conditionally on their version."""
 
     async def get(self, kind: ObjectKind, name: str) -> VersionedObject | None:
-        """Return an object, possibly a stale version."""
+        """Return an object, possibly a stale version, or None.
+
+        Raises
+        ------
+        IbisfrontError
+            ``platform_unavailable``.
+        """
         ...
 
     async def put(
@@ -26,13 +32,23 @@
         *,
         if_version: Version | None,
     ) -> Version:
-        """Replace one version of an object and return the new one.
+        """Replace one version of an object, or create it, and return the new one.
+
+        Parameters
+        ----------
+        kind, name
+            The object.
+        value_json : bytes
+            Its new value.
+        if_version : int or None
+            The version to replace; None to create the object.
 
         Raises
         ------
         WriteConflict
             If the object has another version; nothing was written.
         IbisfrontError
-            If the write may take effect now or later.
+            ``write_unknown`` if the write may take effect now or later;
+            ``bad_request`` if the platform rejected it.
         """
         ...
--- a/ibisfront/core/ledger_bucket.py
+++ b/ibisfront/core/ledger_bucket.py
@@ -60,7 +60,7 @@
 """Maximum number of changes in one write."""
 
 RecordUpdate: TypeAlias = Callable[[ClaimRecord | None], ClaimRecord | None]
-"""Returns a key's next record, given the current one; the same for no change."""
+"""Returns a key's next record; the current one itself means no change."""
 
 
 class Bucket(msgspec.Struct, omit_defaults=True):
@@ -172,7 +172,7 @@
     planned = found.copy()
     # A change of a newer slot clears the records of the older one. Clearing
     # comes first: an older key claimed before it in the same write would be
-    # reported as in force although its claim is gone, and could run again.
+    # reported as in force although its claim was removed, and could run again.
     planned.slot = max([found.slot, *(key_slot(change.key) for change in ordered)])
     if planned.slot > found.slot:
         planned.records.clear()
