--- a/ibisfront/core/members.py
+++ b/ibisfront/core/members.py
@@ -147,12 +147,12 @@
     def _replace(self, member: Member) -> None:
         known = self._members.get(member.name)
         bucket = _bucket(member.name)
-        changed = _fingerprint(member)
+        digest_change = _fingerprint(member)
         if known is not None:
-            changed ^= _fingerprint(known)
+            digest_change ^= _fingerprint(known)
         self._members[member.name] = member
-        self._buckets[bucket] ^= changed
-        self._digest ^= changed
+        self._buckets[bucket] ^= digest_change
+        self._digest ^= digest_change
         self._serving += member.state in _SERVING
         self._serving -= known is not None and known.state in _SERVING
 
--- a/ibisfront/core/membership.py
+++ b/ibisfront/core/membership.py
@@ -107,12 +107,12 @@
         "_changed_at_ms",
         "_clock",
         "_counters",
-        "_listed",
+        "_listed_names",
         "_liveness",
         "_members",
         "_mismatches",
         "_neighbours",
-        "_next_comparison_ms",
+        "_next_comparison_at_ms",
         "_peers",
         "_pending",
         "_pending_event",
@@ -141,9 +141,9 @@
         self._suspected_at_ms: dict[str, float] = {}
         self._changed_at_ms: dict[str, float] = {}
         self._mismatches: dict[str, int] = {}
-        self._next_comparison_ms = float("-inf")
+        self._next_comparison_at_ms = float("-inf")
         self._refuted_at_ms = float("-inf")
-        self._listed: frozenset[str] = frozenset()
+        self._listed_names: frozenset[str] = frozenset()
         self._neighbours: frozenset[str] | None = None
         self._pending: dict[str, Member] = {}
         self._pending_event = trio.Event()
@@ -177,10 +177,10 @@
         # Updates in transit make views differ briefly, which needs no comparison.
         # One comparison at a time fetches a difference only once, although all
         # neighbours report it.
-        if now_ms < self._next_comparison_ms:
+        if now_ms < self._next_comparison_at_ms:
             return
         if mismatches >= _MISMATCHES_BEFORE_COMPARISON or self._members.alone:
-            self._next_comparison_ms = now_ms + _COMPARISON_INTERVAL_MS
+            self._next_comparison_at_ms = now_ms + _COMPARISON_INTERVAL_MS
             self._mismatches[sender] = 0
             buckets = self._members.bucket_digests
             self._peers.send(sender, ViewsCompared(buckets))
@@ -192,7 +192,7 @@
         prevents the removal of a dead one.
         """
         listed = tuple(listed)
-        self._listed = frozenset(member.name for member in listed)
+        self._listed_names = frozenset(member.name for member in listed)
         for member in listed:
             if self._members.get(member.name) is None:
                 self._apply(member)
@@ -245,8 +245,8 @@
             updated = tuple(self._pending.values())
             self._pending.clear()
             for start in range(0, len(updated), _MEMBERS_PER_UPDATE):
-                part = updated[start : start + _MEMBERS_PER_UPDATE]
-                self._peers.send_neighbours(MemberUpdate(part))
+                batch = updated[start : start + _MEMBERS_PER_UPDATE]
+                self._peers.send_neighbours(MemberUpdate(batch))
 
     def dead_to_retry(self) -> Member | None:
         """Return a random dead member to retry, or None if there is none."""
@@ -268,8 +268,8 @@
             member for bucket in differing for member in self._members.in_bucket(bucket)
         ]
         for start in range(0, len(found), _MEMBERS_PER_UPDATE):
-            part = tuple(found[start : start + _MEMBERS_PER_UPDATE])
-            self._peers.send(sender, MemberUpdate(part))
+            batch = tuple(found[start : start + _MEMBERS_PER_UPDATE])
+            self._peers.send(sender, MemberUpdate(batch))
 
     def _apply(self, member: Member) -> None:
         if member.name == self._members.own_name:
@@ -279,7 +279,7 @@
         if not self._members.merge(member):
             return
         if known is not None and known.state is MemberState.SUSPECT:
-            self._refuted(member)
+            self._suspicion_refuted(member)
         self._broadcast(member)
 
     def _apply_own(self, member: Member) -> None:
@@ -309,7 +309,7 @@
         self._members.merge(refuted)
         self._broadcast(refuted)
 
-    def _refuted(self, member: Member) -> None:
+    def _suspicion_refuted(self, member: Member) -> None:
         liveness = self._liveness.get(member.name)
         if liveness is None or member.state is not MemberState.LIVE:
             return
@@ -373,23 +373,23 @@
 
     def _declare_dead(self) -> None:
         now_ms = self._clock.now_ms()
-        for name, since_ms in list(self._suspected_at_ms.items()):
+        for name, suspected_at_ms in list(self._suspected_at_ms.items()):
             member = self._members.get(name)
-            if member is None or now_ms - since_ms < DEAD_AFTER_MS:
+            if member is None or now_ms - suspected_at_ms < DEAD_AFTER_MS:
                 continue
             self._apply(msgspec.structs.replace(member, state=MemberState.DEAD))
 
     def _remove_expired(self) -> None:
         now_ms = self._clock.now_ms()
-        for state, after_ms in (
+        for state, retention_ms in (
             (MemberState.LEFT, LEFT_RETENTION_MS),
             (MemberState.DEAD, DEAD_RETENTION_MS),
         ):
             for member in self._members.in_state(state):
                 changed_at_ms = self._changed_at_ms.get(member.name, now_ms)
-                if now_ms - changed_at_ms < after_ms:
+                if now_ms - changed_at_ms < retention_ms:
                     continue
-                if state is MemberState.DEAD and member.name in self._listed:
+                if state is MemberState.DEAD and member.name in self._listed_names:
                     continue
                 self._members.remove(member.name)
                 self._changed_at_ms.pop(member.name, None)
--- a/ibisfront/core/table_check.py
+++ b/ibisfront/core/table_check.py
@@ -27,12 +27,12 @@
     return problems
 
 
-def _duplicates(what: str, names: Iterable[str]) -> list[str]:
+def _duplicates(kind: str, names: Iterable[str]) -> list[str]:
     seen = set()
     duplicates = []
     for name in names:
         if name in seen:
-            duplicates.append(f"{what} {name} is defined twice: remove one.")
+            duplicates.append(f"{kind} {name} is defined twice: remove one.")
         seen.add(name)
     return duplicates
 
--- a/ibisfront/core/table_edit.py
+++ b/ibisfront/core/table_edit.py
@@ -280,7 +280,7 @@
     # write has replaced that version, and the history shows which one.
     value_json = msgspec.json.encode(table)
     if_version = proposal.base_version or None
-    unknown = False
+    is_outcome_unknown = False
     with clock.timeout_ms(outcome_timeout_ms):
         while True:
             try:
@@ -289,9 +289,11 @@
                 )
             except WriteConflict:
                 current = await _read_newer_than(platform, proposal.base_version, clock)
-                return _resolve_conflict(proposal, current, unknown=unknown)
+                return _resolve_conflict(
+                    proposal, current, is_outcome_unknown=is_outcome_unknown
+                )
             except IbisfrontError:
-                unknown = True
+                is_outcome_unknown = True
                 await clock.sleep_ms(_RETRY_INTERVAL_MS)
             else:
                 changes = table.history[-1].changes
@@ -314,7 +316,7 @@
 
 
 def _resolve_conflict(
-    proposal: TableProposal, current: VersionedTable, *, unknown: bool
+    proposal: TableProposal, current: VersionedTable, *, is_outcome_unknown: bool
 ) -> EditAccepted:
     accepted = _find_accepted(proposal, current)
     if accepted is not None:
@@ -322,7 +324,7 @@
     replaced = any(
         edit.base_version == proposal.base_version for edit in current.table.history
     )
-    if unknown and not replaced:
+    if is_outcome_unknown and not replaced:
         raise _unknown_outcome(proposal)
     raise _conflict(proposal, current)
 
