--- a/ibisfront/testing/two_zones.py
+++ b/ibisfront/testing/two_zones.py
@@ -122,9 +122,9 @@
         self.peer_connect_ms = CONNECT_MS
         self._route = route
         routes = [route] if extra_route is None else [route, extra_route]
-        self._names = [name for item in routes for name in item.service_names]
+        self._service_names = [name for item in routes for name in item.service_names]
         self._servers: dict[str, FakeServer] = {}
-        for index, service in enumerate(self._names):
+        for index, service in enumerate(self._service_names):
             for copy in range(2):
                 zone = f"z{index % 2}"
                 name = f"{service}.{copy}"
@@ -138,13 +138,15 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.gateways = {zone: self._gateway(zone) for zone in self._zones}
-            self.put(1, self._route)
+            self.apply_configuration(1, self._route)
             yield
             nursery.cancel_scope.cancel()
 
-    def put(self, version: int, route: Route, *, only: str | None = None) -> None:
+    def apply_configuration(
+        self, version: int, route: Route, *, only: str | None = None
+    ) -> None:
         """Apply a configuration version at all instances, or at one of them."""
-        services = {name: RoutedService(name, 25) for name in self._names}
+        services = {name: RoutedService(name, 25) for name in self._service_names}
         configuration = Configuration(version, (route,), services, CallerLimits())
         for zone, gateway in self.gateways.items():
             if only in (None, zone):
@@ -188,7 +190,7 @@
         """Send a caller's query to the instance of a zone."""
         return await self.gateways[zone].answer(self.request("/search/a"))
 
-    def received_from(self, sender: str, *, zone: str) -> int:
+    def sub_requests_from(self, sender: str, *, zone: str) -> int:
         """Return how many sub-requests an instance sent to another zone."""
         return sum(
             exchange.server.is_near is (sender == zone)
--- a/ibisfront/tests/test_gateway_delegation.py
+++ b/ibisfront/tests/test_gateway_delegation.py
@@ -27,10 +27,10 @@
         zones = TwoZones(route())
         async with zones.running():
             reply = await zones.send_request("z0")
-            far = zones.received_from("z0", zone="z1")
+            direct_sub_requests = zones.sub_requests_from("z0", zone="z1")
             delegated = zones.delegated
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
-        self.assertEqual((far, delegated), (0, 1))
+        self.assertEqual((direct_sub_requests, delegated), (0, 1))
         stamps = dict(reply.headers)[b"X-Shard-Stamps"].split(b", ")
         self.assertEqual(len(set(stamps)), 20)
 
@@ -44,7 +44,7 @@
         zones = TwoZones(route(), extra_route=route(30, "shard"))
         async with zones.running():
             await zones.send_request("z0")
-            zones.put(2, route(30, "shard"))
+            zones.apply_configuration(2, route(30, "shard"))
             reply = await zones.send_request("z0")
         stamps = dict(reply.headers)[b"X-Shard-Stamps"].split(b", ")
         self.assertEqual(len(stamps), 30)
@@ -80,7 +80,7 @@
         zones = TwoZones(route(), extra_route=route(30, "shard"))
         async with zones.running():
             await zones.send_request("z0")
-            zones.put(2, route(30, "shard"), only="z0")
+            zones.apply_configuration(2, route(30, "shard"), only="z0")
             reply = await zones.send_request("z0")
         stamps = dict(reply.headers)[b"X-Shard-Stamps"].split(b", ")
         self.assertEqual(reply.reason, "whole")
@@ -96,12 +96,12 @@
         """
         zones = TwoZones(route(), delegates=True)
         async with zones.running():
-            zones.put(2, route(), only="z0")
+            zones.apply_configuration(2, route(), only="z0")
             reply = await zones.send_request("z0")
         self.assertEqual((reply.status, reply.reason), (200, "whole"))
 
     @trio_test
-    async def test_silent_instance_is_replaced_in_time(self):
+    async def test_unresponsive_instance_is_replaced_in_time(self):
         """Guards against the loss of half of the parts while an instance hangs.
 
         The other instance accepts the query and does not reply. The parts must be
@@ -119,12 +119,12 @@
         self.assertLess(took_ms, 100.0)
 
     @trio_test
-    async def test_waiting_for_direct_parts_costs_no_processor_time(self):
+    async def test_waiting_for_direct_parts_uses_no_cpu_time(self):
         """Guards against a busy loop that delays answers.
 
         The other instance has answered, one part requested directly has not. The time
         to replace the other instance has passed; wake-ups for it would repeat without
-        end and take half of the processor.
+        end and use half of the CPU.
         """
         zones = TwoZones(route())
         async with zones.running():
@@ -142,8 +142,8 @@
 
         The instances and servers of a zone become unresponsive. The parts delegated to
         it are requested directly; where the preferred server is unresponsive too, the
-        request must be hedged in time, although the hedge of the parts that were
-        requested directly from the start was long before.
+        request must be hedged in time, although the parts requested directly from
+        the start were hedged long before.
         """
         zones = TwoZones(route(minimum=1.0))
         zones.set_latency("z1", 30.0)
@@ -201,12 +201,12 @@
             started_ms = zones.clock.now_ms()
             reply = await zones.send_request("z0")
             took_ms = zones.clock.now_ms() - started_ms
-            again = await zones.send_request("z0")
-            took_again_ms = zones.clock.now_ms() - started_ms - took_ms
-        self.assertEqual((reply.status, again.status), (200, 200))
+            second_reply = await zones.send_request("z0")
+            second_took_ms = zones.clock.now_ms() - started_ms - took_ms
+        self.assertEqual((reply.status, second_reply.status), (200, 200))
         # Half of the deadline; the next query avoids the lost instance.
         self.assertLess(took_ms, 500.0)
-        self.assertLess(took_again_ms, 100.0)
+        self.assertLess(second_took_ms, 100.0)
 
     @trio_test
     async def test_retry_does_not_exceed_the_attempts_of_the_route(self):
