--- a/ibisfront/tests/front_zone.py
+++ b/ibisfront/tests/front_zone.py
@@ -203,14 +203,14 @@
 
     def changes(self, kind, revision):
         """Return the changes since a revision, and the current revision."""
-        now = self.revisions[kind]
+        current_revision = self.revisions[kind]
         if kind == "servers":
             removed = [item for item in self._removed if item.revision > revision]
-            return [ObjectChange(item, True) for item in removed], now
+            return [ObjectChange(item, True) for item in removed], current_revision
         if kind == "evacuations":
-            return [self._evacuation_change], now
+            return [self._evacuation_change], current_revision
         objects, _ = self.objects(kind)
-        return [ObjectChange(item, False) for item in objects], now
+        return [ObjectChange(item, False) for item in objects], current_revision
 
     def remove_server(self):
         """Remove a server's entry; return the server's name."""
@@ -224,12 +224,12 @@
         return last_server.name
 
     def evacuate(self, zone):
-        """Evacuate a zone."""
+        """Write the evacuation of a zone to the store."""
         self.evacuated.append(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), False))
 
     def end_evacuation(self, zone):
-        """End the evacuation of a zone."""
+        """Remove the evacuation of a zone from the store."""
         self.evacuated.remove(zone)
         self._change_evacuations(ObjectChange(StoredObject(zone, 1, b"{}"), True))
 
--- a/ibisfront/tests/test_gateway_kind_watch.py
+++ b/ibisfront/tests/test_gateway_kind_watch.py
@@ -69,11 +69,11 @@
     @trio_test
     async def test_only_one_watch_retries_an_unavailable_store(self):
         """Guards against calls in an outage that multiply with the number of kinds."""
-        shared, alone = 0, 0
+        calls_of_all_kinds, calls_of_one_kind = 0, 0
         for _ in range(_OUTAGES):
             calls, recovery_s = await self._outage(_KINDS)
             self.assertLess(recovery_s, 1.0)
-            shared += calls
+            calls_of_all_kinds += calls
             calls, _ = await self._outage(_KINDS[:1])
-            alone += calls
-        self.assertLess(shared / alone, 1.5)
+            calls_of_one_kind += calls
+        self.assertLess(calls_of_all_kinds / calls_of_one_kind, 1.5)
--- a/ibisfront/tests/test_gateway_state_codec.py
+++ b/ibisfront/tests/test_gateway_state_codec.py
@@ -34,8 +34,8 @@
                 self.assertEqual(decode_state(data, RelayedState), state(servers))
 
     def test_large_state_is_compressed(self):
-        plain = len(msgspec.msgpack.encode(state(2000)))
-        self.assertLess(len(encode_state(state(2000))), plain / 4)
+        uncompressed_bytes = len(msgspec.msgpack.encode(state(2000)))
+        self.assertLess(len(encode_state(state(2000))), uncompressed_bytes / 4)
 
     def test_invalid_bytes_are_rejected(self):
         encoded = encode_state(state(2000))
--- a/ibisfront/tests/test_gateway_state_relay.py
+++ b/ibisfront/tests/test_gateway_state_relay.py
@@ -35,7 +35,7 @@
     async def request(self, request, *, timeout_ms):
         self.test.requests.append(request)
         with trio.move_on_after(timeout_ms / 1000.0):
-            if self.test.is_silent:
+            if self.test.is_unresponsive:
                 await trio.sleep_forever()
             return await self.test.source.answer(request)
         raise TimeoutError
@@ -50,7 +50,7 @@
     def setUp(self):
         self.servers = [ServerEntry("a", "s", "10.0.0.1:80", "z1", 2)]
         self.is_fresh = True
-        self.is_silent = False
+        self.is_unresponsive = False
         self.stale = frozenset()
         self.configuration = Configuration(1, (), {}, CallerLimits())
         self.requests = []
@@ -93,8 +93,8 @@
 
     def state(self):
         listed = [item for item in self.servers if item.server_id not in self.stale]
-        may_lack = bool(self.stale)
-        return LocalState(self.configuration, listed, [], self.stale, may_lack)
+        may_lack_servers = bool(self.stale)
+        return LocalState(self.configuration, listed, [], self.stale, may_lack_servers)
 
     def watch(self, nursery, options):
         self.watches += 1
@@ -178,7 +178,7 @@
     @trio_test
     async def test_subscription_ends_when_the_source_is_unresponsive(self):
         async with self.subscribed():
-            self.is_silent = True
+            self.is_unresponsive = True
             await trio.sleep(4.5)
             self.assertEqual(self.watches, 1)
             # The store was available: a server that is missing now was removed.
@@ -188,10 +188,12 @@
     async def test_stale_state_is_relayed_to_instances_without_any(self):
         async with self.subscribed():
             self.is_fresh = False
-            old = await self.source.answer(StateRequest(0))
-            self.assertIn(b"10.0.0.1:80", old)
-            bare = await self.source.answer(StateRequest(0, known_version=1))
-            self.assertNotIn(b"10.0.0.1:80", bare)
+            for_new_instance = await self.source.answer(StateRequest(0))
+            self.assertIn(b"10.0.0.1:80", for_new_instance)
+            for_known_version = await self.source.answer(
+                StateRequest(0, known_version=1)
+            )
+            self.assertNotIn(b"10.0.0.1:80", for_known_version)
 
     @trio_test
     async def test_change_that_did_not_apply_is_resent_at_once(self):
--- a/ibisfront/tests/test_gateway_state_sync.py
+++ b/ibisfront/tests/test_gateway_state_sync.py
@@ -45,7 +45,7 @@
         await trio.sleep(6.0)
         converged_s = []
         for version in range(2, 12):
-            zone.put(version)
+            zone.write_version(version)
             converged_s.append(await self._converged_after_s(zone, zone.instances))
             await trio.sleep(1.7)
         self.assertLess(max(converged_s), 1.0)
@@ -58,7 +58,7 @@
         await trio.sleep(5.0)
         for instance in zone.instances:
             instance.is_rejected = True
-        zone.put(2)
+        zone.write_version(2)
         await trio.sleep(12.0)
         self.assertEqual({item.version for item in zone.instances}, {1})
         self.assertEqual({item.state_sync.is_fresh for item in zone.instances}, {False})
@@ -193,7 +193,7 @@
             rejected_count = 1 + trial % 3
             for instance in zone.instances[:rejected_count]:
                 instance.is_rejected = True
-            zone.put(trial + 2)
+            zone.write_version(trial + 2)
             longest_s = max(
                 longest_s, await self.converged_after_s(zone, rejected_count)
             )
@@ -215,14 +215,14 @@
             instance.move_to(f"z{number % 3}")
         zone.start(nursery)
         await trio.sleep(8.0)
-        unserved = [item for item in zone.instances if item.entry.zone == "z0"][:3]
+        rejected = [item for item in zone.instances if item.entry.zone == "z0"][:3]
         for trial in range(12):
-            for instance in unserved:
+            for instance in rejected:
                 instance.is_rejected = instance.reaches_servers = True
             for _ in range(2):
-                zone.put(zone.version + 1)
+                zone.write_version(zone.version + 1)
                 self.assertLess(await self.converged_after_s(zone, 0), 5.0)
-            for instance in unserved:
+            for instance in rejected:
                 instance.is_rejected = False
             await trio.sleep(10.0 + 0.173 * trial)
 
@@ -242,7 +242,7 @@
         await trio.sleep(8.0)
         for instance in zone.instances[:3]:
             instance.is_down = instance.is_rejected = True
-        zone.put(2)
+        zone.write_version(2)
         await trio.sleep(4.0)
         versions = [item.version for item in zone.instances[3:]]
         self.assertEqual(set(versions), {2})
@@ -275,8 +275,8 @@
         await trio.sleep(4.0)
         for _ in range(20):
             await trio.sleep(0.3)
-            converged_s = [item.partitioned_at_s for item in zone.instances[3:]]
-            self.assertLess(trio.current_time() - min(converged_s), 1.5)
+            reported_at_s = [item.partitioned_at_s for item in zone.instances[3:]]
+            self.assertLess(trio.current_time() - min(reported_at_s), 1.5)
 
     @in_zone
     async def test_partition_and_its_end_are_reported_at_once(self, zone, nursery):
@@ -320,7 +320,7 @@
         await trio.sleep(20.0)
         self.assertLess(zone.pop_calls() / len(zone.instances) / 20.0, 2.5)
         zone.store_refuses = False
-        zone.put(7)
+        zone.write_version(7)
         await trio.sleep(2.5)
         self.assertEqual({item.version for item in zone.instances}, {7})
 
@@ -338,7 +338,7 @@
         await trio.sleep(8.0)
         zone.pop_calls()
         zone.store_refuses = True
-        zone.put(2)
+        zone.write_version(2)
         await trio.sleep(5.0)
         zone.store_refuses = False
         subscribers = zone.instances[9:]
@@ -379,7 +379,11 @@
         for instance in zone.instances:
             instance.is_rejected = False
         await trio.sleep(10.0)
-        lists = [each for item in zone.instances for each in item.lists_after_outage]
+        lists = [
+            after_outage
+            for item in zone.instances
+            for after_outage in item.lists_after_outage
+        ]
         self.assertTrue(lists)
         self.assertTrue(all(lists))
 
--- a/ibisfront/tests/zone_of_instances.py
+++ b/ibisfront/tests/zone_of_instances.py
@@ -36,7 +36,7 @@
         self.version = 0
         self.calls = 0
         self.is_rejected = False
-        # If set, a rejected instance still reaches servers; otherwise none of them.
+        # A rejected instance reaches servers only if this is set.
         self.reaches_servers = False
         self.is_down = False
         self.partitioned_at_s = -1e9
@@ -198,7 +198,7 @@
             instance.state_sync.record_first_poll()
             nursery.start_soon(instance.state_sync.run)
 
-    def put(self, version):
+    def write_version(self, version):
         """Write a version to the store and notify its watchers."""
         self.version = version
         self.changed.set()
