--- a/ibisfront/tests/test_front_connections.py
+++ b/ibisfront/tests/test_front_connections.py
@@ -74,7 +74,7 @@
 
     @trio_test
     async def test_only_coordinators_keep_idle_connections(self):
-        """Guards against answers of all zones with a missing part.
+        """Guards against answers in all zones that lack a part.
 
         If each of 195 instances keeps the connection of one forwarded request to a
         server that accepts 120 connections, those of the coordinators are reset as
--- a/ibisfront/tests/test_front_large_configuration.py
+++ b/ibisfront/tests/test_front_large_configuration.py
@@ -61,7 +61,7 @@
         """Guards against late answers when one route is added.
 
         If the whole configuration is sent to each subscriber, answers to callers
-        queue behind it on the links: every third is late for two seconds.
+        queue behind it on the links: a third of them are late for two seconds.
         """
         zone.add_routes(3 * ROUTES)
         await zone.converged_after_s(at_most_s=30.0)
--- a/ibisfront/tests/test_gateway_cold_start_limit.py
+++ b/ibisfront/tests/test_gateway_cold_start_limit.py
@@ -93,12 +93,12 @@
 class ColdServerTest(unittest.TestCase):
     """A server that has just started, and many instances that send to it."""
 
-    async def _received_ms(self, instances, per_s, seconds):
+    async def _received_ms(self, instances, cold_per_s, duration_s):
         """Return the times at which requests were sent to the server."""
         clock = Clock()
         services = {
             "archive": RoutedService(
-                "archive", 500, warm_up_ms=_WARM_UP_MS, cold_per_s=per_s
+                "archive", 500, warm_up_ms=_WARM_UP_MS, cold_per_s=cold_per_s
             )
         }
         table = RouteTable(
@@ -113,17 +113,17 @@
             for own in listed:
                 sender = Sender(own, listed, table, nursery, clock, fake_server)
                 nursery.start_soon(sender.run)
-            await trio.sleep(seconds)
+            await trio.sleep(duration_s)
             nursery.cancel_scope.cancel()
         return [exchange.sent_at_ms for exchange in fake_server.received]
 
     @trio_test
     async def test_cold_server_gets_no_more_than_its_bound(self):
         """Guards against a burst of all instances' first requests to a cold server."""
-        for instances, per_s in ((3, 20.0), (9, 4.0), (60, 10.0)):
-            sent_ms = await self._received_ms(instances, per_s, 2.9)
-            self.assertLessEqual(_max_per_second(sent_ms), per_s * 1.5 + 5.0)
-            self.assertGreater(len(sent_ms), per_s)
+        for instances, cold_per_s in ((3, 20.0), (9, 4.0), (60, 10.0)):
+            sent_ms = await self._received_ms(instances, cold_per_s, 2.9)
+            self.assertLessEqual(_max_per_second(sent_ms), cold_per_s * 1.5 + 5.0)
+            self.assertGreater(len(sent_ms), cold_per_s)
 
     @trio_test
     async def test_warm_and_unbounded_servers_get_all_requests(self):
--- a/ibisfront/tests/test_gateway_evacuations.py
+++ b/ibisfront/tests/test_gateway_evacuations.py
@@ -20,12 +20,12 @@
 _WARM_UP_MS = 3_000.0
 
 
-def _sent(fixture):
+def _sent_requests(fixture):
     return sum(len(server.received) for server in fixture.all_servers())
 
 
 class EvacuatedZoneTest(unittest.TestCase):
-    """Requests while the servers of a zone must not get any."""
+    """Requests while the servers of a zone must not receive any."""
 
     @trio_test
     async def test_nothing_is_sent_if_all_servers_are_evacuated(self):
@@ -38,7 +38,7 @@
             async with fixture.running():
                 fixture.registry.evacuate(frozenset(("z0",)))
                 reply = await fixture.send_request(f"{path}/a")
-            self.assertEqual((_sent(fixture), reply.status), (0, 503))
+            self.assertEqual((_sent_requests(fixture), reply.status), (0, 503))
             self.assertIn(b"Retry-After", dict(reply.headers))
 
     @trio_test
@@ -51,10 +51,10 @@
             for _ in range(8):
                 nursery.start_soon(fixture.send_request, "/fetch/a")
             await trio.sleep(0.5)
-            sent = _sent(fixture)
+            sent = _sent_requests(fixture)
             fixture.registry.evacuate(frozenset(("z0",)))
             await trio.sleep(3.0)
-            self.assertEqual(_sent(fixture), sent)
+            self.assertEqual(_sent_requests(fixture), sent)
             nursery.cancel_scope.cancel()
 
     @trio_test
@@ -79,10 +79,10 @@
         registry.evacuate(frozenset(("z1",)))
         now_ms = clock.now_ms()
         released = registry.evacuate(frozenset())
-        draws = Random(1)
+        rng = Random(1)
         for server in released:
             server.cold_start_limit.warm_up_ms = _WARM_UP_MS
-            server.resume_after_evacuation(now_ms, warm_up_share=draws.random())
+            server.resume_after_evacuation(now_ms, warm_up_share=rng.random())
         in_use = [
             sum(
                 server.not_before_ms <= now_ms + share * _WARM_UP_MS
--- a/ibisfront/tests/test_gateway_forwarding.py
+++ b/ibisfront/tests/test_gateway_forwarding.py
@@ -54,11 +54,11 @@
         """Guards against a request that waits for a connection until its deadline."""
         route = forward_route(kind=RequestKind.NON_IDEMPOTENT)
         fixture = GatewayFixture(route)
-        dark = fixture.servers["archive"][0]
+        unresponsive = fixture.servers["archive"][0]
         open_connection = fixture._open
 
         async def open_or_wait(address):
-            if address == dark.entry.address:
+            if address == unresponsive.entry.address:
                 await trio.sleep_forever()
             return await open_connection(address)
 
@@ -69,7 +69,7 @@
                 reply = await fixture.send_request("/fetch/a", deadline_ms=2000.0)
                 self.assertEqual(reply.status, 200)
                 self.assertLess(trio.current_time() - started_s, 0.3)
-        self.assertEqual(dark.received, [])
+        self.assertEqual(unresponsive.received, [])
 
     @trio_test
     async def test_non_idempotent_request_is_retried_after_not_run(self):
@@ -123,7 +123,7 @@
         fixture = GatewayFixture(route, latency_ms=2_000.0)
         replies = []
 
-        async def ask():
+        async def send_request():
             replies.append(await fixture.send_request("/fetch/a", deadline_ms=20_000.0))
 
         async with fixture.running():
@@ -131,7 +131,7 @@
                 await fixture.send_request("/fetch/a", deadline_ms=20_000.0)
             async with trio.open_nursery() as nursery:
                 for _ in range(6):
-                    nursery.start_soon(ask)
+                    nursery.start_soon(send_request)
                     await trio.sleep(0.5)
         self.assertEqual({reply.reason for reply in replies}, {"answered"})
 
@@ -187,12 +187,12 @@
         async with fixture.running(), trio.open_nursery() as nursery:
             fake_server = fixture.servers["archive"][0]
 
-            async def ask():
+            async def send_request():
                 replies.append(
                     await fixture.send_request("/fetch/a", deadline_ms=2000.0)
                 )
 
-            nursery.start_soon(ask)
+            nursery.start_soon(send_request)
             await trio.sleep(0.05)
             fake_server.latency_ms = 10.0
             fixture.registry.put(
@@ -204,7 +204,7 @@
 
     @trio_test
     async def test_idempotent_request_goes_to_the_new_incarnation_at_once(self):
-        """Guards against an answer seconds late although the server has restarted.
+        """Guards against an answer that is seconds late after a server restart.
 
         The server crashed behind a partition, so that no connection reset arrived. The
         request waits on a connection to its old incarnation.
@@ -218,8 +218,8 @@
     async def test_non_idempotent_request_may_have_run_before_the_restart(self):
         """Guards against a non-idempotent request that runs twice.
 
-        The server may have run the request before it crashed, which its new
-        incarnation cannot tell. The caller must not get "not run".
+        The server may have run the request before it crashed, and its new
+        incarnation has no record of it. The caller must not get "not run".
         """
         ended, reply, received = await self._request_across_restart(
             RequestKind.NON_IDEMPOTENT
--- a/ibisfront/tests/test_gateway_gather_plan.py
+++ b/ibisfront/tests/test_gateway_gather_plan.py
@@ -27,11 +27,11 @@
     return plan.hedge_at_ms
 
 
-class HedgeMomentTest(unittest.TestCase):
+class HedgeTimeTest(unittest.TestCase):
     """When late parts are requested from a second server."""
 
     def test_healthy_stragglers_are_waited_for_while_there_is_time(self):
-        """Guards against a tenth more requests to a loaded zone without benefit.
+        """Guards against a tenth more load on a loaded zone without benefit.
 
         A query has four baseline latencies left. If it hedged as soon as parts are
         late, it would request a tenth of them twice, although nearly all of these
--- a/ibisfront/tests/test_gateway_retry_budget.py
+++ b/ibisfront/tests/test_gateway_retry_budget.py
@@ -38,7 +38,7 @@
         self.assertGreater(spent, 10)
 
     def test_every_sliding_window_stays_within_the_bound(self):
-        """Guards against twice the extra load across the boundary of a fixed window.
+        """Guards against doubling the extra load across the boundary of a fixed window.
 
         Extra sub-requests are spent as soon as they are granted, with no primary
         ones. Any ten seconds may contain at most the allowance.
@@ -48,10 +48,10 @@
         for step in range(600):
             now_ms = step * 100.0
             spent_ms += [now_ms] * spend_all(budget, now_ms)
-        worst = max(
+        most_spent = max(
             sum(start <= at < start + 10_000.0 for at in spent_ms) for start in spent_ms
         )
-        self.assertLessEqual(worst, 20)
+        self.assertLessEqual(most_spent, 20)
 
     def test_change_of_window_keeps_spent_extras(self):
         budgets = RetryBudgets(BOUNDS, instances=1)
--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -103,7 +103,7 @@
         self.assertLess(took_ms, 100.0)
 
     @trio_test
-    async def test_too_few_parts_are_no_answer(self):
+    async def test_query_with_too_few_parts_fails(self):
         fixture = GatewayFixture(gather_route(4, minimum=1.0))
         async with fixture.running():
             for server in fixture.servers["part-3"]:
@@ -113,7 +113,7 @@
 
     @trio_test
     async def test_caller_disconnect_cancels_the_work(self):
-        """Guards against servers that go on working after the caller has disconnected.
+        """Guards against servers that keep working after the caller has disconnected.
 
         The caller disconnects after a fifth of the work. Every connection to a server
         must be closed, or slots stay occupied for an abandoned request.
@@ -151,7 +151,7 @@
 
     @trio_test
     async def test_hedges_stay_within_the_budget(self):
-        """Guards against twice the load on a service that has become slow.
+        """Guards against doubling the load on a service that has become slow.
 
         Every server of a service is slow, so that each query would be hedged. Extra
         attempts must stay within a fifth of the primary ones.
@@ -174,7 +174,7 @@
 
     @trio_test
     async def test_query_to_unresponsive_servers_ends_in_time_for_a_retry(self):
-        """Guards against queries of a whole zone that wait until their deadline.
+        """Guards against queries of a zone that all wait until their deadline.
 
         The zone is partitioned; all servers are in other zones, and none replies. The
         first queries must fail while their callers still have time to retry elsewhere,
--- a/ibisfront/tests/test_gateway_server_registry.py
+++ b/ibisfront/tests/test_gateway_server_registry.py
@@ -120,8 +120,8 @@
     async def test_restarted_server_has_no_history(self):
         """Guards against a restarted server that gets no requests for seconds.
 
-        It was silent and refused connections before it died, and the new one at the
-        same address inherits its backoff.
+        The previous incarnation was unresponsive and refused connections, and the new
+        one at the same address inherits its backoff.
         """
         registry = registry_of("a")
         before = registry.of_service("s")[0]
--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -203,23 +203,25 @@
                 zone = "z0" if is_near else "z1"
                 server.entry = msgspec.structs.replace(server.entry, zone=zone)
 
-    def far_servers(self):
+    def remote_servers(self):
         return [item for item in self.all_servers() if item.entry.zone == "z1"]
 
     def partition(self):
-        self._baseline = [server.latency_ms for server in self.far_servers()]
-        for server in self.far_servers():
+        self._baseline = [server.latency_ms for server in self.remote_servers()]
+        for server in self.remote_servers():
             server.latency_ms, server.accepts_connections = math.inf, False
 
     def heal(self):
-        for server, latency_ms in zip(self.far_servers(), self._baseline, strict=True):
+        for server, latency_ms in zip(
+            self.remote_servers(), self._baseline, strict=True
+        ):
             server.latency_ms, server.accepts_connections = latency_ms, True
 
 
 class ZonePartitionTest(unittest.TestCase):
     """Queries of an instance whose zone is partitioned."""
 
-    async def _load(self, fixture, nursery, replies):
+    async def _send_queries(self, fixture, nursery, replies):
         """Send a query every 30 ms; record the times and the reply of each."""
 
         async def send_query():
@@ -232,10 +234,10 @@
             await trio.sleep(0.03)
 
     async def _run_partition(self, fixture):
-        """Partition the zone for two seconds under load; return what was observed."""
+        """Partition the zone for two seconds under load; return readiness, replies."""
         replies, readiness = [], []
         async with fixture.running() as gateway, trio.open_nursery() as nursery:
-            nursery.start_soon(self._load, fixture, nursery, replies)
+            nursery.start_soon(self._send_queries, fixture, nursery, replies)
             await trio.sleep(1.0)
             fixture.partition()
             partitioned_ms = fixture.clock.now_ms()
@@ -307,9 +309,9 @@
         fixture = PartitionedZoneFixture(gather_route(21, timeout_ms=2000.0))
         ready = []
         async with fixture.running() as gateway, trio.open_nursery() as nursery:
-            nursery.start_soon(self._load, fixture, nursery, [])
+            nursery.start_soon(self._send_queries, fixture, nursery, [])
             await trio.sleep(1.0)
-            for server in fixture.far_servers():
+            for server in fixture.remote_servers():
                 server.latency_ms = 400.0
             for _ in range(20):
                 ready.append(gateway.report_readiness())
@@ -320,8 +322,8 @@
         self.assertEqual(fixture.zone_changes, 0)
 
     @trio_test
-    async def test_reply_to_non_idempotent_work_is_waited_for(self):
-        """Guards against reporting a printed envelope as failed.
+    async def test_reply_to_non_idempotent_work_is_awaited(self):
+        """Guards against reporting non-idempotent work as failed although it ran.
 
         The path to the server is partitioned and recovers before the caller's deadline.
         The reply is in transit; failing the request at the partition would lose it.
@@ -337,7 +339,7 @@
             replies.append(await fixture.send_request("/fetch/a", deadline_ms=2000.0))
 
         async with fixture.running(), trio.open_nursery() as nursery:
-            nursery.start_soon(self._load, fixture, nursery, [])
+            nursery.start_soon(self._send_queries, fixture, nursery, [])
             await trio.sleep(0.5)
             nursery.start_soon(fetch)
             await trio.sleep(0.1)
--- a/ibisfront/tests/test_http1_backend_connection.py
+++ b/ibisfront/tests/test_http1_backend_connection.py
@@ -131,7 +131,7 @@
 
     @trio_test_real_clock
     async def test_outstanding_reply_is_read_after_a_late_one(self):
-        """Guards against reporting a completed request as failed, and a repeat of it.
+        """Guards against reporting a completed request as failed and repeating it.
 
         A late reply to an earlier request arrives first, the request's own a moment
         later. The first must not end the connection before the second arrives.
--- a/ibisfront/tests/test_http1_caller_listener.py
+++ b/ibisfront/tests/test_http1_caller_listener.py
@@ -132,8 +132,8 @@
     async def test_two_body_lengths_are_rejected(self):
         """Guards against request smuggling.
 
-        With two lengths, the body ends earlier by one than by the other. A backend
-        server may take the rest for a second request, which no caller has sent.
+        With two lengths, the body ends earlier under one than under the other. A
+        backend server may take the rest for a second request that no caller sent.
         """
         async with served() as server:
             for second in (b"Content-Length: 9", b"Transfer-Encoding: chunked"):
