--- a/ibisfront/tests/test_gateway_runs.py
+++ b/ibisfront/tests/test_gateway_runs.py
@@ -169,7 +169,7 @@
         self.assertLessEqual(after - before, 50 + 0.2 * 60)
 
 
-class IsolationTest(unittest.TestCase):
+class PartitionedInstanceTest(unittest.TestCase):
     """An instance partitioned from its servers."""
 
     @trio_test
@@ -237,10 +237,10 @@
         self.assertEqual({reply.reason for reply in replies}, {"partial"})
 
 
-class RecordsTest(unittest.TestCase):
+class TopRecordsTest(unittest.TestCase):
     """Merging of the records of the parts."""
 
-    def test_equal_records_count_and_short_remainders_do_not(self):
+    def test_equal_records_are_kept_and_short_remainders_dropped(self):
         low, high = b"a" * 16, b"b" * 16
         bodies = [low + high + b"zz", high, b"", b"c" * 15]
         self.assertEqual(top_records(bodies, 3), high + high + low)
