--- a/ibisfront/tests/test_front_garbage_collection.py
+++ b/ibisfront/tests/test_front_garbage_collection.py
@@ -17,7 +17,7 @@
     """An object that refers to itself."""
 
     def __init__(self):
-        self.own = self
+        self.reference = self
 
 
 class CollectTest(unittest.TestCase):
--- a/ibisfront/tests/test_front_start.py
+++ b/ibisfront/tests/test_front_start.py
@@ -46,10 +46,10 @@
 
         It is simulated by a full backlog, which drops the next SYN packet.
         """
-        with socket.socket() as full:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            host, port = full.getsockname()
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
+            host, port = listener.getsockname()
             pending = [socket.socket() for _ in range(3)]
             for sock in pending:
                 sock.setblocking(False)
--- a/ibisfront/tests/test_gateway_coordinators.py
+++ b/ibisfront/tests/test_gateway_coordinators.py
@@ -69,9 +69,9 @@
 
     def test_every_instance_selects_the_same_coordinators(self):
         listed = instances(68)
-        found = set()
+        selections = set()
         for own in listed:
             coordinators = Coordinators(own)
             coordinators.update(list(reversed(listed)), table(56))
-            found.add(tuple(coordinators.of_zone(f"z{zone}") for zone in range(4)))
-        self.assertEqual(len(found), 1)
+            selections.add(tuple(coordinators.of_zone(f"z{zone}") for zone in range(4)))
+        self.assertEqual(len(selections), 1)
--- a/ibisfront/tests/test_gateway_instances.py
+++ b/ibisfront/tests/test_gateway_instances.py
@@ -61,9 +61,9 @@
     def record_first_poll(self):
         self.first_poll_at_s = trio.current_time() - self.started_s
 
-    async def run_for(self, seconds, directory, **options):
+    async def run_for(self, duration_s, directory, **options):
         self.started_s = trio.current_time()
-        with trio.move_on_after(seconds):
+        with trio.move_on_after(duration_s):
             await self.sync(directory, **options)
 
     @trio_test
--- a/ibisfront/tests/test_gateway_many_routes.py
+++ b/ibisfront/tests/test_gateway_many_routes.py
@@ -93,8 +93,8 @@
         for name in names:
             for reason in ("answered", "timed_out"):
                 latencies.record_ms(name, reason, 12.0)
-        held_bytes, _ = tracemalloc.get_traced_memory()
-        self.assertLess(held_bytes, CONTROL_BYTES / 8)
+        allocated_bytes, _ = tracemalloc.get_traced_memory()
+        self.assertLess(allocated_bytes, CONTROL_BYTES / 8)
         samples = latencies.samples()
         self.assertEqual(sum(sample.count for sample in samples), 2 * len(names))
         self.assertLess(len(metrics_text([], samples, [])), CONTROL_BYTES / 64)
--- a/ibisfront/tests/test_gateway_retry_budget.py
+++ b/ibisfront/tests/test_gateway_retry_budget.py
@@ -49,7 +49,8 @@
             now_ms = step * 100.0
             spent_ms += [now_ms] * spend_all(budget, now_ms)
         most_spent = max(
-            sum(start <= at < start + 10_000.0 for at in spent_ms) for start in spent_ms
+            sum(start <= at_ms < start + 10_000.0 for at_ms in spent_ms)
+            for start in spent_ms
         )
         self.assertLessEqual(most_spent, 20)
 
@@ -68,7 +69,7 @@
 class CoordinatorsBudgetTest(unittest.TestCase):
     """Allowances where a few of many instances are coordinators."""
 
-    def spent(self, *, count, **options):
+    def granted_extras(self, *, count, **options):
         """Return how many extras an instance grants at once without primaries."""
         budgets = RetryBudgets(BOUNDS, instances=80, **options)
         budgets.set_coordinator_count(count, frozenset(("s",)))
@@ -79,16 +80,16 @@
 
     def test_coordinators_share_the_allowance(self):
         """Guards against late parts that are not hedged for lack of budget."""
-        spent = 4 * self.spent(count=4)
+        spent = 4 * self.granted_extras(count=4)
         self.assertLessEqual(spent, BOUNDS.extra_allowance)
         self.assertGreater(spent, BOUNDS.extra_allowance / 2)
 
     def test_other_instances_have_no_allowance(self):
         """Guards against an allowance that is granted twice."""
-        self.assertEqual(self.spent(count=math.inf), 0)
+        self.assertEqual(self.granted_extras(count=math.inf), 0)
 
     def test_started_instance_has_less_for_one_window(self):
         """Guards against a full allowance at each restart within one window."""
-        started = self.spent(count=4, started_ms=15_000.0)
-        self.assertLess(started, self.spent(count=4, started_ms=5_000.0))
+        started = self.granted_extras(count=4, started_ms=15_000.0)
+        self.assertLess(started, self.granted_extras(count=4, started_ms=5_000.0))
         self.assertGreater(started, 0)
--- a/ibisfront/tests/test_http1_backend_connection.py
+++ b/ibisfront/tests/test_http1_backend_connection.py
@@ -40,7 +40,7 @@
 
 
 async def exchange_with(backend, count=1, method=b"GET"):
-    """Send exchanges sequentially on one connection; return them."""
+    """Send exchanges in sequence on a connection; return them, and if it is idle."""
     ended = []
     async with trio.open_nursery() as nursery:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -123,9 +123,9 @@
 
     @trio_test_real_clock
     async def test_late_reply_to_an_earlier_request_is_skipped(self):
-        late = OK.replace(b"r1", b"r0") + b"Content-Length: 3\r\n\r\nold"
-        own = OK + b"Content-Length: 3\r\n\r\nnew"
-        ended, is_idle = await exchange_with(Backend(late + own))
+        late_reply = OK.replace(b"r1", b"r0") + b"Content-Length: 3\r\n\r\nold"
+        own_reply = OK + b"Content-Length: 3\r\n\r\nnew"
+        ended, is_idle = await exchange_with(Backend(late_reply + own_reply))
         self.assertEqual(ended[0].reply.body, b"new")
         self.assertFalse(is_idle)
 
@@ -136,9 +136,9 @@
         A late reply to an earlier request arrives first, the request's own a moment
         later. The first must not end the connection before the second arrives.
         """
-        late = OK.replace(b"r1", b"r0") + b"Content-Length: 3\r\n\r\nold"
-        own = OK + b"Content-Length: 3\r\n\r\nnew"
-        ended, is_idle = await exchange_with(Backend([late, own]))
+        late_reply = OK.replace(b"r1", b"r0") + b"Content-Length: 3\r\n\r\nold"
+        own_reply = OK + b"Content-Length: 3\r\n\r\nnew"
+        ended, is_idle = await exchange_with(Backend([late_reply, own_reply]))
         self.assertIsNone(ended[0].error)
         self.assertEqual(ended[0].reply.body, b"new")
         self.assertFalse(is_idle)
--- a/ibisfront/tests/test_http1_caller_listener.py
+++ b/ibisfront/tests/test_http1_caller_listener.py
@@ -53,7 +53,7 @@
         return CallerReply(200, [(b"X-Mark", b"1")], request.body or b"done", "test")
 
 
-async def until(condition):
+async def wait_until(condition):
     """Poll until a condition holds, since no event signals a socket's state here."""
     while not condition():  # noqa: ASYNC110
         await trio.sleep(0.001)
@@ -63,9 +63,9 @@
 async def served():
     """Run a listener for the duration of the block."""
     async with trio.open_nursery() as nursery:
-        listener = ListenerFixture()
-        nursery.start_soon(listener.listener.run)
-        yield listener
+        fixture = ListenerFixture()
+        nursery.start_soon(fixture.listener.run)
+        yield fixture
         nursery.cancel_scope.cancel()
 
 
@@ -73,10 +73,10 @@
     """Return the bytes read up to the end of a reply with a length."""
     data = b""
     while True:
-        more = await stream.receive_some(65536)
-        data += more
+        chunk = await stream.receive_some(65536)
+        data += chunk
         head, _, body = data.partition(b"\r\n\r\n")
-        if not more:
+        if not chunk:
             return data
         lengths = [
             int(line.split(b": ")[1])
@@ -99,8 +99,8 @@
             while data.count(b"HTTP/1.1 200") < 2:
                 data += await read_reply(stream)
             await stream.aclose()
-        names = [request.request_id for request in server.requests]
-        self.assertEqual(names, ["r1", "r2"])
+        request_ids = [request.request_id for request in server.requests]
+        self.assertEqual(request_ids, ["r1", "r2"])
 
     @trio_test_real_clock
     async def test_chunked_body_is_complete(self):
@@ -136,10 +136,10 @@
         backend server may take the rest for a second request that no caller sent.
         """
         async with served() as server:
-            for second in (b"Content-Length: 9", b"Transfer-Encoding: chunked"):
+            for second_length in (b"Content-Length: 9", b"Transfer-Encoding: chunked"):
                 stream = await trio.open_tcp_stream(*server.address)
                 head = b"POST /a HTTP/1.1\r\nHost: s\r\nContent-Length: 4\r\n"
-                await stream.send_all(head + second + b"\r\n\r\n0\r\n\r\nGET /x")
+                await stream.send_all(head + second_length + b"\r\n\r\n0\r\n\r\nGET /x")
                 data = await read_reply(stream)
                 await stream.aclose()
                 self.assertIn(b" 400 ", data.split(b"\r\n")[0])
@@ -167,9 +167,9 @@
             server.release = trio.Event()
             stream = await trio.open_tcp_stream(*server.address)
             await stream.send_all(REQUEST)
-            await until(lambda: server.requests)
+            await wait_until(lambda: server.requests)
             await stream.aclose()
-            await until(lambda: server.cancelled)
+            await wait_until(lambda: server.cancelled)
 
     @trio_test_real_clock
     async def test_malformed_bytes_after_a_request_do_not_prevent_its_answer(self):
@@ -182,7 +182,7 @@
             server.release = trio.Event()
             stream = await trio.open_tcp_stream(*server.address)
             await stream.send_all(REQUEST)
-            await until(lambda: server.requests)
+            await wait_until(lambda: server.requests)
             await stream.send_all(b"nonsense\r\n\r\n")
             await trio.sleep(0.05)
             server.release.set()
@@ -201,7 +201,7 @@
         """
         async with served() as server:
             client = socket.create_connection(server.address)
-            await until(lambda: server.listener.connections)
+            await wait_until(lambda: server.listener.connections)
             await trio.sleep(0.01)
             server.listener.is_stopping = True
             client.sendall(REQUEST)
