--- a/ibisfront/tests/test_gateway_zones.py
+++ b/ibisfront/tests/test_gateway_zones.py
@@ -234,7 +234,7 @@
             await trio.sleep(0.03)
 
     async def _run_partition(self, fixture):
-        """Partition the zone for 2 s under load; return its readiness and the replies."""
+        """Partition the zone for 2 s under load; return readiness and replies."""
         replies, readiness = [], []
         async with fixture.running() as gateway, trio.open_nursery() as nursery:
             nursery.start_soon(self._send_queries, fixture, nursery, replies)
