--- a/ibisfront/cli/causes.py
+++ b/ibisfront/cli/causes.py
@@ -126,14 +126,14 @@
     ]
     if not timed_lines:
         return []
-    start = min(at for at, _ in timed_lines)
+    start = min(logged_at for logged_at, _ in timed_lines)
     counted: Counter[tuple[int, str, str]] = Counter()
-    for at, line in timed_lines:
+    for logged_at, line in timed_lines:
         cause = cause_of(line)
         if cause is not None:
-            from_s = int((at - start).total_seconds()) // step_s * step_s
+            from_s = int((logged_at - start).total_seconds()) // step_s * step_s
             counted[from_s, str(line.fields.get("route", "")), cause] += 1
-    return sorted(CauseCount(*key, number) for key, number in counted.items())
+    return sorted(CauseCount(*key, requests) for key, requests in counted.items())
 
 
 def _most_frequent_decision(line: LogLine) -> str:
--- a/ibisfront/cli/client.py
+++ b/ibisfront/cli/client.py
@@ -101,13 +101,13 @@
     def _send(
         self, address: Address, method: str, path: str, body: object
     ) -> httpcore.Response:
-        read = {"read": _READ_TIMEOUT_S, "write": _READ_TIMEOUT_S}
+        io_timeouts = {"read": _READ_TIMEOUT_S, "write": _READ_TIMEOUT_S}
         return self._pool.request(
             method,
             f"http://{address}{path}",
             headers=self._headers,
             content=b"" if body is None else msgspec.json.encode(body),
-            extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S, **read}},
+            extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S, **io_timeouts}},
         )
 
 
--- a/ibisfront/cli/edit_command.py
+++ b/ibisfront/cli/edit_command.py
@@ -111,7 +111,7 @@
         for line in change_lines(changes):
             self.print_progress(f"  {line}")
         if not self.confirmed():
-            raise CommandError("not applied", ExitCode.REFUSED)
+            raise CommandError("not applied", ExitCode.REJECTED)
         outcome = apply_edit(
             client,
             base,
--- a/ibisfront/cli/exits.py
+++ b/ibisfront/cli/exits.py
@@ -24,7 +24,7 @@
     """Exit codes of the commands."""
 
     DONE = 0
-    REFUSED = 1
+    REJECTED = 1
     USAGE = 2
     CONFLICT = 3
     UNKNOWN = 4
@@ -34,7 +34,7 @@
 
 _DESCRIPTIONS = {
     ExitCode.DONE: "done",
-    ExitCode.REFUSED: "rejected; nothing was done",
+    ExitCode.REJECTED: "rejected; nothing was done",
     ExitCode.USAGE: "invalid arguments, settings or file",
     ExitCode.CONFLICT: "conflict with an earlier edit; nothing was done",
     ExitCode.UNKNOWN: "may have been done: check before retrying",
@@ -90,7 +90,7 @@
     """
 
     def __init__(self, problem: Problem) -> None:
-        codes = {"table_conflict": ExitCode.CONFLICT, "no": ExitCode.REFUSED}
+        codes = {"table_conflict": ExitCode.CONFLICT, "no": ExitCode.REJECTED}
         code = codes.get(problem.code, codes.get(problem.ran, ExitCode.UNKNOWN))
         super().__init__(f"{problem.code}: {problem.detail}", code)
         self.problem = problem
--- a/ibisfront/cli/explain.py
+++ b/ibisfront/cli/explain.py
@@ -45,7 +45,7 @@
         for line in () if self.wants_json else lines:
             for text in _format_line(line):
                 self.print_text(text)
-        return ExitCode.DONE if lines else ExitCode.REFUSED
+        return ExitCode.DONE if lines else ExitCode.REJECTED
 
 
 def find_request_lines(request_id: str, texts: Iterable[str]) -> list[LogLine]:
--- a/ibisfront/cli/output.py
+++ b/ibisfront/cli/output.py
@@ -61,8 +61,8 @@
 
 def edit_heading(edit: EditSummary) -> str:
     """Return who made an edit, when and on which version."""
-    at_s = time.gmtime(edit.edited_wall_ms / MILLISECONDS_PER_SECOND)
-    when = time.strftime("%Y-%m-%d %H:%M:%S UTC", at_s)
+    edited_at = time.gmtime(edit.edited_wall_ms / MILLISECONDS_PER_SECOND)
+    when = time.strftime("%Y-%m-%d %H:%M:%S UTC", edited_at)
     return (
         f"{when} by {edit.edited_by or 'unknown'},"
         f" on version {edit.base_version}, edit {edit.edit_id}"
--- a/ibisfront/cli/purpose.py
+++ b/ibisfront/cli/purpose.py
@@ -84,7 +84,7 @@
         """Return the table without the purpose."""
         name = self.argument("name")
         if table.purpose(name) is None:
-            raise CommandError(f"there is no purpose {name}", ExitCode.REFUSED)
+            raise CommandError(f"there is no purpose {name}", ExitCode.REJECTED)
         return msgspec.structs.replace(
             table,
             purposes=tuple(item for item in table.purposes if item.name != name),
--- a/ibisfront/cli/table.py
+++ b/ibisfront/cli/table.py
@@ -114,7 +114,7 @@
         """Return the table without the row."""
         branch, purpose = self.argument("branch"), self.argument("purpose")
         if table.row(branch, purpose) is None:
-            raise CommandError(f"there is no row {branch}/{purpose}", ExitCode.REFUSED)
+            raise CommandError(f"there is no row {branch}/{purpose}", ExitCode.REJECTED)
         rows = tuple(
             row for row in table.rows if (row.branch, row.purpose) != (branch, purpose)
         )
@@ -202,8 +202,8 @@
             If neither the file nor the operator gives it; edits made since then
             would be reverted unnoticed.
         """
-        named = super().base_version()
-        version = self._read_file().version if named is None else named
+        given = super().base_version()
+        version = self._read_file().version if given is None else given
         if version is None:
             raise CommandError(
                 "the file does not give the version that it is based on:"
--- a/ibisfront/lab/deployment.py
+++ b/ibisfront/lab/deployment.py
@@ -153,35 +153,37 @@
         return gateway
 
     def _configuration(self) -> Configuration:
-        names = tuple(f"shard-{shard}" for shard in range(self._pattern.shards))
+        service_names = tuple(f"shard-{shard}" for shard in range(self._pattern.shards))
         routes = tuple(
             Route(
-                name=item.name,
+                name=query_kind.name,
                 host=HOST,
-                path_prefix=f"/{item.name}/",
+                path_prefix=f"/{query_kind.name}/",
                 kind=RequestKind.IDEMPOTENT,
-                timeout_ms=item.deadline_ms,
-                objective_ms=item.objective_ms,
+                timeout_ms=query_kind.deadline_ms,
+                objective_ms=query_kind.objective_ms,
                 attempts=2,
-                rank=item.rank,
-                gathering=Gathering(names, 1, item.minimum_coverage),
+                rank=query_kind.rank,
+                gathering=Gathering(service_names, 1, query_kind.minimum_coverage),
             )
-            for item in self._pattern.queries
+            for query_kind in self._pattern.queries
         )
         max_connections = self._pattern.connections
-        services = {name: RoutedService(name, max_connections) for name in names}
+        services = {
+            name: RoutedService(name, max_connections) for name in service_names
+        }
         return Configuration(1, routes, services, CallerLimits())
 
     def _make_pool(self, server: Server) -> ServerPool:
         pattern = self._pattern
-        usable = pattern.connections * _USABLE_CONNECTION_FRACTION
+        usable_connections = pattern.connections * _USABLE_CONNECTION_FRACTION
         path_delay_ms = pattern.way_near_ms if server.is_near else pattern.way_far_ms
         return ServerPool(
             server,
             open_connection=partial(self._connect, path_delay_ms),
             nursery=self._nursery,
             clock=self._clock,
-            maximum=max(int(usable / pattern.gatherers), 1),
+            maximum=max(int(usable_connections / pattern.gatherers), 1),
         )
 
     async def _connect(
--- a/ibisfront/lab/pattern.py
+++ b/ibisfront/lab/pattern.py
@@ -18,7 +18,7 @@
 
 
 class PatternError(ValueError):
-    """Raised for an invalid pattern file; the message says where and why."""
+    """Raised for an invalid pattern file, or for runs that cannot be compared."""
 
 
 class FaultKind(StrEnum):
@@ -46,9 +46,9 @@
     work_ms : float
         Median service time of one shard's sub-request.
     objective_ms, deadline_ms : float
-        Latency up to which a reply has its full worth, and up to which it has any.
+        Latency up to which a reply has full worth, and after which it has none.
     minimum_coverage : float
-        Smallest fraction of the shards in a reply.
+        Smallest fraction of the shards that a reply must cover.
     spread : float
         Standard deviation of the logarithm of the service time.
     tail, tail_factor : float
@@ -56,7 +56,7 @@
     rank : int
         Priority; 0 is the highest.
     worth, late_worth : float
-        Worth of a reply in time, and the fraction of it that a late reply keeps.
+        Worth of a reply within the objective, and the fraction of it for a late reply.
     retries : int
         Number of times a caller retries a failed query.
     patience_ms : float
@@ -147,7 +147,8 @@
     swing, period_s : float
         Relative amplitude and period of the sinusoidal load.
     extra_ratio, extra_allowance : float
-        Budget of a service for extra sub-requests.
+        Extra sub-requests that a service may get per request, and in each window in
+        addition.
     faults : list of Fault
         Server faults.
     bursts : list of Burst
@@ -187,7 +188,7 @@
     Raises
     ------
     PatternError
-        If the file cannot be read or is invalid; names every error found.
+        If the file cannot be read or is invalid; lists every inconsistency.
     """
     try:
         text = Path(path).read_text()
--- a/ibisfront/lab/results.py
+++ b/ibisfront/lab/results.py
@@ -15,7 +15,11 @@
 
 
 class Outcome(StrEnum):
-    """Outcome of a caller's query after all its retries."""
+    """Outcome of a caller's query after all its retries.
+
+    ``REJECTED`` stands for a reply with status 503, ``UNSERVED`` for no reply or any
+    other failure, and ``ABANDONED`` for a query that an impatient caller cancelled.
+    """
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -63,7 +67,8 @@
     worth : float
         Achieved worth as a fraction of the full worth.
     unserved : float
-        Fraction of callers that were not served, including rejected ones.
+        Rejected and unserved callers as a fraction of those that did not abandon
+        their query.
     extra : float
         Extra sub-requests as a fraction of the primary ones.
     shed : int
@@ -112,7 +117,7 @@
         achieved_worth: float,
         full_worth: float,
     ) -> None:
-        """Record the outcome of one caller."""
+        """Record the outcome of one caller's query of the kind ``name``."""
         self._outcomes.setdefault(name, Counter())[outcome.value] += 1
         self._by_second.setdefault(int(arrived_s), Counter())[outcome.value] += 1
         if outcome is Outcome.ABANDONED:
--- a/ibisfront/tests/test_cli.py
+++ b/ibisfront/tests/test_cli.py
@@ -94,10 +94,10 @@
         self.assertRegex(status.output, r"(?s)INSTANCE.*i1 +z1.*i2 +z2")
         answer = await tool.json("query vestry name-check '{}'", Answer)
         self.assertEqual(answer.coverage.answered, 2)
-        refused = await tool.run("query vestry nothing '{}'")
-        self.assertEqual(refused.code, ExitCode.REFUSED)
-        self.assertIn("unknown_purpose", refused.errors)
-        self.assertIn("what to do: Add it: `ibisfront purpose set", refused.errors)
+        rejected = await tool.run("query vestry nothing '{}'")
+        self.assertEqual(rejected.code, ExitCode.REJECTED)
+        self.assertIn("unknown_purpose", rejected.errors)
+        self.assertIn("what to do: Add it: `ibisfront purpose set", rejected.errors)
         counters = await tool.run("counters")
         self.assertRegex(counters.output, r"answers +whole +1\n")
 
@@ -106,8 +106,10 @@
         self.assertEqual(outcome.reach.in_force, ("i1", "i2"))
         same = await tool.run("table set vestry name-check --weight 2")
         self.assertIn("nothing to change", same.output)
-        late = f"table set vestry name-check --weight 9 --base {outcome.base_version}"
-        conflict = await tool.run(late)
+        outdated = (
+            f"table set vestry name-check --weight 9 --base {outcome.base_version}"
+        )
+        conflict = await tool.run(outdated)
         self.assertEqual(conflict.code, ExitCode.CONFLICT)
         for shown in ("weight 1 -> 9", "weight 1 -> 2", outcome.edit_id):
             self.assertIn(shown, conflict.output)
@@ -115,8 +117,8 @@
         self.assertEqual((await tool.run(other)).code, ExitCode.DONE)
         history = await tool.run("table history")
         self.assertIn(f"edit {outcome.edit_id}", history.output)
-        wrong = await tool.run("table set vestry name-check --weight -1")
-        self.assertEqual(wrong.code, ExitCode.REFUSED)
+        invalid = await tool.run("table set vestry name-check --weight -1")
+        self.assertEqual(invalid.code, ExitCode.REJECTED)
         new = await tool.run("purpose set archive --search register --urgent yes")
         self.assertIn("+ purpose archive", new.output)
         self.assertEqual((await tool.run("table set vestry archive")).code, 0)
@@ -132,7 +134,7 @@
             rewrite(path, "harbour", "harbor")
             apply = f"table apply {path} --base {base}"
             unconfirmed = await tool.run(apply)
-            self.assertEqual(unconfirmed.code, ExitCode.REFUSED, unconfirmed)
+            self.assertEqual(unconfirmed.code, ExitCode.REJECTED, unconfirmed)
             self.assertIn("+ row harbor/name-check", unconfirmed.output)
             applied = await tool.run(apply + " --yes")
             self.assertEqual(applied.code, ExitCode.DONE, applied)
@@ -258,8 +260,10 @@
         conflict = TableConflict(7, 8, HEAVIER, theirs, overlaps=False)
         other = Row("harbour", "name-check")
         current = TableView(8, Table(BASE.table.purposes, (ROW, other)))
-        refusal = problem("table_conflict", conflict=conflict)
-        outcome = self.edit(refusal, current, EditAccepted("e", 9, HEAVIER), status(9))
+        rejection = problem("table_conflict", conflict=conflict)
+        outcome = self.edit(
+            rejection, current, EditAccepted("e", 9, HEAVIER), status(9)
+        )
         self.assertEqual((outcome.base_version, outcome.version), (8, 9))
         self.assertIn(other, self.client.sent[2].table.rows)
 
@@ -285,11 +289,13 @@
 
     def test_every_command_has_json_option_and_description(self):
         application = build_application()
-        own = [
-            c for c in application.all().values() if "ibisfront" in type(c).__module__
+        commands = [
+            item
+            for item in application.all().values()
+            if "ibisfront" in type(item).__module__
         ]
-        self.assertGreaterEqual(len(own), 16)
-        for command in own:
+        self.assertGreaterEqual(len(commands), 16)
+        for command in commands:
             with self.subTest(command.name):
                 self.assertTrue(command.definition.has_option("json"))
                 self.assertTrue(command.description.endswith("."))
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -117,7 +117,7 @@
 
     def test_same_seed_gives_the_same_run(self):
         faulty = pattern(faults=[Fault(FaultKind.SLOW, 1.0, 1.0, 0.3, factor=6.0)])
-        first, second, other = (run_pattern(faulty, seed=n) for n in (1, 1, 2))
+        first, second, other = (run_pattern(faulty, seed=seed) for seed in (1, 1, 2))
         self.assertEqual(msgspec.json.encode(first), msgspec.json.encode(second))
         self.assertNotEqual(first.queries, other.queries)
 
@@ -154,8 +154,10 @@
         with mock.patch.object(
             GatherRun, "_next_retry_at_ms", lambda self, now_ms: float("inf")
         ):
-            without = sum(run_pattern(full, seed=seed).unserved for seed in seeds)
-        self.assertLess(unserved, 0.5 * without)
+            without_retries = sum(
+                run_pattern(full, seed=seed).unserved for seed in seeds
+            )
+        self.assertLess(unserved, 0.5 * without_retries)
 
 
 class CompareTest(unittest.TestCase):
