--- a/ibisfront/cli/causes.py
+++ b/ibisfront/cli/causes.py
@@ -79,9 +79,9 @@
             self.print_json(counts)
             return ExitCode.DONE
         for item in counts:
-            where = item.route or "-"
+            route = item.route or "-"
             self.print_text(
-                f"{item.from_s:6} s {item.requests:6}  {where:12} {item.cause}"
+                f"{item.from_s:6} s {item.requests:6}  {route:12} {item.cause}"
             )
         self.print_text(f"{sum(item.requests for item in counts):15}  total")
         return ExitCode.DONE
--- a/ibisfront/cli/explain.py
+++ b/ibisfront/cli/explain.py
@@ -75,6 +75,6 @@
         if name not in _SEPARATELY_SHOWN and name != "request_id":
             yield f"    {name}: {value}"
     for item in line.fields.get("decisions", ()):
-        where = " ".join(part for part in (item["service"], item["server"]) if part)
+        target = " ".join(part for part in (item["service"], item["server"]) if part)
         reason = f" ({item['detail']})" if item["detail"] else ""
-        yield f"    after {item['after_ms']} ms: {item['what']} {where}{reason}"
+        yield f"    after {item['after_ms']} ms: {item['what']} {target}{reason}"
--- a/ibisfront/tests/test_cli_causes.py
+++ b/ibisfront/tests/test_cli_causes.py
@@ -12,7 +12,7 @@
 
 def line(second, **fields):
     """Return a log line with a timestamp in the given second."""
-    text = {
+    values = {
         "timestamp": f"2030-01-01T00:00:{second:02}.5+00:00",
         "instance": "i1",
         "message": "query: Answered.",
@@ -23,7 +23,7 @@
         "objective_ms": 100.0,
         **fields,
     }
-    return parse_log_line("12.5 i1 " + str(text).replace("'", '"'))
+    return parse_log_line("12.5 i1 " + str(values).replace("'", '"'))
 
 
 class CausesTest(unittest.TestCase):
--- a/ibisfront/tests/test_lab.py
+++ b/ibisfront/tests/test_lab.py
@@ -170,8 +170,8 @@
         ]
 
     def verdict(self, before, after):
-        (found,) = compare(self.runs(before), self.runs(after))
-        return found.verdict
+        (comparison,) = compare(self.runs(before), self.runs(after))
+        return comparison.verdict
 
     def test_difference_is_reported_only_if_significant(self):
         before = [0.50, 0.60, 0.70, 0.80, 0.90]
