--- a/ibisfront/cli/causes.py
+++ b/ibisfront/cli/causes.py
@@ -79,9 +79,9 @@
             self.print_json(counts)
             return ExitCode.DONE
         for item in counts:
-            where = item.route or "-"
+            route = item.route or "-"
             self.print_text(
-                f"{item.from_s:6} s {item.requests:6}  {where:12} {item.cause}"
+                f"{item.from_s:6} s {item.requests:6}  {route:12} {item.cause}"
             )
         self.print_text(f"{sum(item.requests for item in counts):15}  total")
         return ExitCode.DONE
@@ -126,14 +126,14 @@
     ]
     if not timed_lines:
         return []
-    start = min(at for at, _ in timed_lines)
+    start = min(logged_at for logged_at, _ in timed_lines)
     counted: Counter[tuple[int, str, str]] = Counter()
-    for at, line in timed_lines:
+    for logged_at, line in timed_lines:
         cause = cause_of(line)
         if cause is not None:
-            from_s = int((at - start).total_seconds()) // step_s * step_s
+            from_s = int((logged_at - start).total_seconds()) // step_s * step_s
             counted[from_s, str(line.fields.get("route", "")), cause] += 1
-    return sorted(CauseCount(*key, number) for key, number in counted.items())
+    return sorted(CauseCount(*key, requests) for key, requests in counted.items())
 
 
 def _most_frequent_decision(line: LogLine) -> str:
--- a/ibisfront/cli/client.py
+++ b/ibisfront/cli/client.py
@@ -67,8 +67,8 @@
     ) -> _Decoded:
         """Send one request that is safe to retry, and decode the reply.
 
-        All operator requests are: a table edit carries its id and base version,
-        and a service edit states the desired result.
+        Operator requests are safe to retry: a table edit carries its id and base
+        version, and a service edit states the desired result.
 
         Raises
         ------
@@ -76,6 +76,8 @@
             If an instance replied with a problem document.
         UnreachableError
             If no instance replied.
+        CommandError
+            If the reply cannot be decoded.
         """
         maybe_sent = False
         for address in self._addresses * _MAX_ROUNDS:
@@ -99,13 +101,13 @@
     def _send(
         self, address: Address, method: str, path: str, body: object
     ) -> httpcore.Response:
-        read = {"read": _READ_TIMEOUT_S, "write": _READ_TIMEOUT_S}
+        io_timeouts = {"read": _READ_TIMEOUT_S, "write": _READ_TIMEOUT_S}
         return self._pool.request(
             method,
             f"http://{address}{path}",
             headers=self._headers,
             content=b"" if body is None else msgspec.json.encode(body),
-            extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S, **read}},
+            extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S, **io_timeouts}},
         )
 
 
--- a/ibisfront/lab/results.py
+++ b/ibisfront/lab/results.py
@@ -15,13 +15,17 @@
 
 
 class Outcome(StrEnum):
-    """Outcome of a caller's query after all its retries."""
+    """Outcome of a caller's query after all its retries.
+
+    ``REJECTED`` stands for a reply with status 503, ``UNSERVED`` for no reply or any
+    other failure, and ``ABANDONED`` for a query that an impatient caller cancelled.
+    """
 
     IN_TIME = "in_time"
     LATE = "late"
-    REFUSED = "refused"
+    REJECTED = "refused"
     UNSERVED = "unserved"
-    LEFT = "left"
+    ABANDONED = "left"
 
 
 class QuerySummary(msgspec.Struct, frozen=True):
@@ -35,7 +39,7 @@
         Achieved worth as a fraction of the full worth; a partial reply counts by the
         square of its coverage.
     p50_ms, p99_ms : float
-        Reply latency, from the caller's first try.
+        Reply latency, from the caller's first attempt.
     """
 
     outcomes: dict[str, int]
@@ -63,7 +67,8 @@
     worth : float
         Achieved worth as a fraction of the full worth.
     unserved : float
-        Fraction of callers that were not served, including rejected ones.
+        Rejected and unserved callers as a fraction of those that did not abandon
+        their query.
     extra : float
         Extra sub-requests as a fraction of the primary ones.
     shed : int
@@ -112,10 +117,10 @@
         achieved_worth: float,
         full_worth: float,
     ) -> None:
-        """Record the outcome of one caller."""
+        """Record the outcome of one caller's query of the kind ``name``."""
         self._outcomes.setdefault(name, Counter())[outcome.value] += 1
         self._by_second.setdefault(int(arrived_s), Counter())[outcome.value] += 1
-        if outcome is Outcome.LEFT:
+        if outcome is Outcome.ABANDONED:
             return
         self._achieved_worth[name] += achieved_worth  # type: ignore[assignment]
         self._full_worth[name] += full_worth  # type: ignore[assignment]
@@ -139,8 +144,8 @@
         callers: Counter[str] = Counter()
         for outcomes in self._outcomes.values():
             callers.update(outcomes)
-        failed = callers[Outcome.REFUSED.value] + callers[Outcome.UNSERVED.value]
-        not_abandoned = callers.total() - callers[Outcome.LEFT.value]
+        failed = callers[Outcome.REJECTED.value] + callers[Outcome.UNSERVED.value]
+        not_abandoned = callers.total() - callers[Outcome.ABANDONED.value]
         return RunResult(
             title=title,
             seed=seed,
